--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -45,6 +45,9 @@
 
 func (p *planner) put(j *Job, m *Machine) {
 	m.Free = m.Free.Add(j.Need, -1)
+	if m.Claim == j.ID {
+		m.Claim = "" // it has what it was emptied for: the rest of the room is for all
+	}
 	j.InZone[m.Zone]++
 	j.Pending--
 	if t := p.Teams[j.Spec.Team]; t != nil {
--- /dev/null
+++ b/internal/sched/place_test.go
@@ -0,0 +1,45 @@
+package sched
+
+import (
+	"testing"
+
+	"spurmoor/internal/settings"
+	"spurmoor/internal/wire"
+)
+
+// TestUsedClaimLeavesRoom guards against room that nobody takes: a claim ends with the
+// first task that it was for, and what is left of the machine is for the other jobs of
+// the same plan. Until then it is for the one that has it only.
+func TestUsedClaimLeavesRoom(t *testing.T) {
+	ops := settings.Defaults()
+	for _, c := range []struct {
+		what   string
+		gpus   float64 // that are free on the claimed machine
+		starts int
+	}{
+		{"room for both", 4, 2},
+		{"room for the one that has the claim", 2, 1},
+		{"no room for the one that has the claim", 1, 0},
+	} {
+		typ := wire.MachineType{Name: "g4", CPUs: 24, GPUs: 4, Price: 8, BootS: 8}
+		job := func(id string, gpus float64, at int64) *Job {
+			spec := &wire.Job{Kind: wire.Array, Team: "sur", Priority: "standard", Tasks: 1, GPUs: gpus, EstimateS: 90}
+			return &Job{ID: id, Spec: spec, Need: ResOf(0, gpus, 0), Tier: 4, At: at, Pending: 1, InZone: map[string]int{}}
+		}
+		m := &Machine{Name: "m-0", Type: &typ, Zone: "alta", Total: ResOf(24, 4, 0), Free: ResOf(24, c.gpus, 0), Usable: true, Claim: "a"}
+		plan := Make(&View{
+			Now: 200 * Second, Types: []wire.MachineType{typ}, Machines: []*Machine{m},
+			Jobs:  []*Job{job("a", 2, 0), job("b", 1, Second)},
+			Teams: map[string]*Team{"sur": {}}, Refused: map[Kind]bool{{Type: "g4", Zone: "alta"}: true},
+			Ops: &ops,
+		})
+		if len(plan.Starts) != c.starts {
+			t.Errorf("%s: %d tasks start, not %d", c.what, len(plan.Starts), c.starts)
+		}
+		for i, s := range plan.Starts {
+			if want := []string{"a", "b"}[i]; s.Job.ID != want {
+				t.Errorf("%s: start %d is of %s, not %s", c.what, i, s.Job.ID, want)
+			}
+		}
+	}
+}
