--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -140,15 +140,15 @@
 // changed brings the next report forward.
 func (wk *worker) changed() { wk.nextAt = min(wk.nextAt, max(wk.w.now, wk.lastAt+second/2)) }
 
-func (wk *worker) report() *wire.Report {
+func (wk *worker) report() *wire.Heartbeat {
 	wk.seq++
-	r := &wire.Report{Machine: wk.name, Addr: wk.addr, Type: wk.typ.Name, Zone: wk.zone, Spot: wk.spot, Session: wk.session, Seq: wk.seq, Token: wk.token}
+	r := &wire.Heartbeat{Machine: wk.name, Address: wk.addr, Type: wk.typ.Name, Zone: wk.zone, Spot: wk.spot, Incarnation: wk.session, Sequence: wk.seq, FencingToken: wk.token}
 	if wk.noticeAt > 0 {
 		s := float64(wk.noticeAt-wk.w.now) / float64(second)
-		r.NoticeS = &s
+		r.InterruptionNoticeS = &s
 	}
 	for _, t := range wk.tasks {
-		r.Tasks = append(r.Tasks, wire.TaskReport{Task: t.id, Attempt: t.attempt, State: t.state, Why: t.why, Saved: t.saved})
+		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: t.id, Attempt: t.attempt, State: t.state, ExitReason: t.why, CheckpointStored: t.saved})
 	}
 	return r
 }
@@ -173,7 +173,7 @@
 	every := int64(w.sc.ReportS * float64(second))
 	wk.nextAt = w.now + every*3/4 + w.rng.Int64N(every/2+1)
 	r := wk.report()
-	w.say("%s reports %d/%d to %s: %d tasks", wk.name, r.Session, r.Seq, s.node.name, len(r.Tasks))
+	w.say("%s reports %d/%d to %s: %d tasks", wk.name, r.Incarnation, r.Sequence, s.node.name, len(r.Tasks))
 	w.after(giveUpAfter, func() { s.finish(w.now+second, (wk.node+1)%3) })
 	w.copyLate(r)
 	wk.copyLater(r)
@@ -195,14 +195,14 @@
 		if !s.node.up {
 			return
 		}
-		w.request(s.node, func(req uint64) core.Input { return core.ReportReceived{Req: req, Report: r} }, func(a core.Answer) {
+		w.request(s.node, func(req uint64) core.Input { return core.WorkerHeartbeat{RequestID: req, Heartbeat: r} }, func(a core.Answer) {
 			w.between(s.node, wk, func() { s.answered(a) })
 		})
 	})
 }
 
 // copyLater has a copy of some reports arrive again, up to two leases later.
-func (wk *worker) copyLater(r *wire.Report) {
+func (wk *worker) copyLater(r *wire.Heartbeat) {
 	w := wk.w
 	if w.sc.Copies <= 0 || w.rng.Float64() >= w.sc.Copies {
 		return
@@ -210,7 +210,7 @@
 	late := *r
 	w.after(second+w.rng.Int64N(int64(2*w.sc.LeaseS*float64(second))), func() {
 		if n := w.nodes[w.rng.IntN(3)]; n.up && !n.cut["workers"] && !n.cut["all"] {
-			w.request(n, func(req uint64) core.Input { return core.ReportReceived{Req: req, Report: &late} }, func(core.Answer) {})
+			w.request(n, func(req uint64) core.Input { return core.WorkerHeartbeat{RequestID: req, Heartbeat: &late} }, func(core.Answer) {})
 		}
 	})
 }
@@ -236,16 +236,16 @@
 		if wk.asking != s.ask || wk.session != s.session {
 			return // given up on, or of an earlier session
 		}
-		o, ok := a.Body.(wire.ReportResponse)
+		o, ok := a.Body.(wire.HeartbeatResponse)
 		if !ok || a.Status != 200 {
 			s.refused(a)
 			return
 		}
 		s.finish(wk.nextAt, wk.node)
-		if o.Token < wk.token {
+		if o.FencingToken < wk.token {
 			return
 		}
-		wk.raise(o.Token)
+		wk.raise(o.FencingToken)
 		wk.leased = s.sent
 		wk.obey(o.Commands)
 	})
@@ -274,11 +274,11 @@
 	}
 }
 
-func (wk *worker) commands(p wire.CommandRequest) (int, *wire.Report) {
-	if p.Token < wk.token || p.Session != wk.session {
+func (wk *worker) commands(p wire.CommandRequest) (int, *wire.Heartbeat) {
+	if p.FencingToken < wk.token || p.Incarnation != wk.session {
 		return 409, wk.report()
 	}
-	wk.raise(p.Token)
+	wk.raise(p.FencingToken)
 	wk.obey(p.Commands)
 	return 200, wk.report()
 }
@@ -297,11 +297,11 @@
 		t := wk.find(c.Task, c.Attempt)
 		wk.w.say("%s does %s %s attempt %d", wk.name, c.Op, c.Task, c.Attempt)
 		switch {
-		case c.Op == wire.Start && t == nil:
+		case c.Op == wire.CommandStart && t == nil:
 			wk.start(c)
-		case c.Op == wire.Stop && t != nil:
+		case c.Op == wire.CommandStop && t != nil:
 			t.stop(*c.GraceS)
-		case c.Op == wire.Forget && t != nil && t.state == wire.Exited:
+		case c.Op == wire.CommandForget && t != nil && t.state == wire.TaskExited:
 			wk.tasks = slices.DeleteFunc(wk.tasks, func(o *wtask) bool { return o == t })
 		}
 	}
@@ -309,22 +309,22 @@
 
 func (wk *worker) start(c wire.Command) {
 	job, _, _ := strings.Cut(c.Task, "/")
-	t := &wtask{w: wk, id: c.Task, job: job, attempt: c.Attempt, state: wire.Fetching}
+	t := &wtask{w: wk, id: c.Task, job: job, attempt: c.Attempt, state: wire.TaskFetching}
 	truth, ok := wk.w.truth[job]
 	for _, o := range wk.tasks {
-		if o.id == c.Task && o.state != wire.Exited {
-			t.exit(wire.Busy)
+		if o.id == c.Task && o.state != wire.TaskExited {
+			t.exit(wire.ExitBusy)
 		}
 	}
 	spec := truth.spec(0)
-	if t.state != wire.Exited && !wk.hasRoom(spec) {
-		t.exit(wire.NoRoom)
+	if t.state != wire.TaskExited && !wk.hasRoom(spec) {
+		t.exit(wire.ExitNoRoom)
 	}
 	if !ok {
-		t.exit(wire.NoSuch)
+		t.exit(wire.ExitNoSuch)
 	}
 	wk.tasks = append(wk.tasks, t)
-	if t.state == wire.Exited {
+	if t.state == wire.TaskExited {
 		return
 	}
 	wk.changed()
@@ -342,7 +342,7 @@
 func (wk *worker) hasRoom(spec wire.Job) bool {
 	cpus, gpus := spec.CPUs, spec.GPUs
 	for _, o := range wk.tasks {
-		if o.state != wire.Exited {
+		if o.state != wire.TaskExited {
 			other := wk.w.truth[o.job].spec(0)
 			cpus, gpus = cpus+other.CPUs, gpus+other.GPUs
 		}
@@ -357,16 +357,16 @@
 	wk.w.check.started(wk, t)
 	switch {
 	case wk.w.results[t.id]:
-		t.exit(wire.Done)
+		t.exit(wire.JobDone)
 	case wk.sick || truth.Bad:
 		wk.w.happened("tasks that failed")
-		t.later(second, func() { t.exit(wire.Failed) })
+		t.later(second, func() { t.exit(wire.ExitFailed) })
 	case truth.spec(0).Kind == wire.Gang:
-		t.state = wire.Waiting
+		t.state = wire.TaskWaiting
 		wk.changed()
 		t.later(40*second, func() {
-			if t.state == wire.Waiting {
-				t.exit(wire.Alone)
+			if t.state == wire.TaskWaiting {
+				t.exit(wire.ExitAlone)
 			}
 		})
 		wk.w.gather(t, truth)
@@ -380,7 +380,7 @@
 	epoch := t.epoch
 	t.w.w.after(d, func() {
 		t.w.awake(func() {
-			if t.epoch == epoch && t.state != wire.Exited {
+			if t.epoch == epoch && t.state != wire.TaskExited {
 				do()
 			}
 		})
@@ -388,15 +388,15 @@
 }
 
 func (t *wtask) run(truth Job) {
-	t.state, t.runFrom = wire.Running, t.w.w.now
+	t.state, t.runFrom = wire.JobRunning, t.w.w.now
 	t.epoch++
 	t.w.changed()
-	if truth.Kind == wire.Daemon {
+	if truth.Kind == wire.Service {
 		return
 	}
 	t.base = t.w.w.saved[t.key(truth)]
 	left := int64((truth.RunS+truth.StepS*t.index())*float64(second)) - t.base
-	t.later(max(left, second/10), func() { t.exit(wire.Done) })
+	t.later(max(left, second/10), func() { t.exit(wire.JobDone) })
 }
 
 // index is the task's number within its job.
@@ -420,7 +420,7 @@
 		return
 	}
 	for _, m := range mates {
-		if m.state != wire.Waiting {
+		if m.state != wire.TaskWaiting {
 			return
 		}
 	}
@@ -433,7 +433,7 @@
 	var list []*wtask
 	for _, wk := range w.workers {
 		for _, o := range wk.tasks {
-			if !wk.gone && o.job == t.job && o.attempt == t.attempt && o.state != wire.Exited {
+			if !wk.gone && o.job == t.job && o.attempt == t.attempt && o.state != wire.TaskExited {
 				list = append(list, o)
 			}
 		}
@@ -445,27 +445,27 @@
 	truth := t.w.w.truth[t.job]
 	spec := truth.spec(0)
 	switch {
-	case t.state == wire.Exited:
-	case t.state == wire.Running && spec.CheckpointS > 0 && grace >= spec.SaveS:
+	case t.state == wire.TaskExited:
+	case t.state == wire.JobRunning && spec.CheckpointIntervalS > 0 && grace >= spec.CheckpointSaveS:
 		done := t.w.w.now - t.runFrom
-		t.state = wire.Saving
+		t.state = wire.Checkpointing
 		t.epoch++
 		t.w.changed()
-		t.later(int64(spec.SaveS*float64(second)), func() {
+		t.later(int64(spec.CheckpointSaveS*float64(second)), func() {
 			t.w.w.saved[t.key(truth)] = max(t.w.w.saved[t.key(truth)], t.base+done)
 			t.saved = true
-			t.exit(wire.Stopped)
+			t.exit(wire.ExitStopped)
 		})
-	case t.state == wire.Saving && grace > 0:
+	case t.state == wire.Checkpointing && grace > 0:
 	default:
-		t.exit(wire.Stopped)
+		t.exit(wire.ExitStopped)
 	}
 }
 
 // exit ends a task; its gang notices.
 func (t *wtask) exit(why string) {
-	running := t.state == wire.Running || t.state == wire.Saving
-	if why == wire.Done {
+	running := t.state == wire.JobRunning || t.state == wire.Checkpointing
+	if why == wire.JobDone {
 		t.w.w.results[t.id] = true
 		if truth := t.w.w.truth[t.job]; truth.Kind == wire.Gang {
 			for n := range max(1, truth.Tasks) { // a gang completes together
@@ -473,13 +473,13 @@
 			}
 		}
 	}
-	t.state, t.why = wire.Exited, why
+	t.state, t.why = wire.TaskExited, why
 	t.off()
 	t.w.changed()
-	if why == wire.Done {
+	if why == wire.JobDone {
 		t.w.w.ends(t.job)
 	}
-	if running && why != wire.Done {
+	if running && why != wire.JobDone {
 		t.tellMates()
 	}
 }
@@ -489,21 +489,21 @@
 		return
 	}
 	for _, m := range t.w.w.mates(t) {
-		if m != t && m.state == wire.Running {
-			m.later(2*second, func() { m.exit(wire.Peers) })
+		if m != t && m.state == wire.JobRunning {
+			m.later(2*second, func() { m.exit(wire.ExitMatesGone) })
 		}
 	}
 }
 
 func (t *wtask) off() {
-	lost := t.on && t.state == wire.Running
+	lost := t.on && t.state == wire.JobRunning
 	t.epoch++
 	if t.on {
 		t.on = false
 		t.w.w.check.left(t)
 	}
 	if lost {
-		t.state = wire.Exited
+		t.state = wire.TaskExited
 		t.tellMates()
 	}
 }
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -42,7 +42,7 @@
 type node struct {
 	i          int
 	name       string
-	core       *core.Core
+	core       *core.Controller
 	up         bool
 	epoch      int
 	refused    bool // by the state service alone
@@ -116,7 +116,7 @@
 
 // live carries what the workers say over real sockets; nil in simulated time.
 type live interface {
-	report(node int, r *wire.Report, f func(core.Answer))
+	report(node int, r *wire.Heartbeat, f func(core.Answer))
 	listen(wk *worker) string
 }
 
@@ -219,7 +219,7 @@
 	n.epoch++
 	n.up, n.reqs = true, map[uint64]func(core.Answer){}
 	n.frozen, n.queued, n.asleep = false, nil, nil
-	n.pushes = set.Sockets.Pushes
+	n.pushes = set.Sockets.DirectCommands
 	n.core = core.New(set, w.rng.Uint64()>>12, rand.New(rand.NewPCG(w.sc.Seed, uint64(100+n.i))))
 	return nil
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -34,7 +34,7 @@
 // of the changes: they are rarely busy all at once, and a 429 is retried. The
 // core spends less on what can wait. bad is told of every answer that can't be read.
 func New(set *settings.Settings, gate duty.Gate, bad func(who string, err error)) *Client {
-	s := set.Facts.State
+	s := set.Deployment.Store
 	client := func(conns int) *fasthttp.HostClient {
 		return &fasthttp.HostClient{Addr: set.Endpoints.State, MaxConns: conns, MaxConnWaitTimeout: patience,
 			ReadTimeout: 70 * time.Second, WriteTimeout: 3 * time.Second, MaxIdleConnDuration: 30 * time.Second,
@@ -45,7 +45,7 @@
 		reqs:   rate.NewLimiter(rate.Limit(s.RPS/2), max(1, int(s.RPS/2))),
 		bad:    bad,
 		gate:   gate,
-		writes: rate.NewLimiter(rate.Limit(s.WriteRPS*0.8), max(s.TxnOps, int(s.WriteRPS*0.8))),
+		writes: rate.NewLimiter(rate.Limit(s.WriteRPS*0.8), max(s.MaxTransactionOps, int(s.WriteRPS*0.8))),
 	}
 }
 
@@ -66,7 +66,7 @@
 	if c.reqs.Wait(ctx) != nil {
 		return false
 	}
-	return call.Op != core.OpTxn || c.writes.WaitN(ctx, len(call.Txn.Body().Then)) == nil
+	return call.Op != core.OpTransaction || c.writes.WaitN(ctx, len(call.Transaction.Body().Writes)) == nil
 }
 
 // Do carries out a call and gives the answer; status 0: none came.
@@ -81,8 +81,8 @@
 		client = c.urgent
 	}
 	req := request(call)
-	if call.Op == core.OpTxn {
-		req.Before = func() error { return c.gate(call.Txn.Grant(), duty.Write) }
+	if call.Op == core.OpTransaction {
+		req.Before = func() error { return c.gate(call.Transaction.Grant(), duty.Write) }
 	}
 	err := jsonhttp.Do(client, req, func(status int, body []byte) error { return decode(call, status, body, r) })
 	var none *jsonhttp.NoAnswer
@@ -116,20 +116,20 @@
 	case core.OpGet:
 		r.URI = "/store/" + call.Key
 	case core.OpList:
-		query := url.Values{"Under": {core.Live}, "Most": {pageSize}}
+		query := url.Values{"Under": {core.LivePrefix}, "Most": {pageSize}}
 		if call.Key != "" {
 			query.Set("Since", call.Key)
 		}
 		r.URI = "/store?" + query.Encode()
-	case core.OpTxn:
-		r.URI, r.Body = "/txn", call.Txn.Body()
+	case core.OpTransaction:
+		r.URI, r.Body = "/txn", call.Transaction.Body()
 	case core.OpGrantLease:
 		r.URI, r.Body = "/holds", wire.LeaseRequest{TTLMs: call.TTLMs}
 	case core.OpRenewLease:
 		r.URI, r.Body = "/holds/"+strconv.FormatUint(call.Lease, 10)+"/extend", struct{}{}
 		r.Wait = renewalWait
 	case core.OpWatch:
-		query := url.Values{"Under": {core.Live}, "Since": {strconv.FormatUint(call.Since, 10)}, "BlockMs": {strconv.Itoa(call.WaitMs)}}
+		query := url.Values{"Under": {core.LivePrefix}, "Since": {strconv.FormatUint(call.Since, 10)}, "BlockMs": {strconv.Itoa(call.WaitMs)}}
 		r.URI = "/follow?" + query.Encode()
 		r.Wait += time.Duration(call.WaitMs) * time.Millisecond
 	}
@@ -145,7 +145,7 @@
 		}
 	}
 	r.Lease = hold.Lease
-	unnumbered := call.Op == core.OpTxn && r.Txn.Revision == 0 || call.Op == core.OpGrantLease && r.Lease == 0
+	unnumbered := call.Op == core.OpTransaction && r.Transaction.Revision == 0 || call.Op == core.OpGrantLease && r.Lease == 0
 	if status == fasthttp.StatusOK && unnumbered {
 		return errors.New("an answer of 200 without its number")
 	}
@@ -155,23 +155,23 @@
 
 // target is what an answer's body is read into; nil: it is not looked at.
 func target(op core.StoreOp, status int, r *core.StoreReply, hold *wire.LeaseResponse) any {
-	if op == core.OpTxn && (status == fasthttp.StatusConflict || status == fasthttp.StatusBadRequest) {
-		return &r.Txn
+	if op == core.OpTransaction && (status == fasthttp.StatusConflict || status == fasthttp.StatusBadRequest) {
+		return &r.Transaction
 	}
 	if status != fasthttp.StatusOK {
 		return nil
 	}
 	switch op {
-	case core.OpTxn:
-		return &r.Txn
+	case core.OpTransaction:
+		return &r.Transaction
 	case core.OpGet:
 		return &r.Item
 	case core.OpList:
-		return &r.Items
+		return &r.Page
 	case core.OpGrantLease:
 		return hold
 	case core.OpWatch:
-		return &r.Follow
+		return &r.Watch
 	}
 	return nil
 }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -23,7 +23,7 @@
 	}()
 	set := &settings.Settings{}
 	set.Endpoints.State = ln.Addr().String()
-	set.Facts.State.RPS, set.Facts.State.WriteRPS, set.Facts.State.TxnOps = 100, 100, 10
+	set.Deployment.Store.RPS, set.Deployment.Store.WriteRPS, set.Deployment.Store.MaxTransactionOps = 100, 100, 10
 	told := 0
 	r := New(set, nil, func(string, error) { told++ }).Do(core.StoreCall{Op: core.OpWatch, Since: 7})
 	if r.Status != 410 || told != 1 {
@@ -34,9 +34,9 @@
 // FuzzDecode guards against garbage that passes for an answer: a transaction
 // taken for carried out, or a lease of no number.
 func FuzzDecode(f *testing.F) {
-	f.Add(int(core.OpTxn), 200, []byte(`{"Revision":432}`))
-	f.Add(int(core.OpTxn), 409, []byte(`{"failed":["a/b"],"Revision":431}`))
-	f.Add(int(core.OpTxn), 200, []byte(`{"Revision":`))
+	f.Add(int(core.OpTransaction), 200, []byte(`{"Revision":432}`))
+	f.Add(int(core.OpTransaction), 409, []byte(`{"failed":["a/b"],"Revision":431}`))
+	f.Add(int(core.OpTransaction), 200, []byte(`{"Revision":`))
 	f.Add(int(core.OpGrantLease), 200, []byte(`{"Arriendo":"7"}`))
 	f.Add(int(core.OpWatch), 200, []byte(`{"Revision":433,"Log":[{"Write":"c/9","Data":{},"Edicion":433},{"Drop":"c/d","Edicion":432}]}`))
 	f.Fuzz(func(t *testing.T, op, status int, body []byte) {
@@ -47,7 +47,7 @@
 		if r.Status != 0 && r.Status != status {
 			t.Errorf("status %d became %d", status, r.Status)
 		}
-		if r.Status == 200 && (core.StoreOp(op) == core.OpTxn && r.Txn.Revision == 0 || core.StoreOp(op) == core.OpGrantLease && r.Lease == 0) {
+		if r.Status == 200 && (core.StoreOp(op) == core.OpTransaction && r.Transaction.Revision == 0 || core.StoreOp(op) == core.OpGrantLease && r.Lease == 0) {
 			t.Errorf("garbage passed for an answer: %q", body)
 		}
 	})
--- a/internal/wire/job.go
+++ b/internal/wire/job.go
@@ -76,7 +76,7 @@
 	c.text("Clase", r.Class, &j.Class)
 	c.text("Dueno", r.Team, &j.Team)
 	c.text("Forma", r.Kind, &j.Kind)
-	if c.err == nil && j.Kind != Array && j.Kind != Gang && j.Kind != Daemon {
+	if c.err == nil && j.Kind != Array && j.Kind != Gang && j.Kind != Service {
 		c.fail("Forma", "must be array, group or daemon")
 	}
 	c.text("Prelacion", r.Priority, &j.Priority)
@@ -120,8 +120,8 @@
 // timing checks run time, checkpoints and deadline.
 func (c *fieldCheck) timing(r *rawJob, j *Job) {
 	c.amount("EstimadoS", r.EstimateS, &j.EstimateS)
-	c.amount("RespaldoS", r.CheckpointS, &j.CheckpointS)
-	c.amount("GuardadoS", r.SaveS, &j.SaveS)
+	c.amount("RespaldoS", r.CheckpointS, &j.CheckpointIntervalS)
+	c.amount("GuardadoS", r.SaveS, &j.CheckpointSaveS)
 	if r.DeadlineS != nil {
 		c.amount("PlazoS", r.DeadlineS, &j.DeadlineS)
 	}
@@ -136,7 +136,7 @@
 		}
 		if !named[id] {
 			named[id] = true
-			j.Needs = append(j.Needs, id)
+			j.Dependencies = append(j.Dependencies, id)
 		}
 	}
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -59,8 +59,8 @@
 
 func TestNeedsOnce(t *testing.T) {
 	j, err := ParseJob([]byte(strings.Replace(sound, `"PlazoS":900.0`, `"PlazoS":1,"Espera":["wk-9","wk-1","wk-9"]`, 1)))
-	if err != nil || len(j.Needs) != 2 || j.Needs[0] != "wk-9" || j.Needs[1] != "wk-1" {
-		t.Errorf("needs %q, %v", j.Needs, err)
+	if err != nil || len(j.Dependencies) != 2 || j.Dependencies[0] != "wk-9" || j.Dependencies[1] != "wk-1" {
+		t.Errorf("needs %q, %v", j.Dependencies, err)
 	}
 }
 
@@ -100,7 +100,7 @@
 func FuzzParseReport(f *testing.F) {
 	f.Add([]byte(`{"Maquina":"n-000231","Jornada":1,"Folio":88,"Baston":41,"AvisoS":null,"Tareas":[{"Tarea":"wk-000412/3","Intento":2,"Estado":"running"}]}`))
 	f.Fuzz(func(t *testing.T, body []byte) {
-		if r, err := ParseReport(body); err == nil && (r.Machine == "" || r.Session == 0) {
+		if r, err := ParseHeartbeat(body); err == nil && (r.Machine == "" || r.Incarnation == 0) {
 			t.Errorf("a report of nobody was taken: %+v", r)
 		}
 	})
