--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -5,8 +5,8 @@
 	"strconv"
 	"strings"
 
+	"spurmoor/internal/api"
 	"spurmoor/internal/core"
-	"spurmoor/internal/wire"
 )
 
 // worker stands in for a machine with its worker.
@@ -14,7 +14,7 @@
 	w        *World
 	name     string
 	addr     string
-	typ      wire.MachineType
+	typ      api.MachineType
 	zone     string
 	spot     bool
 	born     int64
@@ -53,7 +53,7 @@
 	epoch   int
 }
 
-func newWorker(w *World, name string, t wire.MachineType, zone string, spot bool) *worker {
+func newWorker(w *World, name string, t api.MachineType, zone string, spot bool) *worker {
 	wk := &worker{w: w, name: name, addr: "10.1.0.1:" + strconv.Itoa(9000+len(w.workers)), typ: t, zone: zone, spot: spot,
 		born: w.now, session: 1, cached: map[string]bool{}, node: w.rng.IntN(3)}
 	w.workers = append(w.workers, wk)
@@ -140,15 +140,15 @@
 // changed brings the next report forward.
 func (wk *worker) changed() { wk.nextAt = min(wk.nextAt, max(wk.w.now, wk.lastAt+second/2)) }
 
-func (wk *worker) report() *wire.Heartbeat {
+func (wk *worker) report() *api.Heartbeat {
 	wk.seq++
-	r := &wire.Heartbeat{Machine: wk.name, Address: wk.addr, Type: wk.typ.Name, Zone: wk.zone, Spot: wk.spot, Incarnation: wk.session, Sequence: wk.seq, FencingToken: wk.token}
+	r := &api.Heartbeat{Machine: wk.name, Address: wk.addr, Type: wk.typ.Name, Zone: wk.zone, Spot: wk.spot, Incarnation: wk.session, Sequence: wk.seq, FencingToken: wk.token}
 	if wk.noticeAt > 0 {
 		s := float64(wk.noticeAt-wk.w.now) / float64(second)
 		r.InterruptionNoticeS = &s
 	}
 	for _, t := range wk.tasks {
-		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: t.id, Attempt: t.attempt, State: t.state, ExitReason: t.why, CheckpointStored: t.saved})
+		r.Tasks = append(r.Tasks, api.TaskStatus{Task: t.id, Attempt: t.attempt, State: t.state, ExitReason: t.why, CheckpointStored: t.saved})
 	}
 	return r
 }
@@ -202,7 +202,7 @@
 }
 
 // copyLater has a copy of some reports arrive again, up to two leases later.
-func (wk *worker) copyLater(r *wire.Heartbeat) {
+func (wk *worker) copyLater(r *api.Heartbeat) {
 	w := wk.w
 	if w.sc.Copies <= 0 || w.rng.Float64() >= w.sc.Copies {
 		return
@@ -236,7 +236,7 @@
 		if wk.asking != s.ask || wk.session != s.session {
 			return // given up on, or of an earlier session
 		}
-		o, ok := a.Body.(wire.HeartbeatResponse)
+		o, ok := a.Body.(api.HeartbeatResponse)
 		if !ok || a.Status != 200 {
 			s.refused(a)
 			return
@@ -256,7 +256,7 @@
 	wk, w := s.wk, s.wk.w
 	other := (wk.node + 1) % 3
 	wait := second
-	if d, ok := a.Body.(wire.Redirect); ok && a.Status == 421 && d.To != "" && d.To != s.node.name {
+	if d, ok := a.Body.(api.Redirect); ok && a.Status == 421 && d.To != "" && d.To != s.node.name {
 		for i, o := range w.nodes {
 			if o.name == d.To {
 				other, wait = i, w.rng.Int64N(second/2)
@@ -274,7 +274,7 @@
 	}
 }
 
-func (wk *worker) commands(p wire.CommandRequest) (int, *wire.Heartbeat) {
+func (wk *worker) commands(p api.CommandRequest) (int, *api.Heartbeat) {
 	if p.FencingToken < wk.token || p.Incarnation != wk.session {
 		return 409, wk.report()
 	}
@@ -292,39 +292,39 @@
 	return nil
 }
 
-func (wk *worker) obey(cmds []wire.Command) {
+func (wk *worker) obey(cmds []api.Command) {
 	for _, c := range cmds {
 		t := wk.find(c.Task, c.Attempt)
 		wk.w.say("%s does %s %s attempt %d", wk.name, c.Op, c.Task, c.Attempt)
 		switch {
-		case c.Op == wire.CommandStart && t == nil:
+		case c.Op == api.CommandStart && t == nil:
 			wk.start(c)
-		case c.Op == wire.CommandStop && t != nil:
+		case c.Op == api.CommandStop && t != nil:
 			t.stop(*c.GraceS)
-		case c.Op == wire.CommandForget && t != nil && t.state == wire.TaskExited:
+		case c.Op == api.CommandForget && t != nil && t.state == api.TaskExited:
 			wk.tasks = slices.DeleteFunc(wk.tasks, func(o *wtask) bool { return o == t })
 		}
 	}
 }
 
-func (wk *worker) start(c wire.Command) {
+func (wk *worker) start(c api.Command) {
 	job, _, _ := strings.Cut(c.Task, "/")
-	t := &wtask{w: wk, id: c.Task, job: job, attempt: c.Attempt, state: wire.TaskFetching}
+	t := &wtask{w: wk, id: c.Task, job: job, attempt: c.Attempt, state: api.TaskFetching}
 	truth, ok := wk.w.truth[job]
 	for _, o := range wk.tasks {
-		if o.id == c.Task && o.state != wire.TaskExited {
-			t.exit(wire.ExitBusy)
+		if o.id == c.Task && o.state != api.TaskExited {
+			t.exit(api.ExitBusy)
 		}
 	}
 	spec := truth.spec(0)
-	if t.state != wire.TaskExited && !wk.hasRoom(spec) {
-		t.exit(wire.ExitNoRoom)
+	if t.state != api.TaskExited && !wk.hasRoom(spec) {
+		t.exit(api.ExitNoRoom)
 	}
 	if !ok {
-		t.exit(wire.ExitNoSuch)
+		t.exit(api.ExitNoSuch)
 	}
 	wk.tasks = append(wk.tasks, t)
-	if t.state == wire.TaskExited {
+	if t.state == api.TaskExited {
 		return
 	}
 	wk.changed()
@@ -339,10 +339,10 @@
 }
 
 // hasRoom tells whether a task fits beside those that are there.
-func (wk *worker) hasRoom(spec wire.Job) bool {
+func (wk *worker) hasRoom(spec api.Job) bool {
 	cpus, gpus := spec.CPUs, spec.GPUs
 	for _, o := range wk.tasks {
-		if o.state != wire.TaskExited {
+		if o.state != api.TaskExited {
 			other := wk.w.truth[o.job].spec(0)
 			cpus, gpus = cpus+other.CPUs, gpus+other.GPUs
 		}
@@ -357,16 +357,16 @@
 	wk.w.check.started(wk, t)
 	switch {
 	case wk.w.results[t.id]:
-		t.exit(wire.JobDone)
+		t.exit(api.JobDone)
 	case wk.sick || truth.Bad:
 		wk.w.happened("tasks that failed")
-		t.later(second, func() { t.exit(wire.ExitFailed) })
-	case truth.spec(0).Kind == wire.Gang:
-		t.state = wire.TaskWaiting
+		t.later(second, func() { t.exit(api.ExitFailed) })
+	case truth.spec(0).Kind == api.Gang:
+		t.state = api.TaskWaiting
 		wk.changed()
 		t.later(40*second, func() {
-			if t.state == wire.TaskWaiting {
-				t.exit(wire.ExitAlone)
+			if t.state == api.TaskWaiting {
+				t.exit(api.ExitAlone)
 			}
 		})
 		wk.w.gather(t, truth)
@@ -380,7 +380,7 @@
 	epoch := t.epoch
 	t.w.w.after(d, func() {
 		t.w.awake(func() {
-			if t.epoch == epoch && t.state != wire.TaskExited {
+			if t.epoch == epoch && t.state != api.TaskExited {
 				do()
 			}
 		})
@@ -388,15 +388,15 @@
 }
 
 func (t *wtask) run(truth Job) {
-	t.state, t.runFrom = wire.JobRunning, t.w.w.now
+	t.state, t.runFrom = api.JobRunning, t.w.w.now
 	t.epoch++
 	t.w.changed()
-	if truth.Kind == wire.Service {
+	if truth.Kind == api.Service {
 		return
 	}
 	t.base = t.w.w.saved[t.key(truth)]
 	left := int64((truth.RunS+truth.StepS*t.index())*float64(second)) - t.base
-	t.later(max(left, second/10), func() { t.exit(wire.JobDone) })
+	t.later(max(left, second/10), func() { t.exit(api.JobDone) })
 }
 
 // index is the task's number within its job.
@@ -407,7 +407,7 @@
 
 // key is what progress is saved under: a gang's is the job's.
 func (t *wtask) key(truth Job) string {
-	if truth.Kind == wire.Gang {
+	if truth.Kind == api.Gang {
 		return t.job
 	}
 	return t.id
@@ -420,7 +420,7 @@
 		return
 	}
 	for _, m := range mates {
-		if m.state != wire.TaskWaiting {
+		if m.state != api.TaskWaiting {
 			return
 		}
 	}
@@ -433,7 +433,7 @@
 	var list []*wtask
 	for _, wk := range w.workers {
 		for _, o := range wk.tasks {
-			if !wk.gone && o.job == t.job && o.attempt == t.attempt && o.state != wire.TaskExited {
+			if !wk.gone && o.job == t.job && o.attempt == t.attempt && o.state != api.TaskExited {
 				list = append(list, o)
 			}
 		}
@@ -445,65 +445,65 @@
 	truth := t.w.w.truth[t.job]
 	spec := truth.spec(0)
 	switch {
-	case t.state == wire.TaskExited:
-	case t.state == wire.JobRunning && spec.CheckpointIntervalS > 0 && grace >= spec.CheckpointSaveS:
+	case t.state == api.TaskExited:
+	case t.state == api.JobRunning && spec.CheckpointIntervalS > 0 && grace >= spec.CheckpointSaveS:
 		done := t.w.w.now - t.runFrom
-		t.state = wire.Checkpointing
+		t.state = api.Checkpointing
 		t.epoch++
 		t.w.changed()
 		t.later(int64(spec.CheckpointSaveS*float64(second)), func() {
 			t.w.w.saved[t.key(truth)] = max(t.w.w.saved[t.key(truth)], t.base+done)
 			t.saved = true
-			t.exit(wire.ExitStopped)
+			t.exit(api.ExitStopped)
 		})
-	case t.state == wire.Checkpointing && grace > 0:
+	case t.state == api.Checkpointing && grace > 0:
 	default:
-		t.exit(wire.ExitStopped)
+		t.exit(api.ExitStopped)
 	}
 }
 
 // exit ends a task; its gang notices.
 func (t *wtask) exit(why string) {
-	running := t.state == wire.JobRunning || t.state == wire.Checkpointing
-	if why == wire.JobDone {
+	running := t.state == api.JobRunning || t.state == api.Checkpointing
+	if why == api.JobDone {
 		t.w.w.results[t.id] = true
-		if truth := t.w.w.truth[t.job]; truth.Kind == wire.Gang {
+		if truth := t.w.w.truth[t.job]; truth.Kind == api.Gang {
 			for n := range max(1, truth.Tasks) { // a gang completes together
 				t.w.w.results[t.job+"/"+strconv.Itoa(n)] = true
 			}
 		}
 	}
-	t.state, t.why = wire.TaskExited, why
+	t.state, t.why = api.TaskExited, why
 	t.off()
 	t.w.changed()
-	if why == wire.JobDone {
+	if why == api.JobDone {
 		t.w.w.ends(t.job)
 	}
-	if running && why != wire.JobDone {
+	if running && why != api.JobDone {
 		t.tellMates()
 	}
 }
 
 func (t *wtask) tellMates() {
-	if t.w.w.truth[t.job].Kind != wire.Gang {
+	if t.w.w.truth[t.job].Kind != api.Gang {
 		return
 	}
 	for _, m := range t.w.w.mates(t) {
-		if m != t && m.state == wire.JobRunning {
-			m.later(2*second, func() { m.exit(wire.ExitMatesGone) })
+		if m != t && m.state == api.JobRunning {
+			m.later(2*second, func() { m.exit(api.ExitMatesGone) })
 		}
 	}
 }
 
 func (t *wtask) off() {
-	lost := t.on && t.state == wire.JobRunning
+	lost := t.on && t.state == api.JobRunning
 	t.epoch++
 	if t.on {
 		t.on = false
 		t.w.w.check.left(t)
 	}
 	if lost {
-		t.state = wire.TaskExited
+		t.state = api.TaskExited
 		t.tellMates()
 	}
 }
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -6,8 +6,8 @@
 	"math/rand/v2"
 	"strings"
 
+	"spurmoor/internal/api"
 	"spurmoor/internal/core"
-	"spurmoor/internal/wire"
 )
 
 const second = core.Second
@@ -116,7 +116,7 @@
 
 // live carries what the workers say over real sockets; nil in simulated time.
 type live interface {
-	report(node int, r *wire.Heartbeat, f func(core.Answer))
+	report(node int, r *api.Heartbeat, f func(core.Answer))
 	listen(wk *worker) string
 }
 
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -13,11 +13,11 @@
 	"github.com/valyala/fasthttp"
 	"golang.org/x/time/rate"
 
+	"spurmoor/internal/api"
 	"spurmoor/internal/core"
-	"spurmoor/internal/duty"
 	"spurmoor/internal/jsonhttp"
+	"spurmoor/internal/leadership"
 	"spurmoor/internal/settings"
-	"spurmoor/internal/wire"
 )
 
 // Client talks to the state service.
@@ -27,13 +27,13 @@
 	reqs   *rate.Limiter
 	writes *rate.Limiter
 	bad    func(who string, err error)
-	gate   duty.Gate
+	gate   leadership.Gate
 }
 
 // New makes a client. Each controller may use half of the requests and 0.8
 // of the changes: they are rarely busy all at once, and a 429 is retried. The
 // core spends less on what can wait. bad is told of every answer that can't be read.
-func New(set *settings.Settings, gate duty.Gate, bad func(who string, err error)) *Client {
+func New(set *settings.Settings, gate leadership.Gate, bad func(who string, err error)) *Client {
 	s := set.Deployment.Store
 	client := func(conns int) *fasthttp.HostClient {
 		return &fasthttp.HostClient{Addr: set.Endpoints.State, MaxConns: conns, MaxConnWaitTimeout: patience,
@@ -82,7 +82,7 @@
 	}
 	req := request(call)
 	if call.Op == core.OpTransaction {
-		req.Before = func() error { return c.gate(call.Transaction.Grant(), duty.Write) }
+		req.Before = func() error { return c.gate(call.Transaction.Grant(), leadership.Write) }
 	}
 	err := jsonhttp.Do(client, req, func(status int, body []byte) error { return decode(call, status, body, r) })
 	var none *jsonhttp.NoAnswer
@@ -124,7 +124,7 @@
 	case core.OpTransaction:
 		r.URI, r.Body = "/txn", call.Transaction.Body()
 	case core.OpGrantLease:
-		r.URI, r.Body = "/holds", wire.LeaseRequest{TTLMs: call.TTLMs}
+		r.URI, r.Body = "/holds", api.LeaseRequest{TTLMs: call.TTLMs}
 	case core.OpRenewLease:
 		r.URI, r.Body = "/holds/"+strconv.FormatUint(call.Lease, 10)+"/extend", struct{}{}
 		r.Wait = renewalWait
@@ -138,7 +138,7 @@
 
 // decode reads an answer. One that can't be read counts as none.
 func decode(call core.StoreCall, status int, body []byte, r *core.StoreReply) error {
-	var hold wire.LeaseResponse
+	var hold api.LeaseResponse
 	if to := target(call.Op, status, r, &hold); to != nil {
 		if err := json.Unmarshal(body, to); err != nil {
 			return err
@@ -154,7 +154,7 @@
 }
 
 // target is what an answer's body is read into; nil: it is not looked at.
-func target(op core.StoreOp, status int, r *core.StoreReply, hold *wire.LeaseResponse) any {
+func target(op core.StoreOp, status int, r *core.StoreReply, hold *api.LeaseResponse) any {
 	if op == core.OpTransaction && (status == fasthttp.StatusConflict || status == fasthttp.StatusBadRequest) {
 		return &r.Transaction
 	}
