--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -5,6 +5,8 @@
 	"sync/atomic"
 	"time"
 
+	"spurmoor/internal/micros"
+
 	"golang.org/x/sys/unix"
 )
 
@@ -18,35 +20,35 @@
 // first.
 type Steady struct {
 	start     time.Time
-	boot      int64        // CLOCK_BOOTTIME at the start
-	suspended atomic.Int64 // that is known of
-	sinceBoot func() (micros int64, ok bool)
+	boot      micros.Micros // CLOCK_BOOTTIME at the start
+	suspended atomic.Int64  // that is known of
+	sinceBoot func() (sinceBoot micros.Micros, ok bool)
 }
 
 // noise is how far the two clocks may differ between their readings without a
 // suspension.
-const noise = 10_000
+const noise = 10 * micros.Millisecond
 
 // New starts a clock.
 func New() *Steady { return start(sinceBoot) }
 
-func start(sinceBoot func() (int64, bool)) *Steady {
+func start(sinceBoot func() (micros.Micros, bool)) *Steady {
 	boot, _ := sinceBoot()
 	return &Steady{start: time.Now(), boot: boot, sinceBoot: sinceBoot}
 }
 
 // Now gives the time, less any suspension since Fresh was called last.
-func (s *Steady) Now() int64 {
-	return s.start.UnixMicro() + time.Since(s.start).Microseconds() + s.suspended.Load()
+func (s *Steady) Now() micros.Micros {
+	return micros.Micros(s.start.UnixMicro() + time.Since(s.start).Microseconds() + s.suspended.Load())
 }
 
 // Fresh gives the time with all suspensions.
-func (s *Steady) Fresh() int64 {
+func (s *Steady) Fresh() micros.Micros {
 	if boot, ok := s.sinceBoot(); ok {
-		missed := boot - s.boot - time.Since(s.start).Microseconds()
+		missed := boot - s.boot - micros.Micros(time.Since(s.start).Microseconds())
 		for {
 			known := s.suspended.Load()
-			if missed < known+noise || s.suspended.CompareAndSwap(known, missed) {
+			if missed < micros.Micros(known)+noise || s.suspended.CompareAndSwap(known, int64(missed)) {
 				break
 			}
 		}
@@ -61,10 +63,10 @@
 }
 
 // sinceBoot gives the time since the host started, suspensions included.
-func sinceBoot() (micros int64, ok bool) {
+func sinceBoot() (passed micros.Micros, ok bool) {
 	var t unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &t) != nil {
 		return 0, false
 	}
-	return t.Nano() / int64(time.Microsecond), true
+	return micros.Micros(t.Nano() / int64(time.Microsecond)), true
 }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -3,13 +3,15 @@
 import (
 	"testing"
 	"time"
+
+	"spurmoor/internal/micros"
 )
 
 // TestSteady guards against a clock that is far from the time of day at its start, or
 // runs backwards.
 func TestSteady(t *testing.T) {
 	c := New()
-	if off := c.Now() - time.Now().UnixMicro(); off < -1_000_000 || off > 1_000_000 {
+	if off := c.Now() - micros.Micros(time.Now().UnixMicro()); off < -micros.Second || off > micros.Second {
 		t.Errorf("%d us from the time of day", off)
 	}
 	last := c.Now()
@@ -30,8 +32,10 @@
 func TestSuspension(t *testing.T) {
 	const minute = 60_000_000
 	begun := time.Now()
-	suspended := int64(0)
-	c := start(func() (int64, bool) { return 5_000_000 + time.Since(begun).Microseconds() + suspended, true })
+	suspended := micros.Micros(0)
+	c := start(func() (micros.Micros, bool) {
+		return 5*micros.Second + micros.Micros(time.Since(begun).Microseconds()) + suspended, true
+	})
 	before := c.Fresh()
 	suspended = 10 * minute
 	if got := c.Fresh() - before; got < 10*minute || got > 11*minute {
@@ -40,7 +44,7 @@
 	if got := c.Now() - before; got < 10*minute {
 		t.Errorf("once seen, %d us of it are known", got)
 	}
-	none := start(func() (int64, bool) { return 0, false })
+	none := start(func() (micros.Micros, bool) { return 0, false })
 	if none.CountsSuspension() || none.Fresh() < before {
 		t.Error("without such a clock there is no time at all")
 	}
--- a/internal/core/apply.go
+++ b/internal/core/apply.go
@@ -9,6 +9,7 @@
 	"github.com/go-json-experiment/json"
 
 	"spurmoor/internal/leadership"
+	"spurmoor/internal/micros"
 	"spurmoor/internal/scheduler"
 )
 
@@ -110,7 +111,7 @@
 		c.settleOutcome(id, outcomeCancelled, 0)
 	}
 	c.markChanged(j)
-	c.requestPlanWithin(Second / 20)
+	c.requestPlanWithin(micros.Second / 20)
 	return nil
 }
 
@@ -206,7 +207,7 @@
 		// nothing that it says counts as a sign of life.
 		m.tokenConfirmed, m.nextCommandAt = false, c.now
 	}
-	c.requestPlanWithin(Second / 5)
+	c.requestPlanWithin(micros.Second / 5)
 }
 
 // addMachine makes a machine of which the first record was read. Its age is taken from
--- a/internal/core/boot.go
+++ b/internal/core/boot.go
@@ -1,18 +1,18 @@
 package core
 
-import ()
+import "spurmoor/internal/micros"
 
 // bootTime is what is seen of how long machines of a type take to come up.
 type bootTime struct {
-	youngestLaunchedAt int64 // when the youngest that is up was rented
-	typicalDuration    int64 // the quick ones of late
+	youngestLaunchedAt micros.Micros // when the youngest that is up was rented
+	typicalDuration    micros.Micros // the quick ones of late
 }
 
 func (c *Controller) recordBoot(m *machine) {
 	b := c.bootTimes[m.record.Type]
 	b.youngestLaunchedAt = max(b.youngestLaunchedAt, m.launchedAt)
 	// Not of one that another controller saw come up.
-	if took := c.now - m.launchedAt; m.awaitedSince < m.launchedAt+5*Second {
+	if took := c.now - m.launchedAt; m.awaitedSince < m.launchedAt+5*micros.Second {
 		if b.typicalDuration == 0 || took < b.typicalDuration {
 			b.typicalDuration = took
 		} else {
@@ -31,10 +31,10 @@
 		return false
 	}
 	if m.machineType == nil {
-		return c.now > m.launchedAt+180*Second
+		return c.now > m.launchedAt+180*micros.Second
 	}
-	age, boot := c.now-m.launchedAt, secs(m.machineType.BootS)
-	if b := c.bootTimes[m.record.Type]; b.typicalDuration > 0 && b.youngestLaunchedAt >= m.launchedAt-5*Second {
+	age, boot := c.now-m.launchedAt, micros.FromSeconds(m.machineType.BootS)
+	if b := c.bootTimes[m.record.Type]; b.typicalDuration > 0 && b.youngestLaunchedAt >= m.launchedAt-5*micros.Second {
 		return age > max(2*boot, b.typicalDuration*5/2)
 	}
 	return age > 3*boot
--- a/internal/core/budget.go
+++ b/internal/core/budget.go
@@ -1,26 +1,28 @@
 package core
 
+import "spurmoor/internal/micros"
+
 // writeBudget is how many changes a controller may make: a share of what the
 // state service admits, by the partitions held. Users' accepts and cancellations
 // are not held back by it but count, so that they never wait behind flushes.
 type writeBudget struct {
 	available     float64
-	refilledAt    int64
+	refilledAt    micros.Micros
 	capacity      float64 // that it may hold
 	spent         float64 // spent in all
 	measuredSpent float64 // of it, when it was looked at last
-	measuredAt    int64
+	measuredAt    micros.Micros
 	spendRate     float64 // spent a second of late
 }
 
 // commitBatchWait is how long a flush may wait for its budget to hold all ends that are
 // due, as far as a transaction does: each costs an entry beside them. With four
 // one-task jobs a second over 18 changes the entries took what the ends needed.
-const commitBatchWait = Second * 8 / 5
+const commitBatchWait = micros.Second * 8 / 5
 
 // cancelledTerminalWait is how long the final state of a cancelled job may wait for a budget
 // that others need.
-const cancelledTerminalWait = 300 * Second
+const cancelledTerminalWait = 300 * micros.Second
 
 // writeRateShare is how many changes a second we may make: a fixed share, by the partitions held,
 // and what the others said they do not use. All the same may want it at once: then
@@ -40,7 +42,7 @@
 			continue
 		}
 		h := c.peers[node]
-		if h == nil || c.now > h.lastHeartbeatAt+3*Second || h.writeRate == 0 {
+		if h == nil || c.now > h.lastHeartbeatAt+3*micros.Second || h.writeRate == 0 {
 			return fixed // not known: one that was not heard may use its share
 		}
 		free -= max(h.writeRate*1.2, 0.1*all)
@@ -51,7 +53,7 @@
 func (c *Controller) refillBudget() {
 	rate := c.writeRateShare()
 	c.budget.capacity = max(rate, 6)
-	c.budget.available = min(c.budget.capacity, c.budget.available+rate*float64(c.now-c.budget.refilledAt)/float64(Second))
+	c.budget.available = min(c.budget.capacity, c.budget.available+rate*(c.now-c.budget.refilledAt).Seconds())
 	c.budget.refilledAt = c.now
 }
 
--- a/internal/core/cloud.go
+++ b/internal/core/cloud.go
@@ -6,13 +6,14 @@
 
 	"spurmoor/internal/api"
 	"spurmoor/internal/leadership"
+	"spurmoor/internal/micros"
 	"spurmoor/internal/peer"
 )
 
 // listedInstance is what the cloud's list said of a machine lately.
 type listedInstance struct {
-	firstSeenAt int64
-	lastSeenAt  int64
+	firstSeenAt micros.Micros
+	lastSeenAt  micros.Micros
 	listRound   int
 }
 
@@ -46,8 +47,8 @@
 
 // How often the catalogue is read, and after a failure.
 const (
-	catalogInterval      = 60 * Second
-	catalogRetryInterval = 2 * Second
+	catalogInterval      = 60 * micros.Second
+	catalogRetryInterval = 2 * micros.Second
 )
 
 func (c *Controller) readCatalog() {
@@ -107,7 +108,7 @@
 	c.deleteInFlight = true
 	c.callCloud(CloudCall{Op: OpDelete, Delete: leadership.NewOrder(grant, names)}, func(r *CloudReply) {
 		c.deleteInFlight = false
-		c.nextDeleteAt = c.now + Second // more come meanwhile: one call for them
+		c.nextDeleteAt = c.now + micros.Second // more come meanwhile: one call for them
 		for _, name := range names {
 			if m := c.machines[name]; m != nil {
 				// 200: the machines and all on them are gone.
@@ -116,7 +117,7 @@
 			}
 		}
 		if r.Status != 200 {
-			c.nextDeleteAt = c.now + c.jitter(2*Second)
+			c.nextDeleteAt = c.now + c.jitter(2*micros.Second)
 		}
 	})
 }
@@ -211,7 +212,7 @@
 	c.callCloud(CloudCall{Op: OpListInstances, After: after}, func(r *CloudReply) {
 		if r.Status != 200 {
 			c.listInFlight = false
-			c.nextListAt = c.now + c.jitter(5*Second)
+			c.nextListAt = c.now + c.jitter(5*micros.Second)
 			return
 		}
 		for _, cm := range r.Instances.Instances {
@@ -230,12 +231,12 @@
 
 // addressListInterval is how often a controller reads the cloud's list that does not sweep it:
 // it only wants the addresses of machines that came up meanwhile.
-const addressListInterval = 60 * Second
+const addressListInterval = 60 * micros.Second
 
 // listInterval is how often the cloud's list is read. All controllers' lists together
 // take at most a third of the calls that the cloud admits, however many machines
 // there are.
-func (c *Controller) listInterval() int64 {
+func (c *Controller) listInterval() micros.Micros {
 	if !c.sweeping {
 		return addressListInterval
 	}
@@ -245,7 +246,7 @@
 	}
 	pages := float64(1 + len(c.machines)/instancesPerPage)
 	paced := pages * float64(readers) / (listCallShare * c.settings.Deployment.Cloud.RPS)
-	return secs(max(5, c.settings.Deployment.Cloud.ListLagS, paced))
+	return micros.FromSeconds(max(5, c.settings.Deployment.Cloud.ListLagS, paced))
 }
 
 const (
@@ -277,7 +278,7 @@
 		if m.address == "" {
 			m.address = cm.Address
 		}
-		m.launchedAt = min(m.launchedAt, c.now-secs(cm.AgeS))
+		m.launchedAt = min(m.launchedAt, c.now-micros.FromSeconds(cm.AgeS))
 		if cm.State == api.InstanceFailed && !m.record.Condemned {
 			c.handleFailedInstance(m)
 		}
@@ -285,7 +286,7 @@
 	}
 	// A rental that was not expected: of a late request, or one whose renter
 	// ended before it could record it. Lists lag, so it is given time.
-	if c.sweeping && c.now > l.firstSeenAt+secs(2*c.settings.Deployment.Cloud.ListLagS+orphanGraceS) {
+	if c.sweeping && c.now > l.firstSeenAt+micros.FromSeconds(2*c.settings.Deployment.Cloud.ListLagS+orphanGraceS) {
 		c.handleOrphan(cm)
 		l.firstSeenAt = c.now
 	}
@@ -299,7 +300,7 @@
 		return
 	}
 	l.lastSeenAt, l.listRound = c.now, c.listRound
-	if c.now > l.firstSeenAt+6*Second && c.mayPerform(leadership.OrphanAdopter) {
+	if c.now > l.firstSeenAt+6*micros.Second && c.mayPerform(leadership.OrphanAdopter) {
 		// Only what answers is there: the report may be a late copy of one
 		// from a machine long returned.
 		l.firstSeenAt = c.now
--- a/internal/core/commands.go
+++ b/internal/core/commands.go
@@ -5,6 +5,7 @@
 
 	"spurmoor/internal/api"
 	"spurmoor/internal/leadership"
+	"spurmoor/internal/micros"
 )
 
 // Commands that are sent to workers directly, beside those in the answers to their
@@ -15,7 +16,7 @@
 // were cut off its report went to both of them first, five seconds each, and two
 // hundred machines at work were deleted.
 func (c *Controller) sendDueCommands(m *machine) {
-	m.nextCommandAt = c.now + 2*Second
+	m.nextCommandAt = c.now + 2*micros.Second
 	if m.address == "" || m.recordChangePending() {
 		return
 	}
--- a/internal/core/commit.go
+++ b/internal/core/commit.go
@@ -9,6 +9,7 @@
 
 	"spurmoor/internal/api"
 	"spurmoor/internal/leadership"
+	"spurmoor/internal/micros"
 )
 
 // logEntry is an entry of a partition's log.
@@ -115,7 +116,7 @@
 	for k := range c.partitions {
 		// Each partition first in turn.
 		p := c.partitions[(k+c.nextPartition)%len(c.partitions)]
-		if !p.Leads() || p.commitInFlight != nil || c.now < p.lastCommitAt+Second/10 || !p.hasChanges() || !c.leaseValid() {
+		if !p.Leads() || p.commitInFlight != nil || c.now < p.lastCommitAt+micros.Second/10 || !p.hasChanges() || !c.leaseValid() {
 			continue
 		}
 		most := min(c.settings.Deployment.Store.MaxTransactionOps, int(c.budget.available))
@@ -344,7 +345,7 @@
 	c.terminalStates.add(j.id, rec)
 	c.settleOutcome(j.id, rec.outcome(), rec.EndedAt)
 	c.logInfo("job over", "job", j.id, "team", j.spec.Team, "class", j.spec.Class, "state", rec.State,
-		"after_s", (c.now-j.acceptedAt)/Second, "deadline_s", j.spec.DeadlineS)
+		"after_s", (c.now - j.acceptedAt).WholeSeconds(), "deadline_s", j.spec.DeadlineS)
 }
 
 // commitRefused takes in that a partition's flush was refused for good: a job was
--- a/internal/core/condition.go
+++ b/internal/core/condition.go
@@ -1,5 +1,7 @@
 package core
 
+import "spurmoor/internal/micros"
+
 // condition is what a controller can tell of what it has lost. Each is one line in
 // the log when it begins and ends, and stands on /ready.
 type condition string
@@ -16,7 +18,7 @@
 )
 
 // storeSilenceTolerance is how long the state service must not answer before it is said.
-const storeSilenceTolerance = 3 * Second / 2
+const storeSilenceTolerance = 3 * micros.Second / 2
 
 func (c *Controller) currentCondition() condition {
 	switch {
@@ -52,7 +54,7 @@
 // hears all that there are.
 func (c *Controller) hearsAnyPeer() bool {
 	for _, h := range c.peers {
-		if c.now < h.lastHeartbeatAt+4*Second {
+		if c.now < h.lastHeartbeatAt+4*micros.Second {
 			return true
 		}
 	}
@@ -65,11 +67,11 @@
 	if now != c.observedCondition {
 		c.observedCondition, c.observedSince = now, c.now
 	}
-	if now == c.condition || c.now < c.observedSince+Second {
+	if now == c.condition || c.now < c.observedSince+micros.Second {
 		return // one that passes is not said
 	}
 	if c.condition != "" {
-		c.logWarn("condition", "now", string(now), "before", string(c.condition), "for_s", (c.now-c.conditionSince)/Second)
+		c.logWarn("condition", "now", string(now), "before", string(c.condition), "for_s", (c.now - c.conditionSince).WholeSeconds())
 	}
 	c.condition, c.conditionSince = now, c.now
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -16,20 +16,18 @@
 
 	"spurmoor/internal/api"
 	"spurmoor/internal/leadership"
+	"spurmoor/internal/micros"
 	"spurmoor/internal/peer"
 	"spurmoor/internal/scheduler"
 	"spurmoor/internal/settings"
 )
 
-// Second is one second in whole microseconds.
-const Second = scheduler.Second
-
 // Controller is one controller's state, grouped by what each group is about.
 type Controller struct {
 	settings    *settings.Settings
 	random      *rand.Rand
 	incarnation uint64 // this process among all that ever bore the node's name
-	now         int64
+	now         micros.Micros
 	effects     []Effect
 
 	nextCall   uint64
@@ -46,7 +44,7 @@
 	peerState
 	workerReach
 
-	nextTickAt int64
+	nextTickAt micros.Micros
 }
 
 // replica is what is known of the live keys of the state service. It changes only by
@@ -55,7 +53,7 @@
 type replica struct {
 	synced          bool
 	revision        uint64
-	currentAsOf     int64 // the replica shows all that was committed before then
+	currentAsOf     micros.Micros // the replica shows all that was committed before then
 	partitions      []*partition
 	machines        map[string]*machine
 	machinesByName  []*machine              // by name
@@ -67,28 +65,28 @@
 	terminalStates  *terminalCache
 
 	dependencies      map[string]*dependency
-	outcomesToRead    []string // of the needs those whose final records are to be read
-	nextOutcomeReadAt int64    // not before
-	outcomeReads      int      // final records being read for needs
+	outcomesToRead    []string      // of the needs those whose final records are to be read
+	nextOutcomeReadAt micros.Micros // not before
+	outcomeReads      int           // final records being read for needs
 
 	pendingReads  []func(ok bool) // wait for a read begun after they asked
 	readInFlight  bool
 	watchInFlight bool
-	nextWatchAt   int64
-	nextReadAt    int64
+	nextWatchAt   micros.Micros
+	nextReadAt    micros.Micros
 	relist        *relist
 }
 
 // storeHealth is whether the state service answers, and what was said of it.
 type storeHealth struct {
-	lastReplyAt      int64 // last answer from the state service
-	unavailableSince int64 // when it last began not to answer; 0: it answers
+	lastReplyAt      micros.Micros // last answer from the state service
+	unavailableSince micros.Micros // when it last began not to answer; 0: it answers
 	// refusing: since it began to fail some of it were answers, not silence.
 	refusing          bool
 	condition         condition
-	conditionSince    int64
+	conditionSince    micros.Micros
 	observedCondition condition // seen since newAt, not said yet
-	observedSince     int64
+	observedSince     micros.Micros
 }
 
 // writeState is what is being written, within the budget of changes.
@@ -104,16 +102,16 @@
 type cloudState struct {
 	machineTypes        []api.MachineType
 	machineTypeByName   map[string]*api.MachineType
-	nextCatalogReadAt   int64
+	nextCatalogReadAt   micros.Micros
 	catalogVersion      uint64 // of the catalogue in the state service
 	storedCatalogShape  string // its shape
 	catalogReadInFlight bool
 	catalogPages        map[string]storedCatalogPage // of the catalogue, by what follows its key
 	lastRequestNumber   int
 	recentDeletions     deletionLog
-	unavailableUntil    map[scheduler.InstanceKind]int64
+	unavailableUntil    map[scheduler.InstanceKind]micros.Micros
 	bootTimes           map[string]bootTime // by type
-	nextListAt          int64
+	nextListAt          micros.Micros
 	listInFlight        bool
 	listedInstances     map[string]*listedInstance
 	listRound           int
@@ -121,18 +119,18 @@
 	deleteInFlight      bool
 	// nextDeletePartition is which partition's machines are deleted next.
 	nextDeletePartition int
-	nextDeleteAt        int64
+	nextDeleteAt        micros.Micros
 }
 
 // planState is when to plan, and what the last plans said.
 type planState struct {
-	nextCycleAt      int64
-	earliestPlanAt   int64 // none before this time
-	requestedCycleAt int64 // an early cycle is wanted at this time
-	nextSummaryAt    int64
+	nextCycleAt      micros.Micros
+	earliestPlanAt   micros.Micros // none before this time
+	requestedCycleAt micros.Micros // an early cycle is wanted at this time
+	nextSummaryAt    micros.Micros
 	urgencies        map[string]urgency
 	blockedReasons   map[string]string
-	expectedEnds     map[string]int64
+	expectedEnds     map[string]micros.Micros
 	reservations     map[string]scheduler.AdvanceReservation // machines kept for gangs that are due
 }
 
@@ -140,25 +138,25 @@
 type peerState struct {
 	peers                    map[string]*peerStatus
 	schemaVersions           map[string]int // by controller, the schema version that it is known to read
-	nextSchemaAnnouncementAt int64
+	nextSchemaAnnouncementAt micros.Micros
 	// schemaKeyVersion is that of our own announcement's key.
 	schemaKeyVersion    uint64
 	schemaAgreed        bool // all read ours; said so
-	nextHeartbeatAt     int64
+	nextHeartbeatAt     micros.Micros
 	machineRequests     []peer.MachineRequest
 	cancellationNotices []cancellationNotice
 }
 
 // workerReach is whether workers reach us.
 type workerReach struct {
-	noFailoverBefore    int64 // takes no partition over before this
-	unreachedSince      int64
-	lastWorkerContactAt int64 // any worker, of whatever partition
-	isolatedFromWorkers bool  // no worker reached us; none has answered since
-	nextProbeAt         int64
+	noFailoverBefore    micros.Micros // takes no partition over before this
+	unreachedSince      micros.Micros
+	lastWorkerContactAt micros.Micros // any worker, of whatever partition
+	isolatedFromWorkers bool          // no worker reached us; none has answered since
+	nextProbeAt         micros.Micros
 	nextProbeIndex      int
-	answeringSince      int64 // since when reports can be answered; 0: they can't
-	resumedAt           int64 // after a pause of the process
+	answeringSince      micros.Micros // since when reports can be answered; 0: they can't
+	resumedAt           micros.Micros // after a pause of the process
 }
 
 // maxTerminalStates is how many final states are kept in memory.
@@ -170,8 +168,8 @@
 	c := &Controller{settings: set, random: rng, incarnation: inc, storeCalls: map[uint64]func(*StoreReply){}, cloudCalls: map[uint64]func(*CloudReply){}}
 	c.replica = replica{machines: map[string]*machine{}, jobs: map[string]*job{}, dependencies: map[string]*dependency{},
 		tombstones: map[string]recordOrigin{}, logReferences: map[string]int{}, terminalStates: newTerminalCache(maxTerminalStates), teamUsage: map[string]*scheduler.Resources{}}
-	c.cloudState = cloudState{machineTypeByName: map[string]*api.MachineType{}, catalogPages: map[string]storedCatalogPage{}, recentDeletions: deletionLog{deletedAt: map[string]int64{}},
-		unavailableUntil: map[scheduler.InstanceKind]int64{}, bootTimes: map[string]bootTime{}, listedInstances: map[string]*listedInstance{}}
+	c.cloudState = cloudState{machineTypeByName: map[string]*api.MachineType{}, catalogPages: map[string]storedCatalogPage{}, recentDeletions: deletionLog{deletedAt: map[string]micros.Micros{}},
+		unavailableUntil: map[scheduler.InstanceKind]micros.Micros{}, bootTimes: map[string]bootTime{}, listedInstances: map[string]*listedInstance{}}
 	c.planState = planState{blockedReasons: map[string]string{}}
 	c.peerState = peerState{peers: map[string]*peerStatus{}, schemaVersions: map[string]int{}}
 	c.lease.TTL = c.leaseTTL()
@@ -188,7 +186,7 @@
 }
 
 // Step takes one input at a time that never runs backwards.
-func (c *Controller) Step(now int64, in Input) []Effect {
+func (c *Controller) Step(now micros.Micros, in Input) []Effect {
 	previous := c.now
 	c.now = max(c.now, now)
 	c.effects = nil
@@ -240,7 +238,7 @@
 	if c.now < c.nextTickAt {
 		return
 	}
-	c.nextTickAt = c.now + Second/10
+	c.nextTickAt = c.now + micros.Second/10
 	c.trackCondition()
 	c.trackAnswering()
 	c.announceSchema()
@@ -313,7 +311,9 @@
 }
 
 // jitter spreads d over 0.75 to 1.25 of itself.
-func (c *Controller) jitter(d int64) int64 { return d*3/4 + c.random.Int64N(d/2+1) }
+func (c *Controller) jitter(d micros.Micros) micros.Micros {
+	return d*3/4 + micros.Random(c.random, d/2+1)
+}
 
 func (c *Controller) answer(req uint64, status int, body any) {
 	c.emit(Answer{RequestID: req, Status: status, Body: body})
@@ -325,5 +325,3 @@
 }
 
 func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
-
-func secs(s float64) int64 { return int64(s * float64(Second)) }
--- a/internal/core/duties.go
+++ b/internal/core/duties.go
@@ -6,6 +6,7 @@
 
 	"spurmoor/internal/api"
 	"spurmoor/internal/leadership"
+	"spurmoor/internal/micros"
 )
 
 // refusedOrder is what refused orders are counted by.
@@ -40,11 +41,11 @@
 type refusedOrderCounts struct {
 	total     map[refusedOrder]int
 	burst     map[refusedOrder]int // since the last line in the log
-	nextLogAt int64                // when the next line is due; 0: none is
+	nextLogAt micros.Micros        // when the next line is due; 0: none is
 }
 
 // refusalLogInterval is how long refusals are gathered for one line in the log.
-const refusalLogInterval = Second
+const refusalLogInterval = micros.Second
 
 // countRefusedOrder counts a refused order.
 func (c *Controller) countRefusedOrder(v OrderRefused) {
@@ -85,10 +86,10 @@
 func (c *Controller) roleStatus(h *leadership.RoleState) api.RoleStatus {
 	s := api.RoleStatus{Role: h.Role.String(), Leader: h.Claim.Node, Term: h.Term, RefusedOrders: c.refusedOrdersUnder(h.Role.String())}
 	if h.Term > 0 {
-		s.SinceS = float64(c.now-h.ObservedAt) / float64(Second)
+		s.SinceS = (c.now - h.ObservedAt).Seconds()
 	}
 	if h.Leads() {
-		left := float64(max(0, c.lease.ExpiresAt()-c.now)) / float64(Second)
+		left := (max(0, c.lease.ExpiresAt()-c.now)).Seconds()
 		s.RemainingS = &left
 	}
 	return s
--- a/internal/core/duties_test.go
+++ b/internal/core/duties_test.go
@@ -7,6 +7,7 @@
 
 	"spurmoor/internal/api"
 	"spurmoor/internal/leadership"
+	"spurmoor/internal/micros"
 	"spurmoor/internal/peer"
 	"spurmoor/internal/scheduler"
 )
@@ -86,7 +87,7 @@
 		{Request: "p0-10-8", Type: "g4", Zone: "alta", Spot: true, Count: 2, Deferred: true}}}
 	c.applyPut(requestsKey+"0", mustMarshal(open), 50)
 	c.applyPut(p.key(), mustMarshal(c.leaderClaim()), 60)
-	effects := c.Step(c.now+Second, Tick{})
+	effects := c.Step(c.now+micros.Second, Tick{})
 	var names []string
 	for _, call := range calls[CloudCall](effects) {
 		if call.Op == OpLaunch {
@@ -119,7 +120,7 @@
 		t.Fatalf("%d requests sent", len(sent))
 	}
 	c.loseRole(&p.RoleState, "test")
-	c.Step(c.now+Second, &CloudReply{Call: sent[0].Call, Status: 200, Launched: []string{"n-7", "n-8", "n-9"}})
+	c.Step(c.now+micros.Second, &CloudReply{Call: sent[0].Call, Status: 200, Launched: []string{"n-7", "n-8", "n-9"}})
 	if len(p.machineBatches) != 0 || len(p.pendingMachines) != 0 {
 		t.Errorf("a former holder would record %d, counts on %v", len(p.machineBatches), p.pendingMachines)
 	}
@@ -136,7 +137,7 @@
 	if len(renewals) != 1 {
 		t.Fatalf("%d renewals", len(renewals))
 	}
-	late := sent + c.leaseTTL() + Second
+	late := sent + c.leaseTTL() + micros.Second
 	c.Step(late, &StoreReply{Call: renewals[0].Call, Status: 200})
 	if g := c.grant(&p.RoleState, leadership.Launch); c.leaseValid() || g.Check(leadership.Launch, c.now) != leadership.NoGrant {
 		t.Error("the lease counts from its answer")
@@ -144,7 +145,7 @@
 	c.lease.RenewalSentAt = late
 	c.nextRenewalAt, c.renewalInFlight = late, false
 	again := slices.DeleteFunc(calls[StoreCall](c.Step(late+1, Tick{})), func(s StoreCall) bool { return s.Op != OpRenewLease })
-	c.Step(late+2*Second, &StoreReply{Call: again[0].Call}) // renewed there, but the answer is lost
+	c.Step(late+2*micros.Second, &StoreReply{Call: again[0].Call}) // renewed there, but the answer is lost
 	if c.lease.RenewalSentAt != late {
 		t.Error("a renewal without an answer counts")
 	}
@@ -155,8 +156,8 @@
 // all: it answered workers that another controller commanded by then.
 func TestResumedWithinAnswerDeadline(t *testing.T) {
 	c, p, _, _ := holder(t)
-	c.Step(c.now+Second/10, Tick{})
-	at := c.now + 9*Second
+	c.Step(c.now+micros.Second/10, Tick{})
+	at := c.now + 9*micros.Second
 	c.Step(at, Tick{})
 	if at >= c.answerDeadline() {
 		t.Fatal("the answer deadline is over")
@@ -165,7 +166,7 @@
 		t.Error("it answers before it can have heard of the others")
 	}
 	for range 40 {
-		c.Step(c.now+Second/10, Tick{})
+		c.Step(c.now+micros.Second/10, Tick{})
 	}
 	if !c.mayAnswerFor(p) {
 		t.Error("it does not answer although nobody else is heard")
@@ -186,7 +187,7 @@
 		t.Error("it is not logged")
 	}
 	c.applyDelete(fleetRoleKey+"strays", 71)
-	c.now += 10 * Second
+	c.now += 10 * micros.Second
 	if !c.isVacant(h) {
 		t.Error("not free after its lease ran out")
 	}
@@ -263,7 +264,7 @@
 	}
 	lines := 0
 	for range 30 {
-		for _, l := range calls[Log](c.Step(c.now+Second/10, Tick{})) {
+		for _, l := range calls[Log](c.Step(c.now+micros.Second/10, Tick{})) {
 			if l.Message == "orders refused" {
 				lines++
 			}
@@ -299,7 +300,7 @@
 		t.Error("the others are not told")
 	}
 	c.Step(c.now+1000, &StoreReply{Call: dropped.Call, Status: 200, Transaction: api.TransactionResult{Revision: 99}})
-	if len(calls[Stopped](c.Step(c.now+Second, Tick{}))) != 1 {
+	if len(calls[Stopped](c.Step(c.now+micros.Second, Tick{}))) != 1 {
 		t.Error("it is not told when all is given up")
 	}
 }
--- a/internal/core/elections.go
+++ b/internal/core/elections.go
@@ -6,6 +6,7 @@
 
 	"spurmoor/internal/api"
 	"spurmoor/internal/leadership"
+	"spurmoor/internal/micros"
 )
 
 // How duties change hands: partitions and the fleet's alike. A duty is held by who
@@ -14,7 +15,7 @@
 
 // failoverStep is how much later than the one before each further candidate takes a
 // duty that came free.
-const failoverStep = 3 * Second / 2
+const failoverStep = 3 * micros.Second / 2
 
 // roleKey is a duty's key in the state service.
 func roleKey(id leadership.Role) string {
@@ -132,14 +133,14 @@
 	if h.Term > 0 {
 		return h.Claim.Node == c.settings.Node
 	}
-	return c.now >= h.VacantAt+int64(c.failoverRank(h.Role, c.settings.Node))*failoverStep
+	return c.now >= h.VacantAt+micros.Micros(c.failoverRank(h.Role, c.settings.Node))*failoverStep
 }
 
 func (c *Controller) acquireRole(h *leadership.RoleState) {
 	h.Acquiring = true
 	t := &transaction{grant: electionGrant, request: api.Transaction{Compares: []api.Compare{{Key: roleKey(h.Role), Version: h.Term}},
 		Writes: []api.Write{{Put: roleKey(h.Role), Value: mustMarshal(c.leaderClaim()), Lease: c.lease.ID}}}}
-	free := func() { h.Acquiring = false; h.VacantAt = max(h.VacantAt, c.now-Second) }
+	free := func() { h.Acquiring = false; h.VacantAt = max(h.VacantAt, c.now-micros.Second) }
 	// Held only once the replica shows it: then it shows all before it too.
 	t.onCommitted = func(uint64) { c.readLatest(func(bool) { free() }) }
 	t.onRefused = free
@@ -157,7 +158,7 @@
 func (c *Controller) returnToDefaultLeader(d *leadership.RoleState) {
 	owner := c.settings.Nodes[c.defaultLeader(d.Role)]
 	h := c.peers[owner]
-	if owner == c.settings.Node || c.now < d.AcquiredAt+15*Second || h == nil || !h.healthy || h.stopping || c.now > h.lastHeartbeatAt+3*Second || c.now < h.healthySince+8*Second {
+	if owner == c.settings.Node || c.now < d.AcquiredAt+15*micros.Second || h == nil || !h.healthy || h.stopping || c.now > h.lastHeartbeatAt+3*micros.Second || c.now < h.healthySince+8*micros.Second {
 		return
 	}
 	c.resignRole(d, "handed back to "+owner)
@@ -168,7 +169,7 @@
 	term := h.Term
 	c.loseRole(h, why)
 	h.Resign(c.now)
-	h.VacantAt = c.now + 3*Second
+	h.VacantAt = c.now + 3*micros.Second
 	t := &transaction{grant: electionGrant, onCommitted: func(uint64) {}, onRefused: func() {}}
 	t.request.Compares = []api.Compare{{Key: roleKey(h.Role), Version: term}}
 	t.request.Writes = []api.Write{{Delete: roleKey(h.Role)}}
--- a/internal/core/explain.go
+++ b/internal/core/explain.go
@@ -5,6 +5,7 @@
 	"math"
 
 	"spurmoor/internal/api"
+	"spurmoor/internal/micros"
 )
 
 // handleExplain says why a job waits and when it should be done. Estimates are often
@@ -28,7 +29,7 @@
 // explainUnfinished tells what is known of an unfinished job.
 func (c *Controller) explainUnfinished(j *job, state string) api.Explanation {
 	e := api.Explanation{ID: j.id, State: state, Leader: c.partitions[j.partition].Claim.Node, Reason: c.blockedReasons[j.id],
-		WaitedS: float64(c.now-j.acceptedAt) / float64(Second)}
+		WaitedS: (c.now - j.acceptedAt).Seconds()}
 	switch {
 	case j.pendingDependencies > 0:
 		e.Reason = "waits for other jobs to be done"
@@ -44,7 +45,7 @@
 	case j.suspect:
 		e.Reason = fmt.Sprintf("it fails on every machine that it is tried on: %d failures so far", j.failureCount)
 		if c.now < j.notBefore {
-			e.Reason += fmt.Sprintf(", tried again in %.0f s", math.Ceil(float64(j.notBefore-c.now)/float64(Second)))
+			e.Reason += fmt.Sprintf(", tried again in %.0f s", math.Ceil((j.notBefore - c.now).Seconds()))
 		}
 	}
 	c.explainExpectedEnd(&e, j)
@@ -53,9 +54,9 @@
 
 // explainExpectedEnd tells when a job should be done, and whether that is in time.
 func (c *Controller) explainExpectedEnd(e *api.Explanation, j *job) {
-	end := c.expectedJobEnd(j, map[string]int64{})
+	end := c.expectedJobEnd(j, map[string]micros.Micros{})
 	if end > c.now && j.spec.Kind != api.Service {
-		e.ExpectedInS = float64(end-c.now) / float64(Second)
+		e.ExpectedInS = (end - c.now).Seconds()
 		e.EarliestS, e.LatestS = e.ExpectedInS/2, e.ExpectedInS*3/2
 	}
 	if j.spec.DeadlineS <= 0 {
@@ -79,11 +80,11 @@
 // expectedJobEnd is when a job should be done, by the estimates: as its planner said,
 // or, where that is another controller or all that it needs is not done, as long
 // after that as a task takes. 0: it cannot be said.
-func (c *Controller) expectedJobEnd(j *job, memo map[string]int64) int64 {
+func (c *Controller) expectedJobEnd(j *job, memo map[string]micros.Micros) micros.Micros {
 	if end, ok := memo[j.id]; ok {
 		return end
 	}
-	var from int64
+	var from micros.Micros
 	for _, id := range j.dependencies {
 		if o := c.jobs[id]; o != nil && !o.terminal {
 			at := c.expectedJobEnd(o, memo)
@@ -102,7 +103,7 @@
 	case j.pendingDependencies == 0 && c.partitions[j.partition].Leads():
 		end = 0 // ours, and the planner has not said yet
 	default:
-		end = max(from, c.now) + secs(j.spec.EstimateS+j.spec.ImageGB*c.slowestFetchSPerGB())
+		end = max(from, c.now) + micros.FromSeconds(j.spec.EstimateS+j.spec.ImageGB*c.slowestFetchSPerGB())
 	}
 	memo[j.id] = end
 	return end
--- a/internal/core/faults.go
+++ b/internal/core/faults.go
@@ -1,6 +1,9 @@
 package core
 
-import "spurmoor/internal/api"
+import (
+	"spurmoor/internal/api"
+	"spurmoor/internal/micros"
+)
 
 // A task that fails says that its job or its machine is at fault, not which of
 // the two. This file tells them apart: a job of which a task was ever done is
@@ -18,8 +21,8 @@
 	// one that fails wherever it runs.
 	suspectAfterMachines = 3
 	// minBackoff and maxBackOff bound the time between two tries of a suspect job.
-	minBackoff = 4 * Second
-	maxBackoff = 60 * Second
+	minBackoff = 4 * micros.Second
+	maxBackoff = 60 * micros.Second
 )
 
 // failureEvidence are those of tasks on a machine since the last task that was done there.
@@ -160,5 +163,5 @@
 // deprioritized tells whether a job that fails wherever it runs must let all others
 // go first. After two minutes it is tried once in its own turn.
 func (c *Controller) deprioritized(j *job) bool {
-	return j.suspect && c.now < j.lastFailureAt+120*Second
+	return j.suspect && c.now < j.lastFailureAt+120*micros.Second
 }
--- a/internal/core/findings.go
+++ b/internal/core/findings.go
@@ -4,6 +4,7 @@
 	"slices"
 
 	"spurmoor/internal/api"
+	"spurmoor/internal/micros"
 	"spurmoor/internal/peer"
 )
 
@@ -21,11 +22,11 @@
 // listFinding is something found in the cloud's list at a time.
 type listFinding struct {
 	instance peer.Orphan // only its name, of a machine that is known
-	foundAt  int64
+	foundAt  micros.Micros
 }
 
 const (
-	findingDuration = 5 * Second
+	findingDuration = 5 * micros.Second
 	maxFindings     = 100 // of a sort, in one message
 	orphanGraceS    = 5   // beyond twice the lag of the list
 	unlistGraceS    = 10
@@ -87,8 +88,8 @@
 
 // unlistedTimeout is how long a machine must be absent from the list, and silent, to be
 // taken for gone.
-func (c *Controller) unlistedTimeout() int64 {
-	return secs(2*c.settings.Deployment.Cloud.ListLagS + unlistGraceS)
+func (c *Controller) unlistedTimeout() micros.Micros {
+	return micros.FromSeconds(2*c.settings.Deployment.Cloud.ListLagS + unlistGraceS)
 }
 
 // handleOrphan acts on a machine in the list of which no record is known.
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -6,6 +6,7 @@
 	"github.com/go-json-experiment/json"
 
 	"spurmoor/internal/leadership"
+	"spurmoor/internal/micros"
 )
 
 // roleState is which duties there are, who holds them, and what was refused of what
@@ -132,7 +133,7 @@
 
 // stoppingPeerTimeout is how long a controller that said that it stops is passed over when
 // duties come free.
-const stoppingPeerTimeout = 10 * Second
+const stoppingPeerTimeout = 10 * micros.Second
 
 // beginStop gives up all that we hold, so that others take it at once.
 func (c *Controller) beginStop() {
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -3,12 +3,13 @@
 import (
 	"slices"
 
+	"spurmoor/internal/micros"
 	"spurmoor/internal/peer"
 )
 
 type peerStatus struct {
-	healthySince    int64
-	lastHeartbeatAt int64
+	healthySince    micros.Micros
+	lastHeartbeatAt micros.Micros
 	healthy         bool
 	idleMachines    map[string]bool
 	schemaVersion   int
@@ -22,10 +23,10 @@
 	if c.now < c.nextHeartbeatAt {
 		return
 	}
-	c.nextHeartbeatAt = c.now + Second
-	able := c.synced && !c.stopping && !c.isolatedFromWorkers && c.now >= c.noFailoverBefore && (c.unavailableSince == 0 || c.now < c.unavailableSince+Second) && c.lease.ID != 0
-	if w := &c.budget; c.now >= w.measuredAt+Second {
-		w.spendRate = (w.spendRate + (w.spent-w.measuredSpent)*float64(Second)/float64(c.now-w.measuredAt)) / 2
+	c.nextHeartbeatAt = c.now + micros.Second
+	able := c.synced && !c.stopping && !c.isolatedFromWorkers && c.now >= c.noFailoverBefore && (c.unavailableSince == 0 || c.now < c.unavailableSince+micros.Second) && c.lease.ID != 0
+	if w := &c.budget; c.now >= w.measuredAt+micros.Second {
+		w.spendRate = (w.spendRate + (w.spent-w.measuredSpent)*float64(micros.Second)/float64(c.now-w.measuredAt)) / 2
 		w.measuredSpent, w.measuredAt = w.spent, c.now
 	}
 	f := &c.findings
@@ -37,14 +38,14 @@
 // cancellationNotice is a cancellation that we confirmed to its user.
 type cancellationNotice struct {
 	job         string
-	confirmedAt int64
+	confirmedAt micros.Micros
 }
 
 // A cancellation is told to the other controllers for a few seconds: its holder
 // may not see the state service, and its tasks then end sooner. Nothing rests on
 // it: an unknown or lost one is in effect within the answer deadline and a lease.
 const (
-	noticeDuration = 5 * Second
+	noticeDuration = 5 * micros.Second
 	maxTold        = 400
 )
 
@@ -69,7 +70,7 @@
 		return
 	}
 	was := c.peers[h.Node]
-	if was == nil || c.now > was.lastHeartbeatAt+4*Second || !was.healthy {
+	if was == nil || c.now > was.lastHeartbeatAt+4*micros.Second || !was.healthy {
 		was = &peerStatus{healthySince: c.now}
 		c.peers[h.Node] = was
 	}
--- a/internal/core/isolation.go
+++ b/internal/core/isolation.go
@@ -1,5 +1,7 @@
 package core
 
+import "spurmoor/internal/micros"
+
 // resignIfIsolated gives our partitions up when no worker reaches us, whatever its machine's
 // part, although another controller is well: the cut may be ours alone. The
 // more machines we have the sooner it is certain. Judged by each machine's own
@@ -14,7 +16,7 @@
 	}
 	enough := c.silenceTimeout() * 2 / 3
 	if up >= 2 {
-		enough = min(enough, max(5*Second, 20*secs(c.settings.Deployment.Workers.ReportS)/int64(up)))
+		enough = min(enough, max(5*micros.Second, 20*micros.FromSeconds(c.settings.Deployment.Workers.ReportS)/micros.Micros(up)))
 	}
 	if up < 2 || quiet < enough {
 		c.unreachedSince = 0
@@ -23,10 +25,10 @@
 	if c.unreachedSince == 0 {
 		c.unreachedSince = c.now
 	}
-	if c.now < c.unreachedSince+2*Second || !c.healthyPeerKnown() || c.now < c.noFailoverBefore {
+	if c.now < c.unreachedSince+2*micros.Second || !c.healthyPeerKnown() || c.now < c.noFailoverBefore {
 		return
 	}
-	c.unreachedSince, c.noFailoverBefore, c.isolatedFromWorkers = 0, c.now+20*Second, true
+	c.unreachedSince, c.noFailoverBefore, c.isolatedFromWorkers = 0, c.now+20*micros.Second, true
 	for _, h := range c.roles {
 		if h.Leads() {
 			c.resignRole(h, "no worker reaches this controller")
@@ -41,7 +43,7 @@
 	if !c.isolatedFromWorkers || c.now < c.nextProbeAt {
 		return
 	}
-	c.nextProbeAt = c.now + 2*Second
+	c.nextProbeAt = c.now + 2*micros.Second
 	sent := 0
 	for i := range c.machinesByName {
 		m := c.machinesByName[(c.nextProbeIndex+i)%len(c.machinesByName)]
--- a/internal/core/job.go
+++ b/internal/core/job.go
@@ -7,6 +7,7 @@
 	"strings"
 
 	"spurmoor/internal/api"
+	"spurmoor/internal/micros"
 	"spurmoor/internal/scheduler"
 )
 
@@ -35,24 +36,24 @@
 	loggedIn   uint64     // the log entry that last held it; 0: none
 
 	// what is known since take-over only
-	observed         bool   // its machine has reported it
-	reportedState    string // state last reported
-	runningSince     int64  // running since
-	placedAt         int64
-	stopRequestedAt  int64 // told to stop since
+	observed         bool          // its machine has reported it
+	reportedState    string        // state last reported
+	runningSince     micros.Micros // running since
+	placedAt         micros.Micros
+	stopRequestedAt  micros.Micros // told to stop since
 	graceS           float64
-	notBefore        int64  // not to be placed before
-	directStartToken uint64 // token of a direct start that may still be on its way
+	notBefore        micros.Micros // not to be placed before
+	directStartToken uint64        // token of a direct start that may still be on its way
 }
 
 type job struct {
 	id                 string
 	spec               api.Job
 	request            scheduler.Resources
-	acceptedAt         int64
-	cancelled          bool  // its user or, doomed, that of a job that it needs did
-	cancelledElsewhere bool  // another controller says that it told its user so
-	stopRequiredSince  int64 // since when, at the earliest, as far as we know
+	acceptedAt         micros.Micros
+	cancelled          bool          // its user or, doomed, that of a job that it needs did
+	cancelledElsewhere bool          // another controller says that it told its user so
+	stopRequiredSince  micros.Micros // since when, at the earliest, as far as we know
 	version            uint64
 	partition          int
 	chunks             map[int][]task
@@ -61,25 +62,25 @@
 	changedTasks       int  // tasks to commit
 	terminal           bool // its final state is committed, the replica not there yet
 
-	dependencies        []string // jobs that must be done first
-	pendingDependencies int      // of those not done, or not known to be
-	unknownDependencies int      // of those over, it is not known how
-	dependenciesDoneAt  int64    // when the last of them was done
-	dependencyCancelled bool     // one of them is withdrawn
+	dependencies        []string      // jobs that must be done first
+	pendingDependencies int           // of those not done, or not known to be
+	unknownDependencies int           // of those over, it is not known how
+	dependenciesDoneAt  micros.Micros // when the last of them was done
+	dependencyCancelled bool          // one of them is withdrawn
 
-	endedAt int64 // when its final state was first due
+	endedAt micros.Micros // when its final state was first due
 
 	startUncommitted bool            // a gang whose start is being committed
 	failedMachines   map[string]bool // machines that it failed on
 	suspect          bool            // fails wherever it runs: submitted with a mistake
-	lastFailureAt    int64
+	lastFailureAt    micros.Micros
 	failureCount     int  // since this controller plans it
 	attemptSpoiled   bool // a task of this attempt of the gang has exited
-	notBefore        int64
-	backoff          int64
+	notBefore        micros.Micros
+	backoff          micros.Micros
 	// reservedSince is since when machines are promised to it; unpromised, until
 	// when none are any more, for it did not begin.
-	reservedSince, noReservationBefore int64
+	reservedSince, noReservationBefore micros.Micros
 	tasksPerZone                       map[string]int
 }
 
--- a/internal/core/lease.go
+++ b/internal/core/lease.go
@@ -1,36 +1,41 @@
 package core
 
-import "spurmoor/internal/leadership"
+import (
+	"spurmoor/internal/leadership"
+	"spurmoor/internal/micros"
+)
 
 // leaseState is our lease on the state service, which our duties hang on.
 type leaseState struct {
 	lease           leadership.Lease
-	nextRenewalAt   int64
+	nextRenewalAt   micros.Micros
 	renewalInFlight bool
 }
 
 // leaseTTL is how long our lease lasts.
-func (c *Controller) leaseTTL() int64 { return secs(c.settings.Operators.LeaseTTLS) }
+func (c *Controller) leaseTTL() micros.Micros {
+	return micros.FromSeconds(c.settings.Operators.LeaseTTLS)
+}
 
 // answerWindow is how long a holder still answers reports after the last moment of
 // which its replica shows all: a task that is kept alive by an answer given then,
 // though its job was cancelled elsewhere, is gone within cancel_s all the same.
-func (c *Controller) answerWindow() int64 {
-	return min(secs(c.settings.Deployment.AnswerWindowS()), 40*Second)
+func (c *Controller) answerWindow() micros.Micros {
+	return min(micros.FromSeconds(c.settings.Deployment.AnswerWindowS()), 40*micros.Second)
 }
 
 // certainAsOf is from when the answer deadline counts: the last moment at which we were
 // known to hold our lease and the replica to be complete. A renewal alone does not
 // move it: one once succeeded while the watch still hung after a refusal, and a
 // cancellation told elsewhere in between outlived cancel_s in the outage after it.
-func (c *Controller) certainAsOf() int64 { return min(c.lease.RenewalSentAt, c.currentAsOf) }
+func (c *Controller) certainAsOf() micros.Micros { return min(c.lease.RenewalSentAt, c.currentAsOf) }
 
 // answerDeadline is when the answer deadline ends.
-func (c *Controller) answerDeadline() int64 { return c.certainAsOf() + c.answerWindow() }
+func (c *Controller) answerDeadline() micros.Micros { return c.certainAsOf() + c.answerWindow() }
 
 // maxStartAge is how old the replica may be when a task is started: a cancellation
 // told elsewhere since is not in it.
-const maxStartAge = 4 * Second
+const maxStartAge = 4 * micros.Second
 
 // mayStartTasks tells whether tasks may be started: a holder that lost the state
 // service goes on with what runs and starts nothing more.
@@ -40,12 +45,14 @@
 
 // formerLeaderLeaseBound is how long after a take-over a worker that the holder before
 // may have answered can have kept its tasks.
-func (c *Controller) formerLeaderLeaseBound() int64 {
-	return max(0, c.answerWindow()-c.leaseTTL()) + c.workerLease() + Second
+func (c *Controller) formerLeaderLeaseBound() micros.Micros {
+	return max(0, c.answerWindow()-c.leaseTTL()) + c.workerLease() + micros.Second
 }
 
 // workerLease is the workers' lease by a clock that runs slow.
-func (c *Controller) workerLease() int64 { return secs(c.settings.Deployment.Workers.LeaseS * 1.002) }
+func (c *Controller) workerLease() micros.Micros {
+	return micros.FromSeconds(c.settings.Deployment.Workers.LeaseS * 1.002)
+}
 
 // mayAnswerFor tells whether we may answer reports for a partition. Past our lease we do
 // so only while the state service may be away for everyone: where another
@@ -57,7 +64,7 @@
 	if c.lease.RenewalSentAt == 0 || c.now >= c.answerDeadline() {
 		return false
 	}
-	return c.now < c.lease.RenewalSentAt+c.leaseTTL()+Second || !c.healthyPeerKnown() && !c.justResumed()
+	return c.now < c.lease.RenewalSentAt+c.leaseTTL()+micros.Second || !c.healthyPeerKnown() && !c.justResumed()
 }
 
 // healthyPeerKnown tells whether another controller lately said that it is well. What
@@ -65,7 +72,7 @@
 // all controllers once left the users' balancer at the start of each outage.
 func (c *Controller) healthyPeerKnown() bool {
 	for _, h := range c.peers {
-		if h.healthy && c.now < h.lastHeartbeatAt+3*Second && (c.unavailableSince == 0 || h.lastHeartbeatAt > c.unavailableSince+3*Second/2) {
+		if h.healthy && c.now < h.lastHeartbeatAt+3*micros.Second && (c.unavailableSince == 0 || h.lastHeartbeatAt > c.unavailableSince+3*micros.Second/2) {
 			return true
 		}
 	}
@@ -81,7 +88,7 @@
 	sent := c.now
 	call := StoreCall{Op: OpRenewLease, Lease: c.lease.ID, Urgent: true}
 	if c.lease.ID == 0 {
-		call = StoreCall{Op: OpGrantLease, TTLMs: c.leaseTTL() / 1000, Urgent: true}
+		call = StoreCall{Op: OpGrantLease, TTLMs: c.leaseTTL().Milliseconds(), Urgent: true}
 	}
 	c.callStore(call, func(r *StoreReply) {
 		c.renewalInFlight = false
@@ -102,7 +109,7 @@
 				}
 			}
 		default:
-			c.nextRenewalAt = c.now + c.jitter(Second/2)
+			c.nextRenewalAt = c.now + c.jitter(micros.Second/2)
 		}
 	})
 }
--- a/internal/core/lending.go
+++ b/internal/core/lending.go
@@ -2,6 +2,7 @@
 
 import (
 	"spurmoor/internal/api"
+	"spurmoor/internal/micros"
 	"spurmoor/internal/peer"
 	"spurmoor/internal/scheduler"
 )
@@ -21,7 +22,7 @@
 		return m // what was asked for goes on emptying
 	}
 	var best *machine
-	var soonest int64
+	var soonest micros.Micros
 	for _, m := range c.machinesByName {
 		if !c.mayRequestSpare(m, p, first) {
 			continue
@@ -57,7 +58,7 @@
 		if why[id] != scheduler.ReasonNothingToLaunch || !single || j.hasStarted() || c.deprioritized(j) {
 			continue
 		}
-		if c.now > j.eligibleAt()+secs(c.settings.Operators.BeginWithinS/6) && (first == nil || j.acceptedAt < first.acceptedAt) {
+		if c.now > j.eligibleAt()+micros.FromSeconds(c.settings.Operators.BeginWithinS/6) && (first == nil || j.acceptedAt < first.acceptedAt) {
 			first = j
 		}
 	}
@@ -82,7 +83,7 @@
 	kinds := map[scheduler.InstanceKind][]peer.IdleMachine{}
 	var order []scheduler.InstanceKind
 	for _, m := range c.machinesByName {
-		if !c.isLendable(m) || c.now <= m.idleSince+Second/3 {
+		if !c.isLendable(m) || c.now <= m.idleSince+micros.Second/3 {
 			continue
 		}
 		k := scheduler.InstanceKind{Type: m.record.Type, Zone: m.record.Zone, Spot: m.record.Spot}
@@ -120,10 +121,10 @@
 func (c *Controller) isBorrowable(name string) bool {
 	m := c.machines[name]
 	if c.ledPartition(m) != nil {
-		return c.isLendable(m) && c.now > m.idleSince+Second/3
+		return c.isLendable(m) && c.now > m.idleSince+micros.Second/3
 	}
 	for _, h := range c.peers {
-		if c.now < h.lastHeartbeatAt+3*Second && h.idleMachines[name] {
+		if c.now < h.lastHeartbeatAt+3*micros.Second && h.idleMachines[name] {
 			return true
 		}
 	}
--- a/internal/core/limits_test.go
+++ b/internal/core/limits_test.go
@@ -5,6 +5,7 @@
 	"testing"
 
 	"spurmoor/internal/api"
+	"spurmoor/internal/micros"
 	"spurmoor/internal/peer"
 	"spurmoor/internal/scheduler"
 )
@@ -67,7 +68,7 @@
 // whole with each deletion once it is long, and against forgetting one too early.
 func TestDeletionsAreForgotten(t *testing.T) {
 	c, _, _ := watched(t)
-	c.now = 1000 * Second
+	c.now = 1000 * micros.Second
 	for i := range 6000 {
 		c.recordDeletion(fmt.Sprintf("n-%06d", i))
 	}
@@ -85,14 +86,14 @@
 // clock of whoever rented it is hours behind ours; the cloud's list tells its age.
 func TestAgeIsNotCompared(t *testing.T) {
 	c, _, _, _ := holder(t)
-	c.now = 20_000 * Second
-	c.applyMachineRecord(machineRecord{Name: "n-2", Type: "g4", Zone: "alta", Epoch: 1, MinToken: 12, LaunchedAt: c.now - 10_800*Second}, recordOrigin{1, 0, 2}, 12)
+	c.now = 20_000 * micros.Second
+	c.applyMachineRecord(machineRecord{Name: "n-2", Type: "g4", Zone: "alta", Epoch: 1, MinToken: 12, LaunchedAt: c.now - 10_800*micros.Second}, recordOrigin{1, 0, 2}, 12)
 	m := c.machines["n-2"]
 	if m.launchedAt != c.now {
-		t.Errorf("read now, it counts as %d s old", (c.now-m.launchedAt)/Second)
+		t.Errorf("read now, it counts as %d s old", (c.now - m.launchedAt).WholeSeconds())
 	}
 	c.observeListed(api.Instance{ID: "n-2", Type: "g4", Zone: "alta", State: api.InstanceBooting, AgeS: 40})
-	if m.launchedAt != c.now-40*Second {
-		t.Errorf("listed as 40 s old, it counts as %d s old", (c.now-m.launchedAt)/Second)
+	if m.launchedAt != c.now-40*micros.Second {
+		t.Errorf("listed as 40 s old, it counts as %d s old", (c.now - m.launchedAt).WholeSeconds())
 	}
 }
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -2,6 +2,7 @@
 
 import (
 	"spurmoor/internal/api"
+	"spurmoor/internal/micros"
 	"spurmoor/internal/scheduler"
 )
 
@@ -38,24 +39,24 @@
 	address           string
 	incarnation       uint64
 	heartbeatSequence uint64
-	tokenConfirmed    bool  // it reported with our token
-	lastSeenAt        int64 // last heard
-	lastHeartbeatAt   int64 // last report: where none comes its lease runs out, whatever else is heard
-	launchedAt        int64 // rented
-	awaitedSince      int64 // since when we wait for its first report
-	firstHeartbeatAt  int64 // first report
-	leaseExpiresAt    int64 // by then its lease has run out unless we answer again
-	nextCommandAt     int64
+	tokenConfirmed    bool          // it reported with our token
+	lastSeenAt        micros.Micros // last heard
+	lastHeartbeatAt   micros.Micros // last report: where none comes its lease runs out, whatever else is heard
+	launchedAt        micros.Micros // rented
+	awaitedSince      micros.Micros // since when we wait for its first report
+	firstHeartbeatAt  micros.Micros // first report
+	leaseExpiresAt    micros.Micros // by then its lease has run out unless we answer again
+	nextCommandAt     micros.Micros
 	commandInFlight   bool
 	lastCommands      []api.Command // by the last answer to a report
-	ignoringSince     int64         // since when it needs to be told the same again; 0: it obeys
-	interruptionAt    int64         // taken at about this time; 0: no notice
-	idleSince         int64
+	ignoringSince     micros.Micros // since when it needs to be told the same again; 0: it obeys
+	interruptionAt    micros.Micros // taken at about this time; 0: no notice
+	idleSince         micros.Micros
 	cachedImages      []cachedImage
 	failures          failureEvidence
 	quarantined       bool // fails what it is given: drained and returned
 	claimedBy         string
-	claimExpiresAt    int64
+	claimExpiresAt    micros.Micros
 	reportedTasks     []api.TaskStatus
 	// highestStartToken is the highest token of a direct start sent there by us.
 	highestStartToken   uint64
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -5,6 +5,7 @@
 	"slices"
 
 	"spurmoor/internal/api"
+	"spurmoor/internal/micros"
 	"spurmoor/internal/scheduler"
 )
 
@@ -26,7 +27,7 @@
 // long failed to come: its lease will run out. Two controllers that are cut off
 // may hold a report up for five seconds each.
 func (c *Controller) heartbeatsMissing(m *machine) bool {
-	return m.lastHeartbeatAt > 0 && c.now > m.lastHeartbeatAt+c.contactTimeout()+10*Second
+	return m.lastHeartbeatAt > 0 && c.now > m.lastHeartbeatAt+c.contactTimeout()+10*micros.Second
 }
 
 // allTasksEnded tells whether the worker shows nothing but ended tasks.
@@ -84,13 +85,13 @@
 
 // silenceTimeout is how long a machine may say nothing: a report may be lost, given
 // up on after 4 s and be sent again elsewhere a second later.
-func (c *Controller) silenceTimeout() int64 {
-	return secs(max(c.settings.Operators.SilenceS, 1.25*c.settings.Deployment.Workers.ReportS+6))
+func (c *Controller) silenceTimeout() micros.Micros {
+	return micros.FromSeconds(max(c.settings.Operators.SilenceS, 1.25*c.settings.Deployment.Workers.ReportS+6))
 }
 
 // heartbeatDue is the longest time between two reports of a worker that is well.
-func (c *Controller) heartbeatDue() int64 {
-	return secs(1.25*c.settings.Deployment.Workers.ReportS) + Second
+func (c *Controller) heartbeatDue() micros.Micros {
+	return micros.FromSeconds(1.25*c.settings.Deployment.Workers.ReportS) + micros.Second
 }
 
 // reconcileMachine looks after one machine of ours. cut: most machines are silent, so
@@ -145,15 +146,15 @@
 	if m.machineType != nil {
 		boot = m.machineType.BootS
 	}
-	waited := c.now > c.silenceCountsFrom(m.awaitedSince)+c.silenceTimeout()+8*Second
+	waited := c.now > c.silenceCountsFrom(m.awaitedSince)+c.silenceTimeout()+8*micros.Second
 	switch overdue := waited && c.bootOverdue(m); {
-	case overdue && c.now > m.launchedAt+secs(boot*3+20):
+	case overdue && c.now > m.launchedAt+micros.FromSeconds(boot*3+20):
 		return "never came up"
 	case overdue && !c.partitions[m.record.Partition].hasBlockedJobs:
 		return "overdue, and nothing waits for it"
 	case m.firstHeartbeatAt > 0 && !cut && c.now > c.silenceCountsFrom(m.lastSeenAt)+c.silenceTimeout():
 		return "silent"
-	case m.ignoringSince > 0 && c.now > c.silenceCountsFrom(m.ignoringSince)+c.silenceTimeout()+secs(c.settings.Deployment.Workers.ReportS):
+	case m.ignoringSince > 0 && c.now > c.silenceCountsFrom(m.ignoringSince)+c.silenceTimeout()+micros.FromSeconds(c.settings.Deployment.Workers.ReportS):
 		return "does nothing that it is told"
 	}
 	return ""
@@ -164,7 +165,7 @@
 
 // minIdleAge is how old a machine must be to be returned as idle: one that is deleted
 // costs a minute in any case.
-const minIdleAge = 50 * Second
+const minIdleAge = 50 * micros.Second
 
 // drainOrRelease drains a machine, gives it to whom it is meant for, or returns it.
 func (c *Controller) drainOrRelease(m *machine) {
@@ -175,7 +176,7 @@
 		c.enforceReservation(m)
 	case m.moveToPartition >= 0:
 		c.advanceMove(m)
-	case m.tokenConfirmed && len(m.taskIDs) == 0 && m.claimedBy == "" && c.now > m.idleSince+secs(c.settings.Operators.IdleReturnS) && c.now > m.launchedAt+minIdleAge:
+	case m.tokenConfirmed && len(m.taskIDs) == 0 && m.claimedBy == "" && c.now > m.idleSince+micros.FromSeconds(c.settings.Operators.IdleReturnS) && c.now > m.launchedAt+minIdleAge:
 		c.scaleIn(m, "idle")
 	}
 }
@@ -233,7 +234,7 @@
 	if m.recordChangePending() || m.record.Condemned {
 		return
 	}
-	c.logInfo("machine returned", "machine", m.name, "type", m.record.Type, "why", why, "tasks", len(m.taskIDs), "age_s", (c.now-m.launchedAt)/Second)
+	c.logInfo("machine returned", "machine", m.name, "type", m.record.Type, "why", why, "tasks", len(m.taskIDs), "age_s", (c.now - m.launchedAt).WholeSeconds())
 	c.requestRecordChange(m, condemnRecord)
 }
 
@@ -257,12 +258,12 @@
 // deletionLog remembers the machines whose records were deleted, so that lagging lists
 // do not bring them back.
 type deletionLog struct {
-	deletedAt map[string]int64
+	deletedAt map[string]micros.Micros
 	byTime    []string // by time
 }
 
 // deletionMemory is how long a deletion is remembered.
-const deletionMemory = 120 * Second
+const deletionMemory = 120 * micros.Second
 
 // recordDeletion remembers a deletion, and forgets those of long ago.
 func (c *Controller) recordDeletion(name string) {
--- a/internal/core/needs.go
+++ b/internal/core/needs.go
@@ -6,6 +6,7 @@
 	"github.com/go-json-experiment/json"
 
 	"spurmoor/internal/api"
+	"spurmoor/internal/micros"
 )
 
 // Jobs that wait for jobs. Whether a job may start, or is withdrawn with one
@@ -27,7 +28,7 @@
 // dependency is a job that unfinished others dependency.
 type dependency struct {
 	dependencyOutcome
-	doneAt     int64 // when it was done
+	doneAt     micros.Micros // when it was done
 	dependents []*job
 }
 
@@ -64,7 +65,7 @@
 }
 
 // knownOutcome tells what became of a job, as far as no read is needed for it.
-func (c *Controller) knownOutcome(id string) (dependencyOutcome, int64) {
+func (c *Controller) knownOutcome(id string) (dependencyOutcome, micros.Micros) {
 	if rec, ok := c.terminalStates.records[id]; ok {
 		return rec.outcome(), rec.EndedAt
 	}
@@ -85,7 +86,7 @@
 }
 
 // settleOutcome takes in what became of a job, and what follows for those that need it.
-func (c *Controller) settleOutcome(id string, o dependencyOutcome, at int64) {
+func (c *Controller) settleOutcome(id string, o dependencyOutcome, at micros.Micros) {
 	n := c.dependencies[id]
 	if n == nil || n.dependencyOutcome == o || n.dependencyOutcome >= outcomeDone {
 		return
@@ -115,7 +116,7 @@
 		j.pendingDependencies++
 	}
 	if had > 0 && j.pendingDependencies == 0 {
-		c.logDebug("all that the job needs is done", "job", j.id, "after_s", (c.now-j.acceptedAt)/Second)
+		c.logDebug("all that the job needs is done", "job", j.id, "after_s", (c.now - j.acceptedAt).WholeSeconds())
 		c.requestPlanWithin(0)
 	}
 	if j.dependencyCancelled && !j.cancelled {
@@ -127,7 +128,7 @@
 }
 
 // eligibleAt is when a job could have started: its times count from there.
-func (j *job) eligibleAt() int64 { return max(j.acceptedAt, j.dependenciesDoneAt) }
+func (j *job) eligibleAt() micros.Micros { return max(j.acceptedAt, j.dependenciesDoneAt) }
 
 // hasStarted tells whether some task was started, so that all it needs is done.
 func (j *job) hasStarted() bool { return j.placedTasks+j.doneTasks > 0 }
@@ -169,7 +170,7 @@
 				if f == jobNeverAccepted {
 					c.logError("no trace of a job that others need", "job", id)
 				}
-				c.outcomesToRead, c.nextOutcomeReadAt = append(c.outcomesToRead, id), c.now+c.jitter(Second/2)
+				c.outcomesToRead, c.nextOutcomeReadAt = append(c.outcomesToRead, id), c.now+c.jitter(micros.Second/2)
 			}
 		})
 	}
--- a/internal/core/needs_test.go
+++ b/internal/core/needs_test.go
@@ -9,6 +9,7 @@
 	"github.com/go-json-experiment/json"
 
 	"spurmoor/internal/api"
+	"spurmoor/internal/micros"
 	"spurmoor/internal/settings"
 )
 
@@ -53,7 +54,7 @@
 	c, body, _ := watched(t)
 	txns := 0
 	for i, b := range [][]byte{body, []byte(string(body[:len(body)-1]) + `,"Espera":["wk-000001"]}`)} {
-		for _, e := range c.Step(int64(i+1)*Second, Submit{RequestID: uint64(i + 1), Body: b}) {
+		for _, e := range c.Step(micros.Micros(i+1)*micros.Second, Submit{RequestID: uint64(i + 1), Body: b}) {
 			if call, ok := e.(StoreCall); ok && call.Op == OpTransaction && len(call.Transaction.Body().Writes) > 0 && call.Transaction.Body().Writes[0].Put == jobKey+"wk-000001" {
 				txns++
 			}
--- a/internal/core/partitions.go
+++ b/internal/core/partitions.go
@@ -2,6 +2,7 @@
 
 import (
 	"spurmoor/internal/leadership"
+	"spurmoor/internal/micros"
 	"spurmoor/internal/scheduler"
 )
 
@@ -14,7 +15,7 @@
 	recordChanges   []*machine      // records to change
 	machineBatches  []*machineBatch // machines to record
 	commitInFlight  *logCommit
-	lastCommitAt    int64                          // when the last flush was sent
+	lastCommitAt    micros.Micros                  // when the last flush was sent
 	sizeReductions  int                            // how often its flushes were too large: half as much each time
 	pendingMachines map[scheduler.InstanceKind]int // asked for and not recorded yet
 	requests        requestLedger
@@ -39,7 +40,7 @@
 	}
 	c.releaseTasksWithoutMachine()
 	c.adoptOpenRequests(p)
-	c.requestPlanWithin(Second / 5)
+	c.requestPlanWithin(micros.Second / 5)
 }
 
 // resetObservations starts over with a machine that came to us from another holder:
--- a/internal/core/pause.go
+++ b/internal/core/pause.go
@@ -1,22 +1,24 @@
 package core
 
+import "spurmoor/internal/micros"
+
 // pauseThreshold is the gap between two inputs that counts as a pause of the
 // process. Ticks come every tenth of a second.
-const pauseThreshold = 2 * Second
+const pauseThreshold = 2 * micros.Second
 
 // peerGracePeriod is how long after a pause a controller waits for the others'
 // heartbeats before it takes their silence for theirs.
-const peerGracePeriod = 3 * Second
+const peerGracePeriod = 3 * micros.Second
 
 // detectPause logs that the process did not run for a while although its clock
 // did, as after a virtual machine was suspended.
-func (c *Controller) detectPause(previous int64) {
+func (c *Controller) detectPause(previous micros.Micros) {
 	if previous == 0 || c.now-previous < pauseThreshold {
 		return
 	}
 	c.answeringSince = 0
 	c.resumedAt = c.now
-	c.logWarn("process was paused", "for_s", (c.now-previous)/Second, "lease_valid", c.leaseValid())
+	c.logWarn("process was paused", "for_s", (c.now - previous).WholeSeconds(), "lease_valid", c.leaseValid())
 }
 
 // justResumed tells whether the process stood still so lately that it can't have
@@ -46,4 +48,6 @@
 // silenceCountsFrom gives a time from which a machine's silence may be counted: none that was
 // ours. After an outage of 70 s in which no report could be answered, 77 of some 390
 // machines were returned as silent before their reports came again.
-func (c *Controller) silenceCountsFrom(at int64) int64 { return max(at, c.answeringSince) }
+func (c *Controller) silenceCountsFrom(at micros.Micros) micros.Micros {
+	return max(at, c.answeringSince)
+}
--- a/internal/core/plan.go
+++ b/internal/core/plan.go
@@ -2,12 +2,13 @@
 
 import (
 	"spurmoor/internal/api"
+	"spurmoor/internal/micros"
 	"spurmoor/internal/peer"
 	"spurmoor/internal/scheduler"
 )
 
 // requestPlanWithin wants a cycle no later than d from now.
-func (c *Controller) requestPlanWithin(d int64) {
+func (c *Controller) requestPlanWithin(d micros.Micros) {
 	if at := c.now + d; c.requestedCycleAt == 0 || at < c.requestedCycleAt {
 		c.requestedCycleAt = at
 	}
@@ -22,10 +23,10 @@
 	if c.now < c.earliestPlanAt {
 		return // an early cycle is not a cycle for each report
 	}
-	c.nextCycleAt, c.requestedCycleAt = c.now+secs(c.settings.Operators.CycleIntervalS), 0
+	c.nextCycleAt, c.requestedCycleAt = c.now+micros.FromSeconds(c.settings.Operators.CycleIntervalS), 0
 	c.earliestPlanAt = c.now + minPlanInterval(len(c.machines), len(c.jobs))
 	c.machineRequests = nil
-	c.blockedReasons, c.expectedEnds = map[string]string{}, map[string]int64{}
+	c.blockedReasons, c.expectedEnds = map[string]string{}, map[string]micros.Micros{}
 	if len(c.machineTypes) == 0 {
 		return
 	}
@@ -40,8 +41,8 @@
 
 // minPlanInterval is the least time between cycles: it grows with what a plan looks
 // at, so that planning takes a bounded share of the processor.
-func minPlanInterval(machines, jobs int) int64 {
-	return Second/10 + int64(machines)*Second/2500 + int64(jobs)*Second/2500
+func minPlanInterval(machines, jobs int) micros.Micros {
+	return micros.Second/10 + micros.Micros(machines)*micros.Second/2500 + micros.Micros(jobs)*micros.Second/2500
 }
 
 // planPartition makes and carries out one partition's plan.
@@ -90,7 +91,7 @@
 			attempt = gangAttempt[j.id]
 		}
 		c.changeTask(j, n, taskRecord{taskPlaced, attempt, s.Machine.Name})
-		c.logDebug("task placed", "job", j.id, "task", n, "attempt", attempt, "machine", s.Machine.Name, "waited_s", (c.now-j.eligibleAt())/Second)
+		c.logDebug("task placed", "job", j.id, "task", n, "attempt", attempt, "machine", s.Machine.Name, "waited_s", (c.now - j.eligibleAt()).WholeSeconds())
 		if m := c.machines[s.Machine.Name]; m.claimedBy == j.id {
 			m.claimedBy = ""
 		}
@@ -98,7 +99,7 @@
 }
 
 // claimDuration is how long a machine is kept for the job that it is emptied for.
-const claimDuration = 40 * Second
+const claimDuration = 40 * micros.Second
 
 // preemptTasks has tasks stopped where a plan says so, and the machines kept for the
 // jobs that they are stopped for.
--- a/internal/core/records.go
+++ b/internal/core/records.go
@@ -2,6 +2,7 @@
 
 import (
 	"spurmoor/internal/api"
+	"spurmoor/internal/micros"
 )
 
 // Keys. Everything that is followed lies below Live; the final states of
@@ -21,10 +22,10 @@
 )
 
 type jobRecord struct {
-	Spec               api.Job `json:"j"`
-	AcceptedAt         int64   `json:"a"`
-	Cancelled          bool    `json:"x,omitzero"`
-	PackedDependencies []byte  `json:"w,omitzero"` // what the job needs, where the list would be too long
+	Spec               api.Job       `json:"j"`
+	AcceptedAt         micros.Micros `json:"a"`
+	Cancelled          bool          `json:"x,omitzero"`
+	PackedDependencies []byte        `json:"w,omitzero"` // what the job needs, where the list would be too long
 }
 
 // catalogRecord is a page of the catalogue: as many types as a value holds. All
@@ -35,9 +36,9 @@
 }
 
 type terminalRecord struct {
-	State     string `json:"s"`
-	DoneTasks int    `json:"n"`
-	EndedAt   int64  `json:"t,omitzero"` // when; 0: written by the first versions
+	State     string        `json:"s"`
+	DoneTasks int           `json:"n"`
+	EndedAt   micros.Micros `json:"t,omitzero"` // when; 0: written by the first versions
 }
 
 // logRecord is one entry of a partition's log: tasks and machines as they became
@@ -52,17 +53,17 @@
 // does its end: of two rows in different logs the one with the later epoch
 // holds, of the same epoch the one in the log of its current partition.
 type machineRecord struct {
-	Name          string `json:"n"`
-	Type          string `json:"t,omitzero"`
-	Zone          string `json:"z,omitzero"`
-	Spot          bool   `json:"s,omitzero"`
-	HomePartition int    `json:"h,omitzero"`
-	Partition     int    `json:"c,omitzero"`
-	LaunchedAt    int64  `json:"a,omitzero"` // rented, by the time of day
-	Condemned     bool   `json:"d,omitzero"` // to be deleted, never used again
-	Deleted       bool   `json:"x,omitzero"` // deleted: there is no such machine
-	Epoch         uint64 `json:"e"`
-	MinToken      uint64 `json:"k,omitzero"` // the least token; 0: the revision of this write
+	Name          string        `json:"n"`
+	Type          string        `json:"t,omitzero"`
+	Zone          string        `json:"z,omitzero"`
+	Spot          bool          `json:"s,omitzero"`
+	HomePartition int           `json:"h,omitzero"`
+	Partition     int           `json:"c,omitzero"`
+	LaunchedAt    micros.Micros `json:"a,omitzero"` // rented, by the time of day
+	Condemned     bool          `json:"d,omitzero"` // to be deleted, never used again
+	Deleted       bool          `json:"x,omitzero"` // deleted: there is no such machine
+	Epoch         uint64        `json:"e"`
+	MinToken      uint64        `json:"k,omitzero"` // the least token; 0: the revision of this write
 }
 
 type taskRun struct {
--- a/internal/core/rentals.go
+++ b/internal/core/rentals.go
@@ -8,6 +8,7 @@
 
 	"spurmoor/internal/api"
 	"spurmoor/internal/leadership"
+	"spurmoor/internal/micros"
 	"spurmoor/internal/scheduler"
 )
 
@@ -26,7 +27,7 @@
 	writeInFlight *transaction // of the record; nil: none is out
 	// outdated: the record should be written along with something else.
 	outdated       bool
-	writtenAt      int64
+	writtenAt      micros.Micros
 	version        uint64          // of the record
 	storedRequests []requestRecord // what it holds, as another controller wrote it
 }
@@ -35,9 +36,9 @@
 type provisioningRequest struct {
 	request           api.LaunchRequest
 	kind              scheduler.InstanceKind
-	recorded          bool  // its record is committed, or none is wanted
-	inFlight          bool  // sent and not answered
-	nextSendAt        int64 // not to be sent before
+	recorded          bool          // its record is committed, or none is wanted
+	inFlight          bool          // sent and not answered
+	nextSendAt        micros.Micros // not to be sent before
 	attempts          int
 	deferred          bool // not wanted for now: the cloud refused it, or did not answer
 	outcomeUnknown    bool // it was sent once without an answer: it may still be carried out
@@ -61,9 +62,9 @@
 }
 
 const (
-	requestRecordBytes   = 160        // a recorded request at the most
-	maxRequestAttempts   = 4          // of one request without an answer
-	requestRetryInterval = Second / 2 // after there was no grant
+	requestRecordBytes   = 160               // a recorded request at the most
+	maxRequestAttempts   = 4                 // of one request without an answer
+	requestRetryInterval = micros.Second / 2 // after there was no grant
 )
 
 func requestsKeyOf(p *partition) string { return requestsKey + strconv.Itoa(p.index) }
@@ -211,7 +212,7 @@
 // requestRefused takes in that no machines are to be had by a request now.
 func (c *Controller) requestRefused(p *partition, r *provisioningRequest, status int) {
 	p.countPendingMachines(r.kind, -r.request.Count)
-	c.requestPlanWithin(Second)
+	c.requestPlanWithin(micros.Second)
 	if c.recordsRequests() {
 		c.deferRequest(p, r)
 	} else {
@@ -220,7 +221,7 @@
 	if status == 429 {
 		return // our budget, not the cloud's room
 	}
-	c.unavailableUntil[r.kind] = c.now + c.jitter(secs(c.settings.Operators.RefusalMemoryS))
+	c.unavailableUntil[r.kind] = c.now + c.jitter(micros.FromSeconds(c.settings.Operators.RefusalMemoryS))
 	c.logInfo("rental refused", "partition", p.index, "kind", kindName(r.kind).String(), "status", status)
 }
 
@@ -244,9 +245,9 @@
 	k := r.kind
 	c.logInfo("machines rented", "partition", p.index, "kind", kindName(k).String(), "request", r.request.Name, "asked", r.request.Count, "got", len(machines))
 	if len(machines) < r.request.Count {
-		c.unavailableUntil[k] = c.now + secs(c.settings.Operators.RefusalMemoryS)
+		c.unavailableUntil[k] = c.now + micros.FromSeconds(c.settings.Operators.RefusalMemoryS)
 		p.countPendingMachines(k, len(machines)-r.request.Count)
-		c.requestPlanWithin(Second / 5)
+		c.requestPlanWithin(micros.Second / 5)
 	}
 	// As many at a time as leave room in an entry of the log.
 	for batch := range slices.Chunk(machines, max(1, c.maxValueBytes()/3/machineRecordBytes)) {
@@ -331,7 +332,7 @@
 }
 
 // requestsWriteInterval is how often a record that is merely outdated is written.
-const requestsWriteInterval = 5 * Second
+const requestsWriteInterval = 5 * micros.Second
 
 // writeRequests writes a partition's open requests where new ones wait to be sent, and
 // now and then where others were settled: a request whose machines are recorded may
--- a/internal/core/replica.go
+++ b/internal/core/replica.go
@@ -4,6 +4,7 @@
 	"strings"
 
 	"spurmoor/internal/api"
+	"spurmoor/internal/micros"
 	"spurmoor/internal/scheduler"
 )
 
@@ -49,11 +50,11 @@
 	if !c.watchInFlight && c.now >= c.nextWatchAt {
 		c.watchInFlight = true
 		began := c.now
-		c.callStore(StoreCall{Op: OpWatch, Since: c.revision, WaitMs: int(c.watchTimeout() / 1000)}, func(r *StoreReply) {
+		c.callStore(StoreCall{Op: OpWatch, Since: c.revision, WaitMs: int(c.watchTimeout().Milliseconds())}, func(r *StoreReply) {
 			c.watchInFlight = false
 			c.nextWatchAt = c.now + 2*c.readInterval()
 			if !c.applyWatchReply(r, began) && c.synced {
-				c.nextWatchAt = c.now + c.jitter(Second/2)
+				c.nextWatchAt = c.now + c.jitter(micros.Second/2)
 			}
 		})
 	}
@@ -61,15 +62,17 @@
 
 // watchTimeout is how long a watch waits for a change: its answer says how things
 // were no earlier than when it was asked for, and the answer deadline counts from there.
-func (c *Controller) watchTimeout() int64 { return max(Second/4, min(2*Second, c.answerWindow()/6)) }
+func (c *Controller) watchTimeout() micros.Micros {
+	return max(micros.Second/4, min(2*micros.Second, c.answerWindow()/6))
+}
 
 // maxReadAge is how old a read may be when it is told to a user.
-const maxReadAge = Second
+const maxReadAge = micros.Second
 
 // readInterval is the least time between two reads for users: all controllers'
 // together take three tenths of what the state service admits.
-func (c *Controller) readInterval() int64 {
-	return max(Second/25, int64(float64(Second)*float64(len(c.settings.Nodes))/(0.3*c.settings.Deployment.Store.RPS)))
+func (c *Controller) readInterval() micros.Micros {
+	return max(micros.Second/25, micros.Micros(float64(micros.Second)*float64(len(c.settings.Nodes))/(0.3*c.settings.Deployment.Store.RPS)))
 }
 
 // readLatest calls f after a read of the state service that began after now.
@@ -87,7 +90,7 @@
 	l := c.relist
 	fail := func() {
 		c.relist = nil
-		c.nextWatchAt = c.now + c.jitter(Second/2)
+		c.nextWatchAt = c.now + c.jitter(micros.Second/2)
 	}
 	c.callStore(StoreCall{Op: OpList, Key: after}, func(r *StoreReply) {
 		if r.Status != 200 {
@@ -154,7 +157,7 @@
 
 // applyWatchReply takes in a log of changes that was asked for at a time; it tells
 // whether the replica is now as new as the answer.
-func (c *Controller) applyWatchReply(r *StoreReply, began int64) bool {
+func (c *Controller) applyWatchReply(r *StoreReply, began micros.Micros) bool {
 	if r.Status == 410 {
 		c.synced = false
 		return false
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -5,6 +5,7 @@
 
 	"spurmoor/internal/api"
 	"spurmoor/internal/leadership"
+	"spurmoor/internal/micros"
 	"spurmoor/internal/peer"
 )
 
@@ -40,7 +41,7 @@
 	}
 	m.lastHeartbeatAt = c.now
 	commands := c.reconcileHeartbeat(m, r, true)
-	m.leaseExpiresAt = max(m.leaseExpiresAt, c.now+c.workerLease()+Second/2)
+	m.leaseExpiresAt = max(m.leaseExpiresAt, c.now+c.workerLease()+micros.Second/2)
 	body := api.HeartbeatResponse{FencingToken: c.fencingToken(m), Commands: commands}
 	c.answer(v.RequestID, 200, leadership.NewOrder(c.commandGrant(c.partitions[m.record.Partition]), body))
 }
@@ -109,7 +110,7 @@
 	}
 	m.commandInFlight = false
 	if v.Unsent {
-		m.nextCommandAt = c.now + Second/5
+		m.nextCommandAt = c.now + micros.Second/5
 	}
 	if c.ledPartition(m) == nil {
 		return
@@ -158,7 +159,7 @@
 	// Its session, or the answer that keeps it, is no later than now. Counting
 	// from our own answers alone took a machine for dead that had booted for
 	// longer than a lease and was heard through a direct command first.
-	m.leaseExpiresAt = max(m.leaseExpiresAt, c.now+c.workerLease()+Second/2)
+	m.leaseExpiresAt = max(m.leaseExpiresAt, c.now+c.workerLease()+micros.Second/2)
 	in := &heartbeatReconciler{Controller: c, machine: m, heartbeat: r, renewsLease: viaReport, observed: map[taskID]bool{}, commands: []api.Command{}}
 	if r.FencingToken != c.fencingToken(m) {
 		in.stopCancelled()
@@ -218,7 +219,7 @@
 	if m.firstHeartbeatAt == 0 {
 		m.firstHeartbeatAt, m.idleSince = c.now, c.now
 		c.recordBoot(m)
-		c.logInfo("machine up", "machine", m.name, "type", m.record.Type, "zone", m.record.Zone, "spot", m.record.Spot, "after_s", (c.now-m.launchedAt)/Second)
+		c.logInfo("machine up", "machine", m.name, "type", m.record.Type, "zone", m.record.Zone, "spot", m.record.Spot, "after_s", (c.now - m.launchedAt).WholeSeconds())
 		c.requestPlanWithin(0)
 	}
 	if !m.tokenConfirmed {
@@ -226,7 +227,7 @@
 		c.requestPlanWithin(0)
 	}
 	if r.InterruptionNoticeS != nil && m.interruptionAt == 0 {
-		m.interruptionAt = c.now + secs(*r.InterruptionNoticeS)
+		m.interruptionAt = c.now + micros.FromSeconds(*r.InterruptionNoticeS)
 		c.logInfo("machine will be taken", "machine", m.name, "in_s", *r.InterruptionNoticeS, "tasks", len(m.taskIDs))
 		c.requestPlanWithin(0)
 	}
@@ -299,7 +300,7 @@
 		m.cacheImage(j.spec.Image, j.spec.ImageGB)
 		if tr.State == api.JobRunning {
 			t.runningSince = c.now
-			c.logDebug("task running", "task", tr.Task, "machine", m.name, "after_s", (c.now-t.placedAt)/Second)
+			c.logDebug("task running", "task", tr.Task, "machine", m.name, "after_s", (c.now - t.placedAt).WholeSeconds())
 		}
 	}
 	t.reportedState = tr.State
@@ -351,7 +352,7 @@
 
 // trackRepeatedCommands notes whether a worker does what it was told: one whose reports arrive
 // while answers and commands do not reach it needs to be told the same again.
-func (m *machine) trackRepeatedCommands(now int64, cmds []api.Command) {
+func (m *machine) trackRepeatedCommands(now micros.Micros, cmds []api.Command) {
 	again := slices.ContainsFunc(cmds, func(o api.Command) bool {
 		return o.Op != api.CommandStop && slices.ContainsFunc(m.lastCommands, func(t api.Command) bool {
 			return t.Op == o.Op && t.Task == o.Task && t.Attempt == o.Attempt
--- a/internal/core/reservation.go
+++ b/internal/core/reservation.go
@@ -2,6 +2,7 @@
 
 import (
 	"spurmoor/internal/api"
+	"spurmoor/internal/micros"
 	"spurmoor/internal/scheduler"
 )
 
@@ -14,7 +15,7 @@
 	if due == nil {
 		return
 	}
-	c.reservations = scheduler.ReserveInAdvance(c.now, c.now-secs(c.settings.Operators.BeginWithinS/2), c.reservableMachines(), due)
+	c.reservations = scheduler.ReserveInAdvance(c.now, c.now-micros.FromSeconds(c.settings.Operators.BeginWithinS/2), c.reservableMachines(), due)
 	kept := map[string]bool{}
 	for _, pr := range c.reservations {
 		kept[pr.Job.ID] = true
@@ -37,10 +38,10 @@
 		if !c.hasWaitedLong(j) {
 			continue
 		}
-		if j.reservedSince > 0 && c.now > j.reservedSince+secs(c.settings.Operators.BeginWithinS) {
+		if j.reservedSince > 0 && c.now > j.reservedSince+micros.FromSeconds(c.settings.Operators.BeginWithinS) {
 			// Something that we do not know keeps it: others' turn for as long,
 			// else machines would be held for it without end.
-			j.reservedSince, j.noReservationBefore = 0, c.now+secs(c.settings.Operators.BeginWithinS)
+			j.reservedSince, j.noReservationBefore = 0, c.now+micros.FromSeconds(c.settings.Operators.BeginWithinS)
 		}
 		if c.now < j.noReservationBefore {
 			continue
@@ -61,7 +62,7 @@
 	if c.deprioritized(j) || c.now < j.notBefore || c.partitions[j.partition].Term == 0 {
 		return false
 	}
-	return c.now >= j.eligibleAt()+secs(c.settings.Operators.BeginWithinS/4)
+	return c.now >= j.eligibleAt()+micros.FromSeconds(c.settings.Operators.BeginWithinS/4)
 }
 
 // reservableMachines shows the machines of all partitions that may be promised.
@@ -73,8 +74,8 @@
 		}
 		sm := c.schedulerMachine(m)
 		// Whether another's machine is up is not in the replica: by its age.
-		sm.Schedulable = m.firstHeartbeatAt > 0 || c.ledPartition(m) == nil && (len(m.taskIDs) > 0 || c.now > m.launchedAt+secs(1.5*m.machineType.BootS))
-		sm.ReadyAt = max(c.now, m.launchedAt+secs(m.machineType.BootS))
+		sm.Schedulable = m.firstHeartbeatAt > 0 || c.ledPartition(m) == nil && (len(m.taskIDs) > 0 || c.now > m.launchedAt+micros.FromSeconds(1.5*m.machineType.BootS))
+		sm.ReadyAt = max(c.now, m.launchedAt+micros.FromSeconds(m.machineType.BootS))
 		c.addAllocations(sm, m, nil)
 		list = append(list, sm)
 	}
@@ -99,7 +100,7 @@
 	to := c.reservedForPartition(m)
 	if len(m.taskIDs) == 0 {
 		// Not at once again where two controllers see it differently.
-		if to != m.record.Partition && m.tokenConfirmed && c.now > m.awaitedSince+4*Second {
+		if to != m.record.Partition && m.tokenConfirmed && c.now > m.awaitedSince+4*micros.Second {
 			c.transferMachine(m, to)
 		}
 		return
--- a/internal/core/safety_test.go
+++ b/internal/core/safety_test.go
@@ -8,6 +8,7 @@
 
 	"spurmoor/internal/api"
 	"spurmoor/internal/leadership"
+	"spurmoor/internal/micros"
 )
 
 // holder is a controller that holds a partition with one machine, on which one task
@@ -17,7 +18,7 @@
 	c, _, _ := watched(t)
 	w := &c.settings.Deployment.Workers
 	w.ReportS, w.LeaseS, w.CancelS = 3, 20, 45
-	c.now = 100 * Second
+	c.now = 100 * micros.Second
 	c.lease.ID, c.lease.RenewalSentAt, c.currentAsOf = 7, c.now, c.now
 	p := c.partitions[0]
 	c.applyPut(p.key(), mustMarshal(leadership.Claim{Node: c.settings.Node, Process: c.incarnation}), 10)
@@ -113,7 +114,7 @@
 func TestSlowAcceptance(t *testing.T) {
 	c, body, _ := watched(t)
 	delete(c.jobs, "wk-000001")
-	c.now = Second
+	c.now = micros.Second
 	for _, slow := range []bool{false, true} {
 		var txn StoreCall
 		req := c.nextCall + 1000
@@ -166,7 +167,7 @@
 	token := c.fencingToken(m)
 	c.Step(c.now, CommandReply{Machine: m.name, Token: token, Starts: true})
 	for range 3 { // a tick comes each tenth of a second
-		c.Step(c.now+Second/10, Tick{})
+		c.Step(c.now+micros.Second/10, Tick{})
 	}
 	f := p.commitInFlight
 	if f == nil || !slices.ContainsFunc(f.entries, func(e logEntry) bool {
--- a/internal/core/schema.go
+++ b/internal/core/schema.go
@@ -3,6 +3,7 @@
 import (
 	"spurmoor/internal/api"
 	"spurmoor/internal/leadership"
+	"spurmoor/internal/micros"
 )
 
 // SchemaVersion is the newest form of records that this version reads and writes in
@@ -36,7 +37,7 @@
 // readsSchema tells whether a controller reads a form. One that says that it does
 // not, now, is believed: it was put back.
 func (c *Controller) readsSchema(node string, form int) bool {
-	if h := c.peers[node]; h != nil && h.schemaVersion < form && c.now < h.lastHeartbeatAt+5*Second {
+	if h := c.peers[node]; h != nil && h.schemaVersion < form && c.now < h.lastHeartbeatAt+5*micros.Second {
 		return false
 	}
 	return node == c.settings.Node || c.schemaVersions[node] >= form
@@ -53,7 +54,7 @@
 }
 
 // schemaRetryInterval is how long after an announcement the next is made, if it failed.
-const schemaRetryInterval = 5 * Second
+const schemaRetryInterval = 5 * micros.Second
 
 // announceSchema keeps in the state service that this controller reads its form: one
 // that starts while another is away could else not know it of that one.
--- a/internal/core/summary.go
+++ b/internal/core/summary.go
@@ -1,7 +1,9 @@
 package core
 
+import "spurmoor/internal/micros"
+
 // summaryInterval is how often the log says how things stand.
-const summaryInterval = 30 * Second
+const summaryInterval = 30 * micros.Second
 
 // maxNamedBlockedJobs is of how many blocked jobs of a team the summary says why they wait.
 const maxNamedBlockedJobs = 2
@@ -32,7 +34,7 @@
 			continue
 		}
 		named[j.spec.Team]++
-		c.logInfo("job waits", "job", id, "team", j.spec.Team, "for_s", (c.now-j.eligibleAt())/Second, "why", c.blockedReasons[id])
+		c.logInfo("job waits", "job", id, "team", j.spec.Team, "for_s", (c.now - j.eligibleAt()).WholeSeconds(), "why", c.blockedReasons[id])
 	}
 }
 
--- a/internal/core/tasks.go
+++ b/internal/core/tasks.go
@@ -2,6 +2,7 @@
 
 import (
 	"spurmoor/internal/api"
+	"spurmoor/internal/micros"
 )
 
 // gangCommitted tells whether a gang is placed whole and committed so.
@@ -47,7 +48,7 @@
 // graceFor is how long a task that must stop may save. What a cancelled or
 // broken job saved is of no use.
 func (c *Controller) graceFor(j *job, t *task) float64 {
-	if j.mustNotRun() || j.isBroken() || c.now > t.stopRequestedAt+secs(t.graceS+10) {
+	if j.mustNotRun() || j.isBroken() || c.now > t.stopRequestedAt+micros.FromSeconds(t.graceS+10) {
 		return 0
 	}
 	return t.graceS
@@ -71,7 +72,7 @@
 	case api.ExitFailed:
 		c.taskFailed(j, m, tr.Task)
 	case api.ExitNoRoom, api.ExitBusy, api.ExitNoSuch:
-		t.notBefore = c.now + 3*Second
+		t.notBefore = c.now + 3*micros.Second
 		c.logInfo("start refused", "task", tr.Task, "machine", m.name, "why", tr.ExitReason)
 	}
 	c.requestPlanWithin(0)
--- a/internal/core/txn.go
+++ b/internal/core/txn.go
@@ -3,6 +3,7 @@
 import (
 	"spurmoor/internal/api"
 	"spurmoor/internal/leadership"
+	"spurmoor/internal/micros"
 )
 
 // transaction is a conditional transaction that is repeated until its outcome is
@@ -11,7 +12,7 @@
 	request     api.Transaction
 	grant       func() leadership.Grant // each time that it is sent
 	settled     bool
-	nextSendAt  int64
+	nextSendAt  micros.Micros
 	inFlight    bool
 	attempts    int
 	refused     bool // refused: the replica is to be read before it fails
@@ -21,7 +22,7 @@
 }
 
 // grantRetryInterval is when a transaction is tried again for which there was no grant.
-const grantRetryInterval = Second / 8
+const grantRetryInterval = micros.Second / 8
 
 // sendTransaction sends a transaction, if it is permitted now.
 func (c *Controller) sendTransaction(t *transaction) {
@@ -55,7 +56,7 @@
 			// Unknown, or not carried out: the same again. Even one refused may
 			// be repeated by the network; built anew, each would be taken for
 			// the other (random days).
-			t.nextSendAt = c.now + c.jitter(min(Second, Second/8<<min(t.attempts, 4)))
+			t.nextSendAt = c.now + c.jitter(min(micros.Second, micros.Second/8<<min(t.attempts, 4)))
 		}
 	})
 }
@@ -68,7 +69,7 @@
 			t.settled = true
 			t.onRefused()
 		default:
-			t.nextSendAt = c.now + c.jitter(Second/2)
+			t.nextSendAt = c.now + c.jitter(micros.Second/2)
 		}
 	})
 }
@@ -81,7 +82,7 @@
 			continue
 		}
 		if !t.inFlight && c.now >= t.nextSendAt {
-			t.nextSendAt = c.now + Second
+			t.nextSendAt = c.now + micros.Second
 			if t.refused {
 				c.settleRefused(t)
 			} else {
--- a/internal/core/users.go
+++ b/internal/core/users.go
@@ -5,6 +5,7 @@
 
 	"spurmoor/internal/api"
 	"spurmoor/internal/leadership"
+	"spurmoor/internal/micros"
 	"spurmoor/internal/scheduler"
 )
 
@@ -87,7 +88,7 @@
 
 // storeUnavailableAfter is how long the state service must not answer before submissions
 // are refused without asking it.
-const storeUnavailableAfter = 2 * Second
+const storeUnavailableAfter = 2 * micros.Second
 
 func (c *Controller) handleSubmit(v Submit) {
 	spec, err := api.ParseJob(v.Body)
@@ -309,7 +310,7 @@
 // handleReady says whether users should be sent here. Where the state service is
 // away for every controller, all stay: leaving would only delay the return.
 func (c *Controller) handleReady(v Ready) {
-	if !c.synced || c.stopping || c.unavailableSince > 0 && c.now > c.unavailableSince+Second && c.healthyPeerKnown() {
+	if !c.synced || c.stopping || c.unavailableSince > 0 && c.now > c.unavailableSince+micros.Second && c.healthyPeerKnown() {
 		c.refuse(v.RequestID, 503, string(c.currentCondition()), 1)
 		return
 	}
--- a/internal/core/view.go
+++ b/internal/core/view.go
@@ -5,6 +5,7 @@
 	"slices"
 
 	"spurmoor/internal/api"
+	"spurmoor/internal/micros"
 	"spurmoor/internal/scheduler"
 	"spurmoor/internal/settings"
 )
@@ -109,17 +110,17 @@
 func (v *snapshotBuilder) fillOtherPartitions(m *machine, sm *scheduler.Machine) bool {
 	switch {
 	case v.isBorrowable(m.name):
-		sm.Borrowable, sm.ReadyAt = true, v.now+2*Second
+		sm.Borrowable, sm.ReadyAt = true, v.now+2*micros.Second
 	case m.record.HomePartition == v.partition.index && m.claimedBy == "":
 		// Lent out: ours again once its tasks have ended.
 		v.addAllocations(sm, m, v.schedulerJobs)
-		sm.ReadyAt = v.now + 2*Second
+		sm.ReadyAt = v.now + 2*micros.Second
 		for _, u := range sm.Allocations {
 			sm.ReadyAt = max(sm.ReadyAt, u.ExpectedEnd)
 		}
 		sm.OtherPartition, sm.LentOut, sm.BorrowerOverShare = true, true, 2*v.partitionPrices[v.partition.index] < v.partitionPrices[m.record.Partition]
 	case len(m.taskIDs) > 0:
-		sm.OtherPartition, sm.ReadyAt = true, v.now+5*Second
+		sm.OtherPartition, sm.ReadyAt = true, v.now+5*micros.Second
 		if m.claimedBy != "" {
 			sm.Free = sm.Total // it is being emptied for us
 		}
@@ -143,9 +144,9 @@
 	switch {
 	case sm.Schedulable:
 	case m.firstHeartbeatAt == 0 && !v.bootOverdue(m):
-		sm.ReadyAt = max(v.now+2*Second, m.launchedAt+secs(m.machineType.BootS))
+		sm.ReadyAt = max(v.now+2*micros.Second, m.launchedAt+micros.FromSeconds(m.machineType.BootS))
 	case m.firstHeartbeatAt > 0 && heard:
-		sm.ReadyAt = v.now + 3*Second
+		sm.ReadyAt = v.now + 3*micros.Second
 	default:
 		return false
 	}
@@ -167,7 +168,7 @@
 		}
 		total := scheduler.ResourcesOf(t.CPUs, t.GPUs, t.MemoryGB)
 		for range v.partition.pendingMachines[k] {
-			v.snapshot.Machines = append(v.snapshot.Machines, &scheduler.Machine{Type: t, Zone: k.Zone, Spot: k.Spot, Total: total, Free: total, ReadyAt: v.now + secs(t.BootS)})
+			v.snapshot.Machines = append(v.snapshot.Machines, &scheduler.Machine{Type: t, Zone: k.Zone, Spot: k.Spot, Total: total, Free: total, ReadyAt: v.now + micros.FromSeconds(t.BootS)})
 		}
 	}
 }
@@ -189,31 +190,31 @@
 }
 
 // contactTimeout is how long ago a machine may have been heard to be given work.
-func (c *Controller) contactTimeout() int64 {
-	return max(8*Second, secs(1.6*c.settings.Deployment.Workers.ReportS))
+func (c *Controller) contactTimeout() micros.Micros {
+	return max(8*micros.Second, micros.FromSeconds(1.6*c.settings.Deployment.Workers.ReportS))
 }
 
 // expectedTaskEnd is when a task on a machine is expected to end.
-func (c *Controller) expectedTaskEnd(j *job, t *task, m *machine) int64 {
-	est := secs(j.spec.EstimateS)
-	end := t.placedAt + est + secs(j.spec.ImageGB/max(0.01, m.machineType.FetchGBs))
+func (c *Controller) expectedTaskEnd(j *job, t *task, m *machine) micros.Micros {
+	est := micros.FromSeconds(j.spec.EstimateS)
+	end := t.placedAt + est + micros.FromSeconds(j.spec.ImageGB/max(0.01, m.machineType.FetchGBs))
 	if t.runningSince > 0 {
 		end = t.runningSince + est
 	}
 	if t.stopRequestedAt > 0 {
-		end = min(end, t.stopRequestedAt+secs(t.graceS+1))
+		end = min(end, t.stopRequestedAt+micros.FromSeconds(t.graceS+1))
 	}
 	// Overdue: the estimate was wrong; the longer it lasts the longer it may.
-	return max(end, c.now+Second+(c.now-t.placedAt)/5)
+	return max(end, c.now+micros.Second+(c.now-t.placedAt)/5)
 }
 
 // startedRecently tells whether stopping a task would undo its start: users count only
 // starts that last for half a minute.
-func (c *Controller) startedRecently(t *task) bool { return c.now < t.placedAt+30*Second }
+func (c *Controller) startedRecently(t *task) bool { return c.now < t.placedAt+30*micros.Second }
 
-func (c *Controller) lostWork(j *job, t *task) int64 {
+func (c *Controller) lostWork(j *job, t *task) micros.Micros {
 	if j.spec.CheckpointIntervalS > 0 {
-		return secs(j.spec.CheckpointSaveS) + secs(5)
+		return micros.FromSeconds(j.spec.CheckpointSaveS) + micros.FromSeconds(5)
 	}
 	if t.runningSince == 0 {
 		return (c.now - t.placedAt) / 2
@@ -230,7 +231,7 @@
 		if sj == nil && !j.cancelled {
 			sj = &scheduler.Job{ID: id.job, Spec: &j.spec, Request: j.request, Tier: c.effectiveTier(j)}
 		}
-		u := scheduler.Allocation{Job: sj, TaskIndex: id.index, Request: j.request, ExpectedEnd: c.now + 3*Second}
+		u := scheduler.Allocation{Job: sj, TaskIndex: id.index, Request: j.request, ExpectedEnd: c.now + 3*micros.Second}
 		if sj != nil {
 			u.ExpectedEnd, u.LostWork, u.Stopping, u.StartedRecently = c.expectedTaskEnd(j, t, m), c.lostWork(j, t), t.stopRequestedAt > 0, c.startedRecently(t)
 		}
@@ -239,7 +240,7 @@
 }
 
 // placeable lists tasks that may be placed now.
-func (j *job) placeable(now int64, most int) []int {
+func (j *job) placeable(now micros.Micros, most int) []int {
 	var list []int
 	for k := 0; k*chunkSize < j.spec.Tasks; k++ {
 		ch := j.chunks[k]
--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -9,18 +9,20 @@
 	"io"
 	"sync"
 
+	"spurmoor/internal/micros"
+
 	"github.com/go-json-experiment/json"
 	"github.com/klauspost/compress/zstd"
 )
 
 // Order is one order as it came to the gate.
 type Order struct {
-	At        int64  `json:"at"` // whole microseconds
-	GrantedAt int64  `json:"made,omitzero"`
-	Role      string `json:"duty"`
-	Term      uint64 `json:"term,omitzero"`
-	Action    string `json:"action"`
-	ExpiresAt int64  `json:"until,omitzero"` // when its grant ends; 0: it does not
+	At        micros.Micros `json:"at"`
+	GrantedAt micros.Micros `json:"made,omitzero"`
+	Role      string        `json:"duty"`
+	Term      uint64        `json:"term,omitzero"`
+	Action    string        `json:"action"`
+	ExpiresAt micros.Micros `json:"until,omitzero"` // when its grant ends; 0: it does not
 	// Refused says why it did not leave; empty: it did.
 	Refused string `json:"refused,omitzero"`
 }
@@ -30,12 +32,11 @@
 	mu   sync.Mutex
 	zip  *zstd.Encoder
 	fail func(error)
-	last int64 // when it was flushed
+	last micros.Micros // when it was flushed
 }
 
-// flushEvery is how much of a history a process that is killed may lose, in
-// microseconds.
-const flushEvery = 1_000_000
+// flushEvery is how much of a history a process that is killed may lose.
+const flushEvery = micros.Second
 
 // NewWriter makes a writer to a file that is new or empty. fail is told the first time
 // that something can't be written; nothing more is kept then.
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -5,6 +5,8 @@
 	"errors"
 	"strings"
 	"testing"
+
+	"spurmoor/internal/micros"
 )
 
 // orders is a history in which one controller is replaced by another.
@@ -59,7 +61,7 @@
 	}
 	for i := range 2000 {
 		o := orders[0]
-		o.At += int64(i) * 10_000
+		o.At += micros.Micros(i) * 10 * micros.Millisecond
 		w.Note(o)
 	}
 	n := 0
@@ -87,7 +89,7 @@
 	}
 	for i := range 50 {
 		o := orders[0]
-		o.At += int64(i) * flushEvery
+		o.At += micros.Micros(i) * flushEvery
 		w.Note(o)
 	}
 	if told != 1 {
--- a/internal/history/summary.go
+++ b/internal/history/summary.go
@@ -9,27 +9,29 @@
 	"text/tabwriter"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
+
+	"spurmoor/internal/micros"
 )
 
-// Distribution gathers times in whole microseconds, up to an hour.
+// Distribution gathers spans, up to an hour.
 type Distribution struct{ values *hdrhistogram.Histogram }
 
 const (
-	longest    = 3_600_000_000 // microseconds
-	sigFigures = 3
+	longestSpan        = 3600 * micros.Second
+	significantFigures = 3
 )
 
 // NewDistribution makes an empty one.
 func NewDistribution() *Distribution {
-	return &Distribution{hdrhistogram.New(1, longest, sigFigures)}
+	return &Distribution{hdrhistogram.New(1, int64(longestSpan), significantFigures)}
 }
 
-// Add adds a time; one beyond an hour counts as an hour.
-func (d *Distribution) Add(micros int64) {
-	_ = d.values.RecordValue(min(max(micros, 1), longest)) // within its bounds: cannot fail
+// Add adds a span; one beyond an hour counts as an hour.
+func (d *Distribution) Add(span micros.Micros) {
+	_ = d.values.RecordValue(int64(min(max(span, 1), longestSpan))) // within its bounds: cannot fail
 }
 
-// Count is how many times were added.
+// Count is how many spans were added.
 func (d *Distribution) Count() int64 { return d.values.TotalCount() }
 
 // String gives quantiles, in seconds.
@@ -37,8 +39,8 @@
 	if d.Count() == 0 {
 		return "none"
 	}
-	at := func(percent float64) float64 { return float64(d.values.ValueAtPercentile(percent)) / 1e6 }
-	return fmt.Sprintf("n=%d p50=%.3fs p90=%.3fs p99=%.3fs max=%.3fs", d.Count(), at(50), at(90), at(99), float64(d.values.Max())/1e6)
+	at := func(percent float64) float64 { return micros.Micros(d.values.ValueAtPercentile(percent)).Seconds() }
+	return fmt.Sprintf("n=%d p50=%.3fs p90=%.3fs p99=%.3fs max=%.3fs", d.Count(), at(50), at(90), at(99), micros.Micros(d.values.Max()).Seconds())
 }
 
 // tenure is what was ordered under one duty and term.
@@ -49,14 +51,14 @@
 
 // span is the time in which something was ordered.
 type span struct {
-	first, last int64
+	first, last micros.Micros
 	left        map[string]int // orders by action
 	refused     map[string]int // by action and reason
 }
 
 // Summary sums a history up.
 type Summary struct {
-	begin   int64
+	begin   micros.Micros
 	spans   map[tenure]*span
 	waiting *Distribution
 }
@@ -99,7 +101,7 @@
 	})
 	for _, k := range order {
 		t := s.spans[k]
-		from, until := float64(t.first-s.begin)/1e6, float64(max(t.last, t.first)-s.begin)/1e6
+		from, until := (t.first - s.begin).Seconds(), (max(t.last, t.first) - s.begin).Seconds()
 		if _, err := fmt.Fprintf(table, "%s\t%d\t%.3f\t%.3f\t%s\t%s\n", k.duty, k.term, from, until, counts(t.left), counts(t.refused)); err != nil {
 			return err
 		}
--- a/internal/leadership/grant.go
+++ b/internal/leadership/grant.go
@@ -1,6 +1,10 @@
 package leadership
 
-import "sync/atomic"
+import (
+	"sync/atomic"
+
+	"spurmoor/internal/micros"
+)
 
 // Action is what a grant permits.
 type Action uint8
@@ -71,8 +75,8 @@
 type Grant struct {
 	leaderTerm *leaderTerm
 	action     Action
-	grantedAt  int64
-	expiresAt  int64
+	grantedAt  micros.Micros
+	expiresAt  micros.Micros
 	purpose    Purpose
 }
 
@@ -101,13 +105,13 @@
 func (g Grant) Action() Action { return g.action }
 
 // GrantedAt is when the grant was given; 0: a shared one, which has no time.
-func (g Grant) GrantedAt() int64 { return g.grantedAt }
+func (g Grant) GrantedAt() micros.Micros { return g.grantedAt }
 
 // ExpiresAt is when the grant ends; 0: a shared one, which does not.
-func (g Grant) ExpiresAt() int64 { return g.expiresAt }
+func (g Grant) ExpiresAt() micros.Micros { return g.expiresAt }
 
 // Check tells why something must not be done under the grant now; empty: it may be.
-func (g Grant) Check(action Action, now int64) Reason {
+func (g Grant) Check(action Action, now micros.Micros) Reason {
 	switch {
 	case g.leaderTerm == nil && g.purpose == 0:
 		return NoGrant
--- a/internal/leadership/role_test.go
+++ b/internal/leadership/role_test.go
@@ -3,6 +3,8 @@
 import (
 	"strings"
 	"testing"
+
+	"spurmoor/internal/micros"
 )
 
 const second = 1_000_000
@@ -30,7 +32,7 @@
 	for _, c := range []struct {
 		what   string
 		action Action
-		at     int64
+		at     micros.Micros
 		want   Reason
 	}{
 		{"in time", Launch, 103 * second, ""},
@@ -99,7 +101,7 @@
 	l := Lease{ID: 1, RenewalSentAt: 1000 * second, TTL: 6 * second}
 	ours := l.ExpiresAt() - l.RenewalSentAt // by the holder's clock
 	for _, c := range []struct {
-		slowPPM int64
+		slowPPM micros.Micros
 		safe    bool
 	}{{0, true}, {499, true}, {2000, false}} {
 		lasts := ours * 1_000_000 / (1_000_000 - c.slowPPM)
--- a/internal/leadership/state.go
+++ b/internal/leadership/state.go
@@ -1,5 +1,7 @@
 package leadership
 
+import "spurmoor/internal/micros"
+
 // Claim is what a holder writes under a duty's key: the node, and the process among
 // all that ever bore its name.
 type Claim struct {
@@ -11,13 +13,13 @@
 // this controller.
 type RoleState struct {
 	Role       Role
-	Claim      Claim  // of the holder; empty: nobody is known to hold it
-	Term       uint64 // the version of the duty's key when it was taken; 0: nobody holds it
-	ObservedAt int64  // when this controller learned of the term
+	Claim      Claim         // of the holder; empty: nobody is known to hold it
+	Term       uint64        // the version of the duty's key when it was taken; 0: nobody holds it
+	ObservedAt micros.Micros // when this controller learned of the term
 	// VacantAt is from when the duty may be taken.
-	VacantAt int64
+	VacantAt micros.Micros
 	// AcquiredAt is when this controller took it last.
-	AcquiredAt int64
+	AcquiredAt micros.Micros
 	// Acquiring: a request to take it is under way.
 	Acquiring bool
 
@@ -45,7 +47,7 @@
 // Observe takes in the duty's key as the state service has it, a claim and its
 // version or version 0 for none, and tells whether this controller holds the duty
 // from now on and did not before.
-func (h *RoleState) Observe(now int64, claim Claim, version uint64, own Claim, leased bool) (taken bool) {
+func (h *RoleState) Observe(now micros.Micros, claim Claim, version uint64, own Claim, leased bool) (taken bool) {
 	if version != h.Term || claim != h.Claim {
 		h.ObservedAt = now
 	}
@@ -62,7 +64,7 @@
 }
 
 // End ends this controller's holding, and with it all grants under it.
-func (h *RoleState) End(now int64) {
+func (h *RoleState) End(now micros.Micros) {
 	if h.current == nil {
 		return
 	}
@@ -72,7 +74,7 @@
 }
 
 // Resign ends this controller's holding for good and gives the term given up.
-func (h *RoleState) Resign(now int64) (term uint64) {
+func (h *RoleState) Resign(now micros.Micros) (term uint64) {
 	h.resignedTerm = h.Term
 	h.End(now)
 	h.Claim = Claim{} // not ours any more, whatever the replica still says
@@ -80,13 +82,13 @@
 }
 
 // Forget forgets what the state service said, as before everything is read again.
-func (h *RoleState) Forget(now int64) {
+func (h *RoleState) Forget(now micros.Micros) {
 	h.Claim, h.Term, h.VacantAt = Claim{}, 0, now
 }
 
 // Grant gives the permission to do something until a time. It permits nothing where
 // this controller does not hold the duty.
-func (h *RoleState) Grant(action Action, now, until int64) Grant {
+func (h *RoleState) Grant(action Action, now, until micros.Micros) Grant {
 	if h.current == nil {
 		return Grant{}
 	}
--- /dev/null
+++ b/internal/micros/micros_test.go
@@ -0,0 +1,35 @@
+package micros
+
+import (
+	"math/rand/v2"
+	"testing"
+)
+
+func TestConversions(t *testing.T) {
+	t.Parallel()
+	for _, c := range []struct {
+		seconds float64
+		want    Micros
+		whole   int64
+	}{
+		{0, 0, 0}, {1.5, 1_500_000, 1}, {-1.5, -1_500_000, -1}, {0.000_000_9, 0, 0}, {60, 60 * Second, 60},
+	} {
+		got := FromSeconds(c.seconds)
+		if got != c.want || got.WholeSeconds() != c.whole {
+			t.Errorf("%v s: %d, %d whole seconds", c.seconds, got, got.WholeSeconds())
+		}
+	}
+	if span := FromMilliseconds(2500); span.Seconds() != 2.5 || span.Milliseconds() != 2500 {
+		t.Errorf("2500 ms: %v s, %d ms", span.Seconds(), span.Milliseconds())
+	}
+}
+
+func TestRandomStaysBelowItsLimit(t *testing.T) {
+	t.Parallel()
+	random := rand.New(rand.NewPCG(1, 2))
+	for range 1000 {
+		if span := Random(random, 3); span < 0 || span >= 3 {
+			t.Fatalf("%d is not within 0 to 2", span)
+		}
+	}
+}
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -7,6 +7,7 @@
 	"slices"
 
 	"spurmoor/internal/api"
+	"spurmoor/internal/micros"
 )
 
 // perZone is how many more of the job's tasks a zone may take.
@@ -34,7 +35,7 @@
 		return false
 	}
 	if at, ok := p.reserved[m]; ok && p.resFor[m] != j {
-		end := p.Now + int64(j.Spec.EstimateS*float64(Second))
+		end := p.Now + micros.FromSeconds(j.Spec.EstimateS)
 		if !m.HasImage(j.Spec.Image) {
 			end += p.fetch(j, m.Type)
 		}
@@ -53,7 +54,7 @@
 	if t := p.Quotas[j.Spec.Team]; t != nil {
 		t.Used = t.Used.Add(j.Request, 1)
 	}
-	end := p.Now + int64(j.Spec.EstimateS*float64(Second))
+	end := p.Now + micros.FromSeconds(j.Spec.EstimateS)
 	if !m.HasImage(j.Spec.Image) {
 		end += p.fetch(j, m.Type)
 	}
@@ -130,7 +131,7 @@
 		k[0] = int64(j.TasksPerZone[m.Zone])
 	}
 	if !m.HasImage(j.Spec.Image) {
-		k[1] = p.fetch(j, m.Type) / Second
+		k[1] = p.fetch(j, m.Type).WholeSeconds()
 	}
 	if !m.Spot {
 		k[1] += 4
@@ -247,7 +248,7 @@
 // use adds a task and keeps the order of their ends.
 func (m *Machine) use(u Allocation) {
 	m.sortUses()
-	at, _ := slices.BinarySearchFunc(m.Allocations, u.ExpectedEnd, func(o Allocation, end int64) int { return cmp.Compare(o.ExpectedEnd, end) })
+	at, _ := slices.BinarySearchFunc(m.Allocations, u.ExpectedEnd, func(o Allocation, end micros.Micros) int { return cmp.Compare(o.ExpectedEnd, end) })
 	m.Allocations = slices.Insert(m.Allocations, at, u)
 }
 
@@ -260,7 +261,7 @@
 }
 
 // freeAt is when the machine is expected to have room for need.
-func (m *Machine) freeAt(need Resources, now int64) int64 {
+func (m *Machine) freeAt(need Resources, now micros.Micros) micros.Micros {
 	if !m.Total.Fits(need) {
 		return math.MaxInt64
 	}
@@ -287,12 +288,12 @@
 
 type slot struct {
 	m  *Machine
-	at int64
+	at micros.Micros
 }
 
 // soonestSet is the machines freeing soonest for all of a job's tasks, in one
 // zone where the job must stay in one, and when the last of them is free.
-func (p *planner) soonestSet(j *Job, able func(m *Machine) bool) ([]slot, int64) {
+func (p *planner) soonestSet(j *Job, able func(m *Machine) bool) ([]slot, micros.Micros) {
 	byZone := map[string][]slot{}
 	for _, m := range p.Machines {
 		if !able(m) || !p.couldRun(j, m) {
@@ -307,7 +308,7 @@
 		}
 	}
 	var best []slot
-	var soonest int64 = math.MaxInt64
+	var soonest micros.Micros = math.MaxInt64
 	for _, z := range slices.Sorted(maps.Keys(byZone)) {
 		if set := soonestOf(byZone[z], j); set != nil && set[len(set)-1].at < soonest {
 			best, soonest = set, set[len(set)-1].at
--- a/internal/scheduler/placement_test.go
+++ b/internal/scheduler/placement_test.go
@@ -4,6 +4,7 @@
 	"testing"
 
 	"spurmoor/internal/api"
+	"spurmoor/internal/micros"
 	"spurmoor/internal/settings"
 )
 
@@ -22,14 +23,14 @@
 		{"no room for the one that has the claim", 1, 0},
 	} {
 		typ := api.MachineType{Name: "g4", CPUs: 24, GPUs: 4, Price: 8, BootS: 8}
-		job := func(id string, gpus float64, at int64) *Job {
+		job := func(id string, gpus float64, at micros.Micros) *Job {
 			spec := &api.Job{Kind: api.Array, Team: "sur", Priority: "standard", Tasks: 1, GPUs: gpus, EstimateS: 90}
 			return &Job{ID: id, Spec: spec, Request: ResourcesOf(0, gpus, 0), Tier: 4, EligibleAt: at, PendingTasks: 1, TasksPerZone: map[string]int{}}
 		}
 		m := &Machine{Name: "m-0", Type: &typ, Zone: "alta", Total: ResourcesOf(24, 4, 0), Free: ResourcesOf(24, c.gpus, 0), Schedulable: true, ClaimedBy: "a"}
 		plan := MakePlan(&Snapshot{
-			Now: 200 * Second, MachineTypes: []api.MachineType{typ}, Machines: []*Machine{m},
-			Jobs:   []*Job{job("a", 2, 0), job("b", 1, Second)},
+			Now: 200 * micros.Second, MachineTypes: []api.MachineType{typ}, Machines: []*Machine{m},
+			Jobs:   []*Job{job("a", 2, 0), job("b", 1, micros.Second)},
 			Quotas: map[string]*Quota{"sur": {}}, UnavailableKinds: map[InstanceKind]bool{{Type: "g4", Zone: "alta"}: true},
 			Operators: &ops,
 		})
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -7,6 +7,7 @@
 	"slices"
 
 	"spurmoor/internal/api"
+	"spurmoor/internal/micros"
 )
 
 // ownTier is a job's tier without what was lent to it.
@@ -80,7 +81,7 @@
 type clearing struct {
 	m    *Machine
 	uses []Allocation
-	lost int64
+	lost micros.Micros
 	fits int
 }
 
@@ -98,7 +99,7 @@
 			continue
 		}
 		soon := p.roomAt(j, taken)
-		if soon < p.Now+int64((j.Spec.CheckpointSaveS+10)*float64(Second)) {
+		if soon < p.Now+micros.FromSeconds(j.Spec.CheckpointSaveS+10) {
 			continue
 		}
 		jobs++
@@ -120,7 +121,7 @@
 // roomAt is when a job has room without anything being stopped for it. What others
 // have reserved does not count: several gangs once waited for the same machine, each
 // sure that it would be free soon.
-func (p *planner) roomAt(j *Job, taken map[*Machine]bool) int64 {
+func (p *planner) roomAt(j *Job, taken map[*Machine]bool) micros.Micros {
 	_, soon := p.soonestSet(j, func(m *Machine) bool {
 		ours := !m.Borrowable && (!m.OtherPartition || m.ClaimedBy == j.ID)
 		return ours && !taken[m] && (p.resFor[m] == nil || p.resFor[m] == j)
@@ -135,8 +136,8 @@
 
 // worthwhile tells whether a job gains more by emptying machines than is lost,
 // where it would else have room soon.
-func (p *planner) worthwhile(j *Job, set []clearing, soon int64) bool {
-	var lost int64
+func (p *planner) worthwhile(j *Job, set []clearing, soon micros.Micros) bool {
+	var lost micros.Micros
 	equal := false
 	for _, c := range set {
 		lost += c.lost
@@ -148,7 +149,7 @@
 	if lost > soon-p.Now {
 		return false // more work would be lost than wait saved
 	}
-	inTime := j.Deadline.WithinS > 0 && soon < math.MaxInt64 && soon+int64(j.Spec.EstimateS*float64(Second)) <= j.Deadline.Latest()
+	inTime := j.Deadline.WithinS > 0 && soon < math.MaxInt64 && soon+micros.FromSeconds(j.Spec.EstimateS) <= j.Deadline.Latest()
 	return j.Tier <= j.ownTier() || !inTime // what it was lent for may be in time all the same
 }
 
@@ -180,7 +181,7 @@
 		byZone[z] = append(byZone[z], c)
 	}
 	var best []clearing
-	var least int64 = math.MaxInt64
+	var least micros.Micros = math.MaxInt64
 	for _, z := range slices.Sorted(maps.Keys(byZone)) {
 		if set, lost := cheapestSet(byZone[z], need); set != nil && lost < least {
 			best, least = set, lost
@@ -225,7 +226,7 @@
 			// each other, stopping what it ran each time.
 			return clearing{}, false
 		}
-		c.lost += 5 * Second
+		c.lost += 5 * micros.Second
 	}
 	c.fits = free.Multiples(j.Request)
 	return c, true
@@ -233,9 +234,11 @@
 
 // cheapestSet is the machines of a list that cost least for need tasks, and what
 // they cost; nil where there are not enough.
-func cheapestSet(list []clearing, need int) ([]clearing, int64) {
-	slices.SortStableFunc(list, func(a, b clearing) int { return cmp.Compare(a.lost/int64(a.fits), b.lost/int64(b.fits)) })
-	lost := int64(0)
+func cheapestSet(list []clearing, need int) ([]clearing, micros.Micros) {
+	slices.SortStableFunc(list, func(a, b clearing) int {
+		return cmp.Compare(a.lost/micros.Micros(a.fits), b.lost/micros.Micros(b.fits))
+	})
+	lost := micros.Micros(0)
 	for i, c := range list {
 		lost += c.lost
 		if need -= c.fits; need <= 0 {
--- a/internal/scheduler/ranking.go
+++ b/internal/scheduler/ranking.go
@@ -6,6 +6,7 @@
 	"slices"
 
 	"spurmoor/internal/api"
+	"spurmoor/internal/micros"
 )
 
 // rank sorts the jobs by the design's weighted sum.
@@ -55,7 +56,7 @@
 		}
 	}
 	for _, j := range p.Jobs {
-		queued += float64(j.PendingTasks) * j.Spec.EstimateS * float64(Second)
+		queued += float64(j.PendingTasks) * j.Spec.EstimateS * float64(micros.Second)
 	}
 	r.zones = len(zones)
 	r.backlog = 1
@@ -81,7 +82,7 @@
 // score is a job's weighted sum, less what the exceptions take off.
 func (r *ranking) score(j *Job) float64 {
 	w := r.Operators.Weights
-	wait := math.Log(1 + float64(max(0, r.Now-j.EligibleAt))/float64(Second)/r.Operators.ReferenceWaitS)
+	wait := math.Log(1 + max(0, r.Now-j.EligibleAt).Seconds()/r.Operators.ReferenceWaitS)
 	score := w.Priority*float64(j.Tier) + w.Wait*wait + w.Deficit*r.deficit(j) +
 		w.ZoneFit*r.zoneFit(j) + w.Readiness*r.readiness(j) + w.Backlog*r.backlog
 	score -= r.Operators.LatePenalty * r.outOfReach(j)
@@ -147,7 +148,7 @@
 // due tells whether a job has not begun though half of the time is over within
 // which every job should have.
 func (p *planner) due(j *Job) bool {
-	return !j.Started && !j.Deprioritized && float64(p.Now-j.EligibleAt) > p.Operators.BeginWithinS/2*float64(Second)
+	return !j.Started && !j.Deprioritized && float64(p.Now-j.EligibleAt) > p.Operators.BeginWithinS/2*float64(micros.Second)
 }
 
 // outOfReach is the share of the stated aims of the job's class that it can
@@ -157,7 +158,7 @@
 	if j.Spec.EstimateS <= 0 {
 		return 0
 	}
-	age := float64(p.Now-j.EligibleAt) / float64(Second)
+	age := (p.Now - j.EligibleAt).Seconds()
 	lost, n := 0, 0
 	count := func(late bool) {
 		if n++; late {
@@ -179,7 +180,7 @@
 	// The deadline's aims are those of the class of the job that has it.
 	for _, a := range p.Objectives[j.Deadline.Class] {
 		if a.Kind == "deadline" {
-			count(float64(p.Now-j.Deadline.SubmittedAt)/float64(Second)+j.Spec.EstimateS+j.Deadline.DownstreamS > a.DeadlineFactor*j.Deadline.WithinS)
+			count((p.Now-j.Deadline.SubmittedAt).Seconds()+j.Spec.EstimateS+j.Deadline.DownstreamS > a.DeadlineFactor*j.Deadline.WithinS)
 		}
 	}
 	return float64(lost) / math.Max(1, float64(n))
@@ -217,6 +218,6 @@
 	if j.Spec.Kind != api.Array || typical <= 0 {
 		return 0
 	}
-	waited := float64(p.Now-j.EligibleAt) / float64(Second) / (4 * p.Operators.BeginWithinS)
+	waited := (p.Now - j.EligibleAt).Seconds() / (4 * p.Operators.BeginWithinS)
 	return math.Min(1, j.drain(part)/(2.5*typical)) * math.Max(0, 1-waited)
 }
--- a/internal/scheduler/reservation.go
+++ b/internal/scheduler/reservation.go
@@ -7,13 +7,14 @@
 	"slices"
 
 	"spurmoor/internal/api"
+	"spurmoor/internal/micros"
 )
 
 // AdvanceReservation says for which job a machine is kept until it is empty, and when
 // the last of that job's machines should be.
 type AdvanceReservation struct {
 	Job     *Job
-	ReadyAt int64
+	ReadyAt micros.Micros
 }
 
 // ReserveInAdvance deals machines of all partitions out to the gangs that are due, oldest
@@ -26,10 +27,10 @@
 // rest, and none began. A gang accepted after old is promised nothing that it can
 // have at once or by stopping what is of a lower tier, nor a single machine: it
 // has that sooner by itself.
-func ReserveInAdvance(now, old int64, machines []*Machine, due []*Job) map[string]AdvanceReservation {
+func ReserveInAdvance(now, old micros.Micros, machines []*Machine, due []*Job) map[string]AdvanceReservation {
 	due = slices.Clone(due)
 	// The larger a gang, the longer its machines take to empty.
-	rank := func(j *Job) int64 { return j.EligibleAt - int64(j.Spec.Tasks)*5*Second }
+	rank := func(j *Job) micros.Micros { return j.EligibleAt - micros.Micros(j.Spec.Tasks)*5*micros.Second }
 	slices.SortFunc(due, func(a, b *Job) int { return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(a.ID, b.ID)) })
 	promised := map[string]AdvanceReservation{}
 	for _, j := range due {
@@ -51,7 +52,7 @@
 
 // soonestEmpty is the machines that empty soonest for all of a gang, in one zone
 // where it must be in one; nil where there are not enough.
-func soonestEmpty(j *Job, now int64, machines []*Machine, free func(m *Machine) bool) []slot {
+func soonestEmpty(j *Job, now micros.Micros, machines []*Machine, free func(m *Machine) bool) []slot {
 	byZone := map[string][]slot{}
 	for _, m := range machines {
 		if !free(m) || !m.Total.Fits(j.Request) || j.FailedMachines[m.Name] || j.perZone(m.Zone) <= 0 ||
@@ -88,7 +89,7 @@
 
 // emptyAt is when nothing that a job must wait for should run on the machine
 // any more: what is of a lower tier can be stopped for it.
-func (m *Machine) emptyAt(j *Job, now int64) int64 {
+func (m *Machine) emptyAt(j *Job, now micros.Micros) micros.Micros {
 	at := now
 	if !m.Schedulable {
 		at = max(now, m.ReadyAt)
@@ -107,4 +108,4 @@
 }
 
 // PreemptionTime is about how long it takes to stop what runs on a machine.
-const PreemptionTime = 12 * Second
+const PreemptionTime = 12 * micros.Second
--- a/internal/scheduler/scaleout.go
+++ b/internal/scheduler/scaleout.go
@@ -5,6 +5,7 @@
 	"slices"
 
 	"spurmoor/internal/api"
+	"spurmoor/internal/micros"
 )
 
 // ReasonNothingToLaunch is why a job waits that nothing can be rented for.
@@ -18,7 +19,7 @@
 	// Without anything to rent, room is dealt out as far ahead as a rented
 	// machine would take twice; what is beyond that waits by the queue's length.
 	for i := range p.MachineTypes {
-		d.far = max(d.far, p.Now+int64(2*p.MachineTypes[i].BootS*float64(Second)))
+		d.far = max(d.far, p.Now+micros.FromSeconds(2*p.MachineTypes[i].BootS))
 	}
 	for _, m := range p.Machines {
 		if !m.OtherPartition {
@@ -43,9 +44,9 @@
 	total    int                  // machines to rent in all
 	virtual  []*Machine           // all machines, with those to be rented
 	borrowed map[*Machine]bool
-	own      Resources // of the partition's machines
-	far      int64     // how far ahead room is dealt out
-	queue    int64     // how long what finds no room keeps the partition busy
+	own      Resources     // of the partition's machines
+	far      micros.Micros // how far ahead room is dealt out
+	queue    micros.Micros // how long what finds no room keeps the partition busy
 }
 
 // serve finds room for what a job lacks, now or soon, or rents it.
@@ -77,11 +78,11 @@
 
 // limit is until when a job may wait for room on a machine, typ being what would
 // be rented for it.
-func (d *demand) limit(j *Job, m *Machine, typ *api.MachineType) int64 {
+func (d *demand) limit(j *Job, m *Machine, typ *api.MachineType) micros.Micros {
 	if typ == nil {
 		return d.far
 	}
-	return max(d.Now+int64(typ.BootS*float64(Second)), d.latest(j, m.Type))
+	return max(d.Now+micros.FromSeconds(typ.BootS), d.latest(j, m.Type))
 }
 
 // dealing is which room is dealt out.
@@ -94,7 +95,7 @@
 
 // deal counts on a machine's room for up to left tasks of a job, and gives for how
 // many.
-func (d *demand) deal(j *Job, m *Machine, left int, pass dealing, limit int64) int {
+func (d *demand) deal(j *Job, m *Machine, left int, pass dealing, limit micros.Micros) int {
 	if pass == roomSoon && m.freeing > limit || !d.serves(j, m) {
 		return 0
 	}
@@ -112,7 +113,7 @@
 			d.plan.Borrow = append(d.plan.Borrow, m)
 		}
 		m.Free = m.Free.Add(j.Request, -1)
-		end := at + int64(j.Spec.EstimateS*float64(Second)) + d.fetch(j, m.Type)
+		end := at + micros.FromSeconds(j.Spec.EstimateS) + d.fetch(j, m.Type)
 		m.use(Allocation{Job: j, TaskIndex: -1, Request: j.Request, ExpectedEnd: end})
 		d.ends(j, end)
 		dealt++
@@ -121,7 +122,7 @@
 }
 
 // roomAt is when a machine is expected to have room, and to be back if it is lent.
-func (m *Machine) roomAt(need Resources, now int64) int64 {
+func (m *Machine) roomAt(need Resources, now micros.Micros) micros.Micros {
 	at := m.freeAt(need, now)
 	if m.LentOut && at < math.MaxInt64 {
 		at = max(at, m.ReadyAt)
@@ -142,8 +143,8 @@
 	}
 	d.rent[kind] += n
 	d.total += n
-	boot := d.Now + int64(typ.BootS*float64(Second))
-	end := boot + int64(j.Spec.EstimateS*float64(Second)) + d.fetch(j, typ)
+	boot := d.Now + micros.FromSeconds(typ.BootS)
+	end := boot + micros.FromSeconds(j.Spec.EstimateS) + d.fetch(j, typ)
 	d.ends(j, end)
 	served := 0
 	for range n {
@@ -161,9 +162,9 @@
 
 // enqueue reckons with so many tasks of a job behind all that was served before.
 func (d *demand) enqueue(j *Job, left int) {
-	work := int64(left) * int64(j.Spec.EstimateS*float64(Second))
-	d.queue += max(work*j.Request.GPU/max(1, d.own.GPU), work*j.Request.CPU/max(1, d.own.CPU))
-	d.ends(j, d.Now+d.queue+int64(j.Spec.EstimateS*float64(Second)))
+	work := micros.Micros(left) * micros.FromSeconds(j.Spec.EstimateS)
+	d.queue += max(work*micros.Micros(j.Request.GPU)/micros.Micros(max(1, d.own.GPU)), work*micros.Micros(j.Request.CPU)/micros.Micros(max(1, d.own.CPU)))
+	d.ends(j, d.Now+d.queue+micros.FromSeconds(j.Spec.EstimateS))
 	d.plan.BlockedReasons[j.ID] = ReasonNothingToLaunch
 }
 
@@ -197,11 +198,11 @@
 
 // latest is when a task must start there at the latest to be early enough for
 // what its owner expects.
-func (p *planner) latest(j *Job, t *api.MachineType) int64 {
+func (p *planner) latest(j *Job, t *api.MachineType) micros.Micros {
 	if j.Deadline.WithinS <= 0 {
 		return 0
 	}
-	return j.Deadline.Latest() - int64(1.2*j.Spec.EstimateS*float64(Second)) - p.fetch(j, t)
+	return j.Deadline.Latest() - micros.FromSeconds(1.2*j.Spec.EstimateS) - p.fetch(j, t)
 }
 
 // rentZone is the one zone that all of a job's machines are to be in: where
@@ -270,7 +271,7 @@
 			if p.UnavailableKinds[k] {
 				continue
 			}
-			overhead := (t.BootS + float64(p.fetch(j, t))/float64(Second) + j.Spec.EstimateS) / max(1, j.Spec.EstimateS)
+			overhead := (t.BootS + p.fetch(j, t).Seconds() + j.Spec.EstimateS) / max(1, j.Spec.EstimateS)
 			// Of equals, one that this plan rents already: fewer requests.
 			cost := machine*overhead/float64(min(fit, n)) + float64(p.held[k])*1e-6
 			if asked[k] > 0 {
@@ -307,7 +308,7 @@
 	if p.idleTime(j) {
 		base = math.Min(base, p.Operators.IdlePriceCeiling)
 	}
-	waited := float64(p.Now-j.EligibleAt) / float64(Second)
+	waited := (p.Now - j.EligibleAt).Seconds()
 	return base * (1 + waited/p.Operators.CeilingGrowthS)
 }
 
--- a/internal/scheduler/scaleout_test.go
+++ b/internal/scheduler/scaleout_test.go
@@ -4,6 +4,7 @@
 	"testing"
 
 	"spurmoor/internal/api"
+	"spurmoor/internal/micros"
 	"spurmoor/internal/settings"
 )
 
@@ -15,7 +16,7 @@
 	types := []api.MachineType{
 		{Name: "small", CPUs: 12, GPUs: 2, MemoryGB: 72, Price: 6, SpotPrice: 2, BootS: 40, Zones: []string{"a"}},
 	}
-	const waited = 700 * Second
+	const waited = 700 * micros.Second
 	refused := map[InstanceKind]bool{{Type: "small", Zone: "a", Spot: true}: true}
 	aims := map[string][]settings.Objective{"billed": {{Kind: "finished", Class: "billed", WithinS: 400}}}
 	for _, c := range []struct {
@@ -23,7 +24,7 @@
 		class    string
 		priority string
 		due      Deadline
-		waited   int64
+		waited   micros.Micros
 		refused  map[InstanceKind]bool
 		rents    bool
 	}{
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -8,12 +8,10 @@
 	"slices"
 
 	"spurmoor/internal/api"
+	"spurmoor/internal/micros"
 	"spurmoor/internal/settings"
 )
 
-// Second is one second in the whole microseconds that all times are in.
-const Second int64 = 1_000_000
-
 // Resources is an amount of resources, in thousandths.
 type Resources struct{ CPU, GPU, Mem int64 }
 
@@ -47,10 +45,10 @@
 	Job             *Job
 	TaskIndex       int
 	Request         Resources
-	ExpectedEnd     int64 // expected, by the owner's estimate
-	LostWork        int64 // work lost if it is stopped now
-	Stopping        bool  // told to stop already
-	StartedRecently bool  // started so lately that stopping it undoes the start
+	ExpectedEnd     micros.Micros // expected, by the owner's estimate
+	LostWork        micros.Micros // work lost if it is stopped now
+	Stopping        bool          // told to stop already
+	StartedRecently bool          // started so lately that stopping it undoes the start
 }
 
 // Machine is a machine of the partition.
@@ -61,18 +59,18 @@
 	Spot              bool
 	Total             Resources
 	Free              Resources
-	Schedulable       bool  // may be given tasks now
-	ReadyAt           int64 // of a booting machine: when it is expected
-	Borrowable        bool  // another partition's idle machine: may be asked for
-	OtherPartition    bool  // another partition's, at work: may be asked for if all its tasks may be stopped
-	LentOut           bool  // ours by home, at work for another partition
-	BorrowerOverShare bool  // of a Lent one: its borrower uses far more than we do
+	Schedulable       bool          // may be given tasks now
+	ReadyAt           micros.Micros // of a booting machine: when it is expected
+	Borrowable        bool          // another partition's idle machine: may be asked for
+	OtherPartition    bool          // another partition's, at work: may be asked for if all its tasks may be stopped
+	LentOut           bool          // ours by home, at work for another partition
+	BorrowerOverShare bool          // of a Lent one: its borrower uses far more than we do
 	ClaimedBy         string
 	Reservation       *AdvanceReservation // to a gang that is due, of whatever part
 	CachedImages      []string            // in its cache, or being fetched
 	Allocations       []Allocation
 	byEnd             bool // Uses are in the order of their ends, and the plan's own
-	freeing           int64
+	freeing           micros.Micros
 }
 
 // HasImage tells whether the machine need not fetch an image.
@@ -83,10 +81,10 @@
 	ID             string
 	Spec           *api.Job
 	Request        Resources
-	Tier           int      // that it is treated as having
-	EligibleAt     int64    // accepted, and all that it needs done
-	Deadline       Deadline // its deadline, or one that it must be early enough for
-	PendingTasks   int      // tasks to place, those held back by a back-off not counted
+	Tier           int           // that it is treated as having
+	EligibleAt     micros.Micros // accepted, and all that it needs done
+	Deadline       Deadline      // its deadline, or one that it must be early enough for
+	PendingTasks   int           // tasks to place, those held back by a back-off not counted
 	TasksPerZone   map[string]int
 	FailedMachines map[string]bool // machines
 	Started        bool            // some of its tasks were started
@@ -99,15 +97,15 @@
 // Deadline is a deadline: of the job itself, or of the last of those that need it,
 // for which it must be done so much earlier. S 0: none.
 type Deadline struct {
-	SubmittedAt int64 // when the job that has it was submitted
+	SubmittedAt micros.Micros // when the job that has it was submitted
 	WithinS     float64
 	Class       string  // of that job
 	DownstreamS float64 // seconds that those behind this one take, by the estimates
 }
 
 // Latest is when a job must be done.
-func (d Deadline) Latest() int64 {
-	return d.SubmittedAt + int64((d.WithinS-d.DownstreamS)*float64(Second))
+func (d Deadline) Latest() micros.Micros {
+	return d.SubmittedAt + micros.FromSeconds(d.WithinS-d.DownstreamS)
 }
 
 // Quota is a team's share of the partition.
@@ -125,7 +123,7 @@
 
 // Snapshot is what a plan is made from.
 type Snapshot struct {
-	Now              int64
+	Now              micros.Micros
 	MachineTypes     []api.MachineType
 	Machines         []*Machine
 	Jobs             []*Job
@@ -163,15 +161,15 @@
 	Preemptions    []Preemption
 	ScaleOuts      []ScaleOut
 	Borrow         []*Machine
-	BlockedReasons map[string]string // job → why it waits
-	ExpectedEnds   map[string]int64  // job → when its last task should end, by the estimates
+	BlockedReasons map[string]string        // job → why it waits
+	ExpectedEnds   map[string]micros.Micros // job → when its last task should end, by the estimates
 }
 
 type planner struct {
 	*Snapshot
 	plan     Plan
 	types    map[string]*api.MachineType
-	reserved map[*Machine]int64
+	reserved map[*Machine]micros.Micros
 	resFor   map[*Machine]*Job
 	held     map[InstanceKind]int
 	gangs    int // that reserved
@@ -181,8 +179,8 @@
 
 // MakePlan plans one cycle.
 func MakePlan(v *Snapshot) *Plan {
-	p := &planner{Snapshot: v, types: map[string]*api.MachineType{}, reserved: map[*Machine]int64{}, resFor: map[*Machine]*Job{}, held: map[InstanceKind]int{}}
-	p.plan.BlockedReasons, p.plan.ExpectedEnds = map[string]string{}, map[string]int64{}
+	p := &planner{Snapshot: v, types: map[string]*api.MachineType{}, reserved: map[*Machine]micros.Micros{}, resFor: map[*Machine]*Job{}, held: map[InstanceKind]int{}}
+	p.plan.BlockedReasons, p.plan.ExpectedEnds = map[string]string{}, map[string]micros.Micros{}
 	p.look()
 	p.rank()
 	p.beginDue()
@@ -271,13 +269,13 @@
 	return (j.Types == nil || slices.Contains(j.Types, typ)) && (j.Zone == "" || j.Zone == zone) && (j.Spot || !spot)
 }
 
-func (p *planner) fetch(j *Job, t *api.MachineType) int64 {
+func (p *planner) fetch(j *Job, t *api.MachineType) micros.Micros {
 	if t == nil || t.FetchGBs <= 0 {
 		return 0
 	}
-	return int64(j.Spec.ImageGB / t.FetchGBs * float64(Second))
+	return micros.FromSeconds(j.Spec.ImageGB / t.FetchGBs)
 }
 
-func (p *planner) ends(j *Job, at int64) {
+func (p *planner) ends(j *Job, at micros.Micros) {
 	p.plan.ExpectedEnds[j.ID] = max(p.plan.ExpectedEnds[j.ID], at)
 }
--- a/internal/server/gate.go
+++ b/internal/server/gate.go
@@ -6,13 +6,14 @@
 	"spurmoor/internal/core"
 	"spurmoor/internal/history"
 	"spurmoor/internal/leadership"
+	"spurmoor/internal/micros"
 )
 
 // gate is the one place that looks at an order's grant, against the clock, right
 // before the order leaves this process. What it refuses is told to the core, which
 // counts it, and never sent again under the same grant.
 type gate struct {
-	now     func() int64
+	now     func() micros.Micros
 	refused func(core.OrderRefused)
 	orders  *history.Writer // nil: none is kept
 }
@@ -31,7 +32,7 @@
 }
 
 // admitAt is admit at a time that the caller knows.
-func (g *gate) admitAt(now int64, grant leadership.Grant, action leadership.Action) error {
+func (g *gate) admitAt(now micros.Micros, grant leadership.Grant, action leadership.Action) error {
 	reason := grant.Check(action, now)
 	g.orders.Note(history.Order{At: now, GrantedAt: grant.GrantedAt(), Role: grant.RoleName(), Term: grant.Term(), Action: action.String(), ExpiresAt: grant.ExpiresAt(), Refused: string(reason)})
 	if reason == "" {
--- a/internal/server/gate_test.go
+++ b/internal/server/gate_test.go
@@ -11,9 +11,10 @@
 	"spurmoor/internal/api"
 	"spurmoor/internal/core"
 	"spurmoor/internal/leadership"
+	"spurmoor/internal/micros"
 )
 
-const leaseEnd = 5 * core.Second
+const leaseEnd = 5 * micros.Second
 
 // granted gives a duty that this controller holds, and a grant for an action that ends
 // with its lease.
@@ -29,18 +30,18 @@
 // another. Each of these is refused once and counted.
 func TestGate(t *testing.T) {
 	s, _ := alone(t)
-	var now int64
-	s.now = func() int64 { return now }
+	var now micros.Micros
+	s.now = func() micros.Micros { return now }
 	s.fresh = s.now
 	cases := []struct {
 		what   string
-		at     int64
+		at     micros.Micros
 		resign bool
 		want   leadership.Reason
 	}{
 		{"in time", leaseEnd - 1, false, ""},
 		{"after its lease", leaseEnd, false, leadership.GrantExpired},
-		{"after its duty was handed over", core.Second, true, leadership.RoleEnded},
+		{"after its duty was handed over", micros.Second, true, leadership.RoleEnded},
 	}
 	for _, action := range []leadership.Action{leadership.Write, leadership.Launch, leadership.Delete, leadership.Command} {
 		for _, c := range cases {
@@ -69,8 +70,8 @@
 // runs out while the request waits for its connection.
 func TestGateLooksLast(t *testing.T) {
 	s, set := alone(t)
-	var now int64
-	s.now = func() int64 { return now }
+	var now micros.Micros
+	s.now = func() micros.Micros { return now }
 	s.fresh = s.now
 	ln, err := net.Listen("tcp4", set.Endpoints.Cloud) // nobody accepts until the time is over
 	if err != nil {
@@ -103,8 +104,8 @@
 // grant for it has ended.
 func TestLateAnswerToWorker(t *testing.T) {
 	s, _ := alone(t)
-	var now int64
-	s.now = func() int64 { return now }
+	var now micros.Micros
+	s.now = func() micros.Micros { return now }
 	s.fresh = s.now
 	h, g := granted(t, leadership.Command)
 	body := api.HeartbeatResponse{FencingToken: 10}
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -29,6 +29,7 @@
 	"spurmoor/internal/history"
 	"spurmoor/internal/jsonhttp"
 	"spurmoor/internal/leadership"
+	"spurmoor/internal/micros"
 	"spurmoor/internal/peer"
 	"spurmoor/internal/settings"
 	"spurmoor/internal/store"
@@ -50,10 +51,10 @@
 	workers *fasthttp.Client
 	pushes  chan struct{}
 	garbage atomic.Uint64
-	open    func() int32 // public connections now
-	crowded atomic.Bool  // they were too many once
-	now     func() int64 // without looking for suspensions
-	fresh   func() int64
+	open    func() int32         // public connections now
+	crowded atomic.Bool          // they were too many once
+	now     func() micros.Micros // without looking for suspensions
+	fresh   func() micros.Micros
 	gate    *gate
 	stopped chan struct{} // closed when the core holds nothing more
 }
@@ -68,19 +69,19 @@
 // decided is an answer and when the core gave it.
 type decided struct {
 	core.Answer
-	at int64
+	at micros.Micros
 }
 
 // staleAfter is how long after the core decided it an answer or a command may
 // leave the process: one that stood still in between knows nothing of what was
 // told elsewhere meanwhile.
-const staleAfter = core.Second
+const staleAfter = micros.Second
 
 // errStoodStill says why what was decided too long ago does not leave.
 var errStoodStill = errors.New("this controller stood still")
 
 // stale tells whether what was decided at a time must not leave any more.
-func (s *Server) stale(at int64) bool { return s.now() > at+staleAfter }
+func (s *Server) stale(at micros.Micros) bool { return s.now() > at+staleAfter }
 
 // New makes a controller's server and fits the process to its limits. orders, if it is
 // not nil, keeps every order that comes to the gate.
@@ -109,7 +110,7 @@
 		workers: &fasthttp.Client{MaxConnsPerHost: 2, ReadTimeout: 4 * time.Second, WriteTimeout: 2 * time.Second,
 			MaxIdleConnDuration: time.Second, MaxIdemponentCallAttempts: 1, MaxResponseBodySize: 1 << 20},
 	}
-	s.gate = &gate{now: func() int64 { return s.fresh() }, refused: func(r core.OrderRefused) { s.feed(r) }, orders: orders}
+	s.gate = &gate{now: func() micros.Micros { return s.fresh() }, refused: func(r core.OrderRefused) { s.feed(r) }, orders: orders}
 	s.store, s.cloud = store.New(set, s.gate.admit, s.unreadable), cloud.New(set, s.gate.admit, s.unreadable)
 	for _, p := range set.Peers {
 		s.peers = append(s.peers, &fasthttp.HostClient{Addr: p.Addr, MaxConns: set.Sockets.Peers, ReadTimeout: 3 * time.Second,
@@ -248,7 +249,7 @@
 // thousand reports.
 func (s *Server) hasten(in core.Input) { s.first <- input{in: in} }
 
-func (s *Server) effect(e core.Effect, now int64) {
+func (s *Server) effect(e core.Effect, now micros.Micros) {
 	switch v := e.(type) {
 	case core.Answer:
 		if to := s.waiting[v.RequestID]; to != nil {
@@ -271,7 +272,7 @@
 }
 
 // push sends direct commands; a worker that hangs holds one of few places.
-func (s *Server) push(p core.SendCommands, decidedAt int64) {
+func (s *Server) push(p core.SendCommands, decidedAt micros.Micros) {
 	out := core.CommandReply{Machine: p.Machine, Token: p.Body.Body().FencingToken, Starts: p.Starts}
 	defer func() { s.feed(out) }()
 	select {
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -18,6 +18,7 @@
 	"spurmoor/internal/api"
 	"spurmoor/internal/core"
 	"spurmoor/internal/leadership"
+	"spurmoor/internal/micros"
 	"spurmoor/internal/settings"
 )
 
@@ -118,8 +119,8 @@
 // taking effect after: no answer and no command leaves it then.
 func TestStandsStill(t *testing.T) {
 	s, _ := alone(t)
-	var now int64
-	s.now = func() int64 { return now }
+	var now micros.Micros
+	s.now = func() micros.Micros { return now }
 	s.fresh = s.now
 	worker, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -138,7 +139,7 @@
 		}
 	}()
 	for _, c := range []struct {
-		after  int64
+		after  micros.Micros
 		status int
 		unsent bool
 	}{{staleAfter, 200, false}, {staleAfter + 1, 503, true}} {
--- a/internal/simulation/checker.go
+++ b/internal/simulation/checker.go
@@ -8,6 +8,7 @@
 
 	"spurmoor/internal/api"
 	"spurmoor/internal/core"
+	"spurmoor/internal/micros"
 )
 
 // checker watches the rules of PROTOCOL from the world's side: what the
@@ -17,15 +18,15 @@
 	on     map[string][]*wtask // task → where it is
 	broken []string
 	starts int
-	begun  map[string]int64          // job → its first start
-	killed map[string]int64          // job → when its user was told it is cancelled
-	ended  map[string]int64          // job → when its user was told it is over
+	begun  map[string]micros.Micros  // job → its first start
+	killed map[string]micros.Micros  // job → when its user was told it is cancelled
+	ended  map[string]micros.Micros  // job → when its user was told it is over
 	used   map[string]float64        // team → GPUs
 	inZone map[string]map[string]int // job → zone → tasks
 }
 
 func newChecker(w *World) *checker {
-	return &checker{w: w, on: map[string][]*wtask{}, begun: map[string]int64{}, killed: map[string]int64{}, ended: map[string]int64{},
+	return &checker{w: w, on: map[string][]*wtask{}, begun: map[string]micros.Micros{}, killed: map[string]micros.Micros{}, ended: map[string]micros.Micros{},
 		used: map[string]float64{}, inZone: map[string]map[string]int{}}
 }
 
@@ -55,7 +56,7 @@
 			}
 		}
 	}
-	if at, ok := c.killed[t.job]; ok && c.w.now > at+int64(c.w.sc.CancelS*float64(second)) {
+	if at, ok := c.killed[t.job]; ok && c.w.now > at+micros.FromSeconds(c.w.sc.CancelS) {
 		c.breaks("ran_cancelled", t.id+" started")
 	}
 	spec := c.w.truth[t.job].spec(0)
@@ -75,7 +76,7 @@
 func (c *checker) zonesAndQuota(t *wtask, spec api.Job, zone string) {
 	inZone, used := c.inZone[t.job], c.used[spec.Team]
 	if spec.OneZone && len(inZone) > 1 {
-		c.breaks("wrong_place", t.id+" in a second zone")
+		c.breaks("wrong_place", t.id+" in a micros.Second zone")
 	}
 	if spec.Spread && inZone[zone] > (spec.Tasks+1)/2 {
 		c.breaks("wrong_place", t.id+" makes too many in its zone")
@@ -147,7 +148,7 @@
 			if h := c.w.holder(c.w.sc.partOf(u)); h != nil && (h.refused || h.watchHangs || h.cut["store"] || h.cut["all"]) {
 				c.w.happened("cancellations that the holder can't see")
 			}
-			c.w.after(int64(c.w.sc.CancelS*float64(second)), func() {
+			c.w.after(micros.FromSeconds(c.w.sc.CancelS), func() {
 				for n := range max(1, u.job.Tasks) {
 					if id := fmt.Sprintf("%s/%d", u.id, n); len(c.on[id]) > 0 {
 						c.breaks("ran_cancelled", id+" is still on "+c.on[id][0].w.name)
@@ -209,11 +210,11 @@
 // cancelled.
 func (c *checker) longCancelled(u *user) bool {
 	at, ok := c.killed[u.id]
-	return ok && c.w.now > at+int64(c.w.sc.CancelS*float64(second))
+	return ok && c.w.now > at+micros.FromSeconds(c.w.sc.CancelS)
 }
 
 // atEnd checks what the scenario expects.
-func (c *checker) atEnd(start int64) {
+func (c *checker) atEnd(start micros.Micros) {
 	if c.starts == 0 {
 		c.breaks("nothing_ran", "no task was started")
 	}
@@ -267,7 +268,7 @@
 }
 
 // expected checks what became of one job, and when.
-func (c *checker) expected(e Expected, id string, start int64) {
+func (c *checker) expected(e Expected, id string, start micros.Micros) {
 	for _, u := range c.w.users {
 		if u.id != id {
 			continue
@@ -277,8 +278,8 @@
 		}
 		if u.told != e.State {
 			c.breaks("expected", fmt.Sprintf("%s %s, is %q", id, e.State, u.told))
-		} else if e.ByS > 0 && u.finalAt > start+int64(e.ByS*float64(second)) {
-			c.breaks("expected", fmt.Sprintf("%s by %.0f s, came at %.1f", id, e.ByS, float64(u.finalAt-start)/float64(second)))
+		} else if e.ByS > 0 && u.finalAt > start+micros.FromSeconds(e.ByS) {
+			c.breaks("expected", fmt.Sprintf("%s by %.0f s, came at %.1f", id, e.ByS, (u.finalAt-start).Seconds()))
 		}
 	}
 }
@@ -286,9 +287,9 @@
 // known: once all troubles are over, no accepted job goes unanswered for 75 s.
 func (c *checker) known() {
 	for _, u := range c.w.users {
-		from := max(u.heard, c.w.calm, u.sent+5*second)
-		if u.accepted && u.final == "" && c.w.now > from+75*second {
-			c.breaks("forgotten", fmt.Sprintf("%s: no question answered for %.0f s", u.id, float64(c.w.now-from)/float64(second)))
+		from := max(u.heard, c.w.calm, u.sent+5*micros.Second)
+		if u.accepted && u.final == "" && c.w.now > from+75*micros.Second {
+			c.breaks("forgotten", fmt.Sprintf("%s: no question answered for %.0f s", u.id, (c.w.now-from).Seconds()))
 		}
 	}
 }
@@ -307,7 +308,7 @@
 		if u.roomSince == 0 {
 			u.roomSince = c.w.now
 		}
-		if c.w.now > u.roomSince+90*second {
+		if c.w.now > u.roomSince+90*micros.Second {
 			c.breaks("starved", u.id+" waits for 90 s beside room")
 			u.roomSince = c.w.now
 		}
@@ -395,7 +396,7 @@
 		began, ok := c.begun[u.id]
 		if u.job.Tasks == largest[spec.Class] {
 			groups = append(groups, "largest of "+spec.Class)
-			if at := c.readyAt(u) + 240*second; c.w.now > at && (!ok || began > at) {
+			if at := c.readyAt(u) + 240*micros.Second; c.w.now > at && (!ok || began > at) {
 				c.breaks("late", u.id+" had not begun after four minutes")
 			}
 		}
@@ -430,7 +431,7 @@
 }
 
 // readyAt is when a job could begin: once all that it needs was over.
-func (c *checker) readyAt(u *user) int64 {
+func (c *checker) readyAt(u *user) micros.Micros {
 	ready := u.sent
 	for _, o := range u.needs {
 		at, ok := c.ended[o.id]
--- a/internal/simulation/digest_test.go
+++ b/internal/simulation/digest_test.go
@@ -17,6 +17,7 @@
 	"spurmoor/internal/api"
 	"spurmoor/internal/core"
 	"spurmoor/internal/leadership"
+	"spurmoor/internal/micros"
 	"spurmoor/internal/peer"
 )
 
@@ -103,7 +104,7 @@
 		return ""
 	}
 	sum := sha256.New()
-	observe := func(at int64, node string, effect core.Effect) { hashEffect(sum, at, node, effect) }
+	observe := func(at micros.Micros, node string, effect core.Effect) { hashEffect(sum, at, node, effect) }
 	if _, _, err := playObserved(sc, observe); err != nil {
 		t.Error(err)
 	}
@@ -112,7 +113,7 @@
 
 // hashEffect adds one effect by its values, so that renamed types and fields
 // leave the digest as it is.
-func hashEffect(sum hash.Hash, at int64, node string, effect core.Effect) {
+func hashEffect(sum hash.Hash, at micros.Micros, node string, effect core.Effect) {
 	add := func(kind string, values ...any) {
 		text, err := json.Marshal(values)
 		if err != nil {
--- a/internal/simulation/effects.go
+++ b/internal/simulation/effects.go
@@ -5,13 +5,14 @@
 
 	"spurmoor/internal/core"
 	"spurmoor/internal/leadership"
+	"spurmoor/internal/micros"
 )
 
 // Time after which a call without an answer is given up.
 const (
-	storeWait   = 5 * second / 2
-	cloudWait   = 5 * second
-	commandWait = 3 * second
+	storeWait   = 5 * micros.Second / 2
+	cloudWait   = 5 * micros.Second
+	commandWait = 3 * micros.Second
 )
 
 // effect carries out what a controller decided.
@@ -62,7 +63,7 @@
 
 func (w *World) storeCall(n *node, v core.StoreCall) {
 	back := w.once(n)
-	w.after(storeWait+int64(v.WaitMs)*second/1000, func() { back(&core.StoreReply{Call: v.Call}) })
+	w.after(storeWait+micros.FromMilliseconds(v.WaitMs), func() { back(&core.StoreReply{Call: v.Call}) })
 	if v.Op != core.OpTransaction {
 		w.storeSend(n, v, back)
 		return
@@ -76,9 +77,9 @@
 	if w.txn(n, v) {
 		return
 	}
-	late := int64(0)
+	late := micros.Micros(0)
 	if v.Op == core.OpTransaction && w.rng.Float64() < w.sc.Late {
-		late = w.rng.Int64N(8 * second)
+		late = micros.Random(w.rng, 8*micros.Second)
 	}
 	w.after(late, func() {
 		w.carry(n, "store", func() {
@@ -112,13 +113,13 @@
 
 // cloudSend carries a request to the cloud.
 func (w *World) cloudSend(n *node, v core.CloudCall, back func(core.Input)) {
-	w.after(second/5, func() {
+	w.after(micros.Second/5, func() {
 		w.carry(n, "cloud", func() {
 			r := w.cloud.call(n, v)
 			if v.Op == core.OpLaunch || v.Op == core.OpDelete {
 				w.again(func() { w.cloud.call(n, v) })
 			}
-			w.after(second/20, func() {
+			w.after(micros.Second/20, func() {
 				w.carry(n, "cloud", func() { back(r) })
 			})
 		})
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -6,6 +6,7 @@
 
 	"spurmoor/internal/api"
 	"spurmoor/internal/core"
+	"spurmoor/internal/micros"
 )
 
 // fault carries out one trouble.
@@ -17,7 +18,7 @@
 		}
 	}
 	w.say("FAULT %s %s for %.1f s", f.Kind, n.name, f.ForS)
-	lasts := int64(f.ForS * float64(second))
+	lasts := micros.FromSeconds(f.ForS)
 	if w.trouble(f, n, lasts) || w.nodeFault(f, n, lasts) || w.serviceFault(f, lasts) || w.breach(f, n) {
 		return
 	}
@@ -32,7 +33,7 @@
 }
 
 // nodeFault carries out a trouble of controllers, if it is one.
-func (w *World) nodeFault(f Fault, n *node, lasts int64) bool {
+func (w *World) nodeFault(f Fault, n *node, lasts micros.Micros) bool {
 	kind, arg, _ := strings.Cut(f.Kind, ":")
 	switch kind {
 	case "crash":
@@ -42,7 +43,7 @@
 			w.crash(n, lasts)
 		}
 	case "blink":
-		w.end(n, func() int64 { return second/20 + w.rng.Int64N(second/4) })
+		w.end(n, func() micros.Micros { return micros.Second/20 + micros.Random(w.rng, micros.Second/4) })
 	case "upgrade": // back with settings that name the next limits
 		n.announced = true
 		w.crash(n, lasts)
@@ -67,7 +68,7 @@
 }
 
 // serviceFault carries out a trouble of the state service or the cloud, if it is one.
-func (w *World) serviceFault(f Fault, lasts int64) bool {
+func (w *World) serviceFault(f Fault, lasts micros.Micros) bool {
 	switch f.Kind {
 	case "store_outage":
 		w.store.outage(lasts)
@@ -93,14 +94,14 @@
 }
 
 // crash ends a controller, and starts it again after a time.
-func (w *World) crash(n *node, lasts int64) {
+func (w *World) crash(n *node, lasts micros.Micros) {
 	if n.up {
-		w.end(n, func() int64 { return max(lasts, second/5) })
+		w.end(n, func() micros.Micros { return max(lasts, micros.Second/5) })
 	}
 }
 
 // end ends a controller's process, and starts it again after what back gives.
-func (w *World) end(n *node, back func() int64) {
+func (w *World) end(n *node, back func() micros.Micros) {
 	n.up = false
 	n.epoch++
 	w.after(back(), func() {
@@ -111,7 +112,7 @@
 }
 
 // cutOff cuts a controller off from a party for a time.
-func (w *World) cutOff(n *node, what string, hold bool, lasts int64) {
+func (w *World) cutOff(n *node, what string, hold bool, lasts micros.Micros) {
 	n.cut[what], n.hold = true, hold
 	w.after(lasts, func() {
 		n.cut[what] = false
@@ -124,7 +125,7 @@
 }
 
 // cutOffZone cuts a zone off from all that is outside it.
-func (w *World) cutOffZone(zone string, lasts int64) {
+func (w *World) cutOffZone(zone string, lasts micros.Micros) {
 	w.cutZone = zone
 	for _, n := range w.nodes {
 		if n.zone() != zone {
@@ -145,7 +146,7 @@
 }
 
 // freeze has a controller stand still while its clock runs on.
-func (w *World) freeze(n *node, lasts int64) {
+func (w *World) freeze(n *node, lasts micros.Micros) {
 	epoch := n.epoch
 	n.frozen = true
 	w.after(lasts, func() {
@@ -202,7 +203,7 @@
 }
 
 // machineFault carries out a trouble of the machine with most tasks.
-func (w *World) machineFault(kind, zone string, lasts int64) {
+func (w *World) machineFault(kind, zone string, lasts micros.Micros) {
 	if kind == "late_rental" {
 		w.cloud.rent(&api.LaunchRequest{Name: "late", Type: w.sc.Types[0].Name, Zone: zones[0], Count: 1})
 		return
@@ -230,9 +231,9 @@
 		busy.sick = true
 		w.after(lasts, func() { busy.sick = false })
 	case "spot_notice":
-		busy.noticeAt = w.now + 8*second
+		busy.noticeAt = w.now + 8*micros.Second
 		busy.changed()
-		w.after(8*second, busy.die)
+		w.after(8*micros.Second, busy.die)
 	}
 }
 
--- a/internal/simulation/freezes_test.go
+++ b/internal/simulation/freezes_test.go
@@ -10,6 +10,7 @@
 
 	"spurmoor/internal/history"
 	"spurmoor/internal/leadership"
+	"spurmoor/internal/micros"
 )
 
 var (
@@ -48,7 +49,7 @@
 			t.Errorf("seed %d: %v %q", seed, err, broken)
 			continue
 		}
-		frozenAt := w.begun + int64(at*float64(second))
+		frozenAt := w.begun + micros.FromSeconds(at)
 		sum.add(w, frozenAt, first)
 	}
 	t.Logf("from the freeze to the next holder's first order: %s", first)
@@ -61,11 +62,11 @@
 }
 
 // add counts a day's, and takes the time to the next holder's first order.
-func (s *staleCount) add(w *World, frozenAt int64, first *history.Distribution) {
+func (s *staleCount) add(w *World, frozenAt micros.Micros, first *history.Distribution) {
 	s.Freezes++
 	s.StoppedAtTheGate += w.seen["orders refused at the gate"]
 	var before uint64
-	taken := int64(0)
+	taken := micros.Micros(0)
 	for _, o := range w.orders {
 		if o.duty != leadership.PartitionRole(0).String() {
 			continue
@@ -115,7 +116,7 @@
 			return o.sender != holder && o.duty == leadership.PartitionRole(0).String() && o.came.After(at)
 		}
 		l.until("another gives an order", func() bool { return len(l.relay.seen(order)) > 0 })
-		first.Add(l.relay.seen(order)[0].came.Sub(at).Microseconds())
+		first.Add(micros.Micros(l.relay.seen(order)[0].came.Sub(at).Microseconds()))
 		if err := l.procs[holder].Process.Signal(syscall.SIGCONT); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/simulation/frozen_holder_test.go
+++ b/internal/simulation/frozen_holder_test.go
@@ -10,6 +10,7 @@
 
 	"spurmoor/internal/api"
 	"spurmoor/internal/leadership"
+	"spurmoor/internal/micros"
 )
 
 // everyAction lists what orders can do.
@@ -153,7 +154,7 @@
 		for _, wk := range l.w.workers {
 			if wk.up && !wk.gone && wk.node == node && wk.idle() && !found {
 				found = true
-				wk.noticeAt = l.w.now + 300*second
+				wk.noticeAt = l.w.now + 300*micros.Second
 			}
 		}
 	})
--- a/internal/simulation/loopback_test.go
+++ b/internal/simulation/loopback_test.go
@@ -22,6 +22,7 @@
 	"spurmoor/internal/api"
 	"spurmoor/internal/core"
 	"spurmoor/internal/leadership"
+	"spurmoor/internal/micros"
 	"spurmoor/internal/settings"
 )
 
@@ -199,7 +200,7 @@
 
 // catchUp brings the world to the present; the caller holds mu.
 func (l *loopback) catchUp() {
-	l.w.run(1_700_000_000*second + time.Since(l.begun).Microseconds())
+	l.w.run(1_700_000_000*micros.Second + micros.Micros(time.Since(l.begun).Microseconds()))
 }
 
 func (l *loopback) do(f func()) {
@@ -463,7 +464,7 @@
 func (l *loopback) pipeline() {
 	l.t.Helper()
 	first := l.submit(30, Job{Tasks: 1, RunS: 600, Team: "sur"})
-	second := l.submit(31, Job{Tasks: 2, RunS: 20, Team: "oeste", Needs: []int{30}})
+	secondRequest := l.submit(31, Job{Tasks: 2, RunS: 20, Team: "oeste", Needs: []int{30}})
 	third := l.submit(32, Job{Tasks: 1, RunS: 5, Team: "norte", Needs: []int{31, 30}, DeadlineS: 60, Priority: "urgent"})
 	l.until("it is said what "+third+" waits for, and that it will be late", func() bool {
 		s, raw := l.ask("GET", 1, "/why/"+third, nil)
@@ -474,7 +475,7 @@
 		s, _ := l.ask("POST", 0, "/work", submission(Job{RunS: 1, Needs: []int{10}}.spec(33)))
 		return s == 422
 	})
-	l.cancel(second, 2)
+	l.cancel(secondRequest, 2)
 	l.becomes(third, 0, api.JobCancelled)
 	l.becomes(l.submit(34, Job{RunS: 1, Needs: []int{32, 30}}), 1, api.JobCancelled)
 	l.cancel(first, 0)
--- a/internal/simulation/orders.go
+++ b/internal/simulation/orders.go
@@ -8,11 +8,12 @@
 	"spurmoor/internal/api"
 	"spurmoor/internal/core"
 	"spurmoor/internal/leadership"
+	"spurmoor/internal/micros"
 )
 
 // order is an order as it arrived at a stand-in.
 type order struct {
-	at      int64
+	at      micros.Micros
 	sender  string
 	duty    string
 	term    uint64
@@ -52,7 +53,7 @@
 
 // agreeWithin is how long after the start controllers may take to learn that all of them
 // know the records of duties.
-const agreeWithin = 10 * second
+const agreeWithin = 10 * micros.Second
 
 // rentalArrived checks that a rental is recorded when it arrives first.
 func (w *World) rentalArrived(o order) {
@@ -76,7 +77,7 @@
 
 // commandsStale is how long after they were decided commands may leave a process, as in
 // internal/server: a job may have been cancelled elsewhere since.
-const commandsStale = second
+const commandsStale = micros.Second
 
 // depart lets an order leave a controller's process: after it waited for a connection
 // there, and not while the process stands still. What its grant does not permit by
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -26,9 +26,9 @@
 	CancelS       float64    `toml:"cancel_s"`
 	ReportS       float64    `toml:"report_s"`
 	TxnOps        int        `toml:"txn_ops"`
-	RPS           float64    `toml:"rps"` // requests a second that the state service admits
+	RPS           float64    `toml:"rps"` // requests a micros.Second that the state service admits
 	ValueKB       float64    `toml:"value_kb"`
-	WriteRPS      float64    `toml:"write_rps"`    // changes a second
+	WriteRPS      float64    `toml:"write_rps"`    // changes a micros.Second
 	Lost          float64    `toml:"lost"`         // share of the state service's answers that never arrive
 	Late          float64    `toml:"late"`         // share of requests to it carried out seconds late
 	Copies        float64    `toml:"copies"`       // share of reports of which a copy comes later, up to two leases
--- a/internal/simulation/services.go
+++ b/internal/simulation/services.go
@@ -8,6 +8,7 @@
 	"spurmoor/internal/api"
 	"spurmoor/internal/core"
 	"spurmoor/internal/leadership"
+	"spurmoor/internal/micros"
 )
 
 const keptChanges = 150
@@ -21,7 +22,7 @@
 	trimmed uint64 // changes up to this revision are not kept
 	leases  map[uint64]*hold
 	lease   uint64
-	down    int64 // until when
+	down    micros.Micros // until when
 	watch   []*watcher
 	reqs    meter
 	changes meter
@@ -30,13 +31,13 @@
 // meter admits so many a second, with bursts of a second's worth.
 type meter struct {
 	level, rate float64
-	at          int64
+	at          micros.Micros
 	sum         int // admitted in all
 	refused     int
 }
 
-func (m *meter) admit(now int64, n int) bool {
-	m.level = min(m.rate, m.level+m.rate*float64(now-m.at)/float64(second))
+func (m *meter) admit(now micros.Micros, n int) bool {
+	m.level = min(m.rate, m.level+m.rate*(now-m.at).Seconds())
 	m.at = now
 	if float64(n) > m.level {
 		m.refused++
@@ -54,8 +55,8 @@
 }
 
 type hold struct {
-	ttl int64
-	end int64
+	ttl micros.Micros
+	end micros.Micros
 }
 
 type watcher struct {
@@ -68,12 +69,12 @@
 func newStore(w *World) *store {
 	s := &store{w: w, keys: map[string]*value{}, leases: map[uint64]*hold{}}
 	s.reqs.rate, s.changes.rate = w.sc.RPS, w.sc.WriteRPS
-	w.every(second/20, s.expire)
+	w.every(micros.Second/20, s.expire)
 	return s
 }
 
 // outage refuses everyone; after it every lease has its full time once more.
-func (s *store) outage(d int64) {
+func (s *store) outage(d micros.Micros) {
 	s.down = s.w.now + d
 	for _, h := range s.leases {
 		h.end = s.down + h.ttl
@@ -184,7 +185,7 @@
 		s.list(v.Key, r)
 	case core.OpGrantLease:
 		s.lease++
-		s.leases[s.lease] = &hold{v.TTLMs * second / 1000, s.w.now + v.TTLMs*second/1000}
+		s.leases[s.lease] = &hold{micros.FromMilliseconds(int(v.TTLMs)), s.w.now + micros.FromMilliseconds(int(v.TTLMs))}
 		r.Lease = s.lease
 	case core.OpRenewLease:
 		if h := s.leases[v.Lease]; h != nil {
@@ -245,7 +246,7 @@
 		reply(got)
 	}}
 	s.watch = append(s.watch, x)
-	s.w.after(int64(v.WaitMs)*second/1000, func() {
+	s.w.after(micros.FromMilliseconds(v.WaitMs), func() {
 		if !x.done && s.w.now >= s.down && !n.refused {
 			x.done = true
 			x.reply(&core.StoreReply{Status: 200, Watch: s.events(x.since)})
@@ -294,7 +295,7 @@
 	empty bool
 	calls int
 	// While boots are in trouble some machines never come up, the others late or at once.
-	bootsUntil           int64
+	bootsUntil           micros.Micros
 	bootFail, bootFactor float64
 }
 
@@ -330,7 +331,7 @@
 		c.w.arrivedUnder(n, v.Delete.Grant(), "", c.delete(v.Delete.Body()))
 	case core.OpListInstances:
 		for _, wk := range c.w.workers {
-			if wk.gone || wk.name <= v.After || c.w.now < wk.born+5*second {
+			if wk.gone || wk.name <= v.After || c.w.now < wk.born+5*micros.Second {
 				continue
 			}
 			state := api.InstanceBooting
@@ -338,7 +339,7 @@
 				state = api.JobRunning
 			}
 			r.Instances.Instances = append(r.Instances.Instances, api.Instance{ID: wk.name, Address: wk.addr, Type: wk.typ.Name,
-				Zone: wk.zone, Spot: wk.spot, State: state, AgeS: float64(c.w.now-wk.born) / float64(second)})
+				Zone: wk.zone, Spot: wk.spot, State: state, AgeS: (c.w.now - wk.born).Seconds()})
 		}
 	}
 	return r
--- a/internal/simulation/troubles.go
+++ b/internal/simulation/troubles.go
@@ -6,6 +6,7 @@
 
 	"spurmoor/internal/api"
 	"spurmoor/internal/core"
+	"spurmoor/internal/micros"
 )
 
 // Troubles that the users name beside the plain ones of world.go: requests to the
@@ -16,7 +17,7 @@
 // share is a trouble that befalls a share of something until a time.
 type share struct {
 	of    float64
-	until int64
+	until micros.Micros
 	kind  string // "", "at_once" or "for_next"
 }
 
@@ -26,7 +27,7 @@
 func (w *World) happened(what string) { w.seen[what]++ }
 
 // trouble begins one of these; it tells whether it knows it.
-func (w *World) trouble(f Fault, n *node, lasts int64) bool {
+func (w *World) trouble(f Fault, n *node, lasts micros.Micros) bool {
 	until := w.now + lasts
 	of := f.Share
 	if of == 0 {
@@ -48,7 +49,7 @@
 	case "odd_requests":
 		w.oddRequests(until)
 	case "cancel_now":
-		w.cancelNow(max(1, f.Count), int64(f.HangS*float64(second)))
+		w.cancelNow(max(1, f.Count), micros.FromSeconds(f.HangS))
 	case "watch_hangs": // its connection: what else the node asks is answered
 		n.watchHangs = true
 		w.after(lasts, func() { n.watchHangs = false })
@@ -75,7 +76,7 @@
 		return true
 	}
 	w.happened("late writes")
-	w.after(2*second+w.rng.Int64N(10*second), func() { w.carry(n, "store", do) })
+	w.after(2*micros.Second+micros.Random(w.rng, 10*micros.Second), func() { w.carry(n, "store", do) })
 	return true
 }
 
@@ -100,7 +101,7 @@
 		})
 		return
 	}
-	w.after(2*second+w.rng.Int64N(int64(1.8*w.sc.LeaseS*float64(second))), func() {
+	w.after(2*micros.Second+micros.Random(w.rng, micros.FromSeconds(1.8*w.sc.LeaseS)), func() {
 		w.happened("late reports")
 		deliver(w.nodes[w.rng.IntN(3)])
 	})
@@ -119,13 +120,13 @@
 	kept := w.forNext
 	w.forNext = nil
 	for _, do := range kept {
-		w.after(second/100, do)
+		w.after(micros.Second/100, do)
 	}
 }
 
 // cancelNow has the users of jobs that run and have long to go call them off
 // within a fifth of a second; up to eight of their machines then hang.
-func (w *World) cancelNow(count int, hang int64) {
+func (w *World) cancelNow(count int, hang micros.Micros) {
 	hung := 0
 	for _, u := range w.users {
 		if count == 0 {
@@ -138,7 +139,7 @@
 		count--
 		w.happened("cancelled while they ran")
 		u.calledOff = true
-		w.after(w.rng.Int64N(second/5), u.cancel)
+		w.after(micros.Random(w.rng, micros.Second/5), u.cancel)
 		for _, wk := range on {
 			if hang > 0 && hung < 8 && !wk.hung && !wk.gone {
 				hung++
@@ -155,7 +156,7 @@
 	var on []*worker
 	for n := range max(1, u.job.Tasks) {
 		for _, t := range w.check.on[fmt.Sprintf("%s/%d", u.id, n)] {
-			long := u.job.Kind == api.Service || w.now-t.runFrom < int64(u.job.RunS*float64(second))/2
+			long := u.job.Kind == api.Service || w.now-t.runFrom < micros.FromSeconds(u.job.RunS)/2
 			if t.state == api.JobRunning && long {
 				on = append(on, t.w)
 			}
@@ -169,7 +170,7 @@
 func (w *World) ends(job string) {
 	if u := w.byID[job]; u != nil && !u.asked && w.check.complete(u) {
 		// Three seconds later its user expects to be told so.
-		w.after(3*second, func() {
+		w.after(3*micros.Second, func() {
 			u.ask(w.nodes[w.rng.IntN(3)], func(req uint64) core.Input { return core.GetStatus{RequestID: req, ID: u.id} }, func(a core.Answer, _ bool, _ string) {
 				if s, ok := a.Body.(api.JobStatus); ok && !u.asked && s.State != api.JobDone {
 					w.happened("ends told late")
@@ -180,7 +181,7 @@
 	if u := w.byID[job]; u != nil && !u.asked && u.final == "" && w.check.complete(u) && w.cancelAtEnd.hits(w) {
 		w.happened("cancelled at the end")
 		u.calledOff = true
-		w.after(w.rng.Int64N(2)*w.rng.Int64N(3*second), u.cancel)
+		w.after(micros.Micros(w.rng.Int64N(2))*micros.Random(w.rng, 3*micros.Second), u.cancel)
 	}
 }
 
@@ -192,10 +193,10 @@
 		return
 	}
 	accepted, final := u.accepted, u.final
-	w.after(w.rng.Int64N(second/500), func() {
+	w.after(micros.Random(w.rng, micros.Second/500), func() {
 		if n.up {
 			w.request(n, in, func(a core.Answer) {
-				w.after(w.rng.Int64N(second/500), func() { f(a, accepted, final) })
+				w.after(micros.Random(w.rng, micros.Second/500), func() { f(a, accepted, final) })
 			})
 		}
 	})
@@ -208,7 +209,7 @@
 	if w.now >= w.looksUntil {
 		return
 	}
-	for _, d := range []int64{0, second / 500, second / 50, second / 4} {
+	for _, d := range []micros.Micros{0, micros.Second / 500, micros.Second / 50, micros.Second / 4} {
 		for _, n := range w.nodes {
 			w.after(d, func() {
 				w.happened("close looks")
@@ -222,14 +223,14 @@
 // oddRequests has users repeat submissions of unfinished jobs with another body,
 // cancel jobs that are done or were never accepted, and send jobs that fit
 // nowhere, lack a field or have one of the wrong type.
-func (w *World) oddRequests(until int64) {
+func (w *World) oddRequests(until micros.Micros) {
 	stranger := 900000
 	var again func()
 	again = func() {
 		if w.now >= until {
 			return
 		}
-		w.after(second/2, again)
+		w.after(micros.Second/2, again)
 		n := w.nodes[w.rng.IntN(3)]
 		stranger++
 		x := &user{w: w, id: fmt.Sprintf("wk-%06d", stranger)}
@@ -292,8 +293,8 @@
 func (c *checker) ordered(n *node, cmds []api.Command) {
 	for _, o := range cmds {
 		job, _, _ := strings.Cut(o.Task, "/")
-		if at, ok := c.killed[job]; ok && o.Op == api.CommandStart && c.w.now > at+5*second {
-			c.breaks("start_told_late", fmt.Sprintf("%s by %s, %.1f s after its cancellation was told", o.Task, n.name, float64(c.w.now-at)/float64(second)))
+		if at, ok := c.killed[job]; ok && o.Op == api.CommandStart && c.w.now > at+5*micros.Second {
+			c.breaks("start_told_late", fmt.Sprintf("%s by %s, %.1f s after its cancellation was told", o.Task, n.name, (c.w.now-at).Seconds()))
 		}
 	}
 }
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -3,6 +3,7 @@
 import (
 	"spurmoor/internal/api"
 	"spurmoor/internal/core"
+	"spurmoor/internal/micros"
 )
 
 // user stands in for the owner of one job.
@@ -14,17 +15,17 @@
 	needs     []*user
 	accepted  bool
 	final     string
-	finalAt   int64
+	finalAt   micros.Micros
 	told      string
 	asked     bool // to cancel
 	calledOff bool // by a trouble, not by the scenario
 	tries     int
-	sent      int64
-	roomSince int64 // since when it waits though there is room for it
-	heard     int64 // when a question about it was last answered
+	sent      micros.Micros
+	roomSince micros.Micros // since when it waits though there is room for it
+	heard     micros.Micros // when a question about it was last answered
 }
 
-func (w *World) addUser(j Job, n int, at int64) {
+func (w *World) addUser(j Job, n int, at micros.Micros) {
 	spec := j.spec(n)
 	j.Kind = spec.Kind
 	u := &user{w: w, id: spec.ID, body: submission(spec), job: j}
@@ -37,7 +38,7 @@
 	begin = func() {
 		for _, o := range u.needs {
 			if !o.accepted || j.Late && o.final == "" {
-				w.after(second/5, begin) // named only once accepted
+				w.after(micros.Second/5, begin) // named only once accepted
 				return
 			}
 		}
@@ -47,7 +48,7 @@
 	}
 	w.at(at, begin)
 	if j.CancelAtS > 0 {
-		w.at(at+int64(j.CancelAtS*float64(second)), u.cancel)
+		w.at(at+micros.FromSeconds(j.CancelAtS), u.cancel)
 	}
 }
 
@@ -57,7 +58,7 @@
 	w := u.w
 	n := w.nodes[w.rng.IntN(3)]
 	answered := false
-	w.after(5*second, func() {
+	w.after(5*micros.Second, func() {
 		if !answered {
 			answered = true
 			f(nil)
@@ -86,14 +87,14 @@
 		u.w.check.submitted(u, a, final)
 		if a == nil || a.Status != 200 && a.Status != 201 {
 			if a == nil || a.Status >= 429 {
-				u.w.after(second+u.w.rng.Int64N(second), u.submit)
+				u.w.after(micros.Second+micros.Random(u.w.rng, micros.Second), u.submit)
 			}
 			return
 		}
 		if !u.accepted {
 			u.accepted = true
 			u.closeLooks()
-			u.w.after(5*second, u.poll)
+			u.w.after(5*micros.Second, u.poll)
 			u.w.again(u.submit)
 		}
 	})
@@ -109,14 +110,14 @@
 			u.w.check.polled(u, a)
 		}
 		if u.final == "" {
-			u.w.after(5*second, u.poll)
+			u.w.after(5*micros.Second, u.poll)
 			return
 		}
 		// It may ask again at any later time, and a late copy of the
 		// submission may arrive.
 		if u.tries++; u.tries < 8 {
-			u.w.after(10*second, u.poll)
-			u.w.after(second, u.submit)
+			u.w.after(10*micros.Second, u.poll)
+			u.w.after(micros.Second, u.submit)
 		}
 	})
 }
@@ -131,7 +132,7 @@
 			return
 		}
 		if a == nil || a.Status != 404 || !accepted {
-			u.w.after(second, u.cancel)
+			u.w.after(micros.Second, u.cancel)
 		} else {
 			u.w.check.breaks("forgotten", u.id+" at its cancellation")
 		}
--- a/internal/simulation/versions_test.go
+++ b/internal/simulation/versions_test.go
@@ -12,6 +12,7 @@
 
 	"spurmoor/internal/api"
 	"spurmoor/internal/core"
+	"spurmoor/internal/micros"
 	"spurmoor/internal/peer"
 )
 
@@ -47,8 +48,8 @@
 			SaveS       float64  `json:"GuardadoS"`
 			DeadlineS   float64  `json:"PlazoS"`
 		} `json:"j"`
-		At        int64 `json:"a"`
-		Cancelled bool  `json:"x,omitzero"`
+		At        micros.Micros `json:"a"`
+		Cancelled bool          `json:"x,omitzero"`
 	}
 	prodFinal struct {
 		State string `json:"s"`
@@ -65,17 +66,17 @@
 			Machine string `json:"m,omitzero"`
 		} `json:"r,omitzero"`
 		Machines []struct {
-			Name  string `json:"n"`
-			Type  string `json:"t,omitzero"`
-			Zone  string `json:"z,omitzero"`
-			Spot  bool   `json:"s,omitzero"`
-			Home  int    `json:"h,omitzero"`
-			Cur   int    `json:"c,omitzero"`
-			At    int64  `json:"a,omitzero"`
-			Gone  bool   `json:"d,omitzero"`
-			Dead  bool   `json:"x,omitzero"`
-			Epoch uint64 `json:"e"`
-			Token uint64 `json:"k,omitzero"`
+			Name  string        `json:"n"`
+			Type  string        `json:"t,omitzero"`
+			Zone  string        `json:"z,omitzero"`
+			Spot  bool          `json:"s,omitzero"`
+			Home  int           `json:"h,omitzero"`
+			Cur   int           `json:"c,omitzero"`
+			At    micros.Micros `json:"a,omitzero"`
+			Gone  bool          `json:"d,omitzero"`
+			Dead  bool          `json:"x,omitzero"`
+			Epoch uint64        `json:"e"`
+			Token uint64        `json:"k,omitzero"`
 		} `json:"m,omitzero"`
 	}
 	prodHello struct {
@@ -109,12 +110,12 @@
 			t.Fatal(err)
 		}
 	}
-	w.every(second/10, func() {
+	w.every(micros.Second/10, func() {
 		for _, n := range w.nodes {
 			w.step(n, core.Tick{})
 		}
 	})
-	w.run(w.now + 300*second)
+	w.run(w.now + 300*micros.Second)
 	for id, want := range map[string]string{"wk-000001": api.JobDone, "wk-000002": api.JobDone, "wk-000003": api.JobDone,
 		"wk-000004": api.JobCancelled, "wk-000005": api.JobCancelled} {
 		got := ""
@@ -123,7 +124,7 @@
 				got = s.State
 			}
 		})
-		w.run(w.now + 3*second)
+		w.run(w.now + 3*micros.Second)
 		if got != want {
 			t.Errorf("%s is %q, want %q", id, got, want)
 		}
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -7,6 +7,7 @@
 
 	"spurmoor/internal/api"
 	"spurmoor/internal/core"
+	"spurmoor/internal/micros"
 )
 
 // worker stands in for a machine with its worker.
@@ -17,7 +18,7 @@
 	typ      api.MachineType
 	zone     string
 	spot     bool
-	born     int64
+	born     micros.Micros
 	up       bool
 	gone     bool
 	hung     bool
@@ -28,13 +29,13 @@
 	session  uint64
 	seq      uint64
 	token    uint64
-	leased   int64 // when the last answered report was sent
-	noticeAt int64
+	leased   micros.Micros // when the last answered report was sent
+	noticeAt micros.Micros
 	node     int
 	asking   int64 // number of the report in flight; 0: none
 	asks     int64
-	nextAt   int64
-	lastAt   int64
+	nextAt   micros.Micros
+	lastAt   micros.Micros
 	tasks    []*wtask
 	cached   map[string]bool
 }
@@ -48,8 +49,8 @@
 	why     string
 	saved   bool
 	on      bool
-	runFrom int64
-	base    int64 // progress that the run began with
+	runFrom micros.Micros
+	base    micros.Micros // progress that the run began with
 	epoch   int
 }
 
@@ -61,10 +62,10 @@
 		wk.addr = w.live.listen(wk)
 	}
 	w.byAddr[wk.addr] = wk
-	w.after(int64(t.BootS*(0.6+0.9*w.rng.Float64())*float64(second)), func() {
+	w.after(micros.FromSeconds(t.BootS*(0.6+0.9*w.rng.Float64())), func() {
 		if !wk.gone {
 			wk.up, wk.leased = true, w.now
-			w.every(second/10, wk.tick)
+			w.every(micros.Second/10, wk.tick)
 		}
 	})
 	return wk
@@ -94,7 +95,7 @@
 }
 
 func (wk *worker) expire() {
-	if !wk.gone && wk.w.now > wk.leased+int64(wk.w.sc.LeaseS*float64(second)) {
+	if !wk.gone && wk.w.now > wk.leased+micros.FromSeconds(wk.w.sc.LeaseS) {
 		wk.w.say("%s lease expired", wk.name)
 		wk.blink()
 	}
@@ -138,13 +139,13 @@
 }
 
 // changed brings the next report forward.
-func (wk *worker) changed() { wk.nextAt = min(wk.nextAt, max(wk.w.now, wk.lastAt+second/2)) }
+func (wk *worker) changed() { wk.nextAt = min(wk.nextAt, max(wk.w.now, wk.lastAt+micros.Second/2)) }
 
 func (wk *worker) report() *api.Heartbeat {
 	wk.seq++
 	r := &api.Heartbeat{Machine: wk.name, Address: wk.addr, Type: wk.typ.Name, Zone: wk.zone, Spot: wk.spot, Incarnation: wk.session, Sequence: wk.seq, FencingToken: wk.token}
 	if wk.noticeAt > 0 {
-		s := float64(wk.noticeAt-wk.w.now) / float64(second)
+		s := (wk.noticeAt - wk.w.now).Seconds()
 		r.InterruptionNoticeS = &s
 	}
 	for _, t := range wk.tasks {
@@ -158,23 +159,23 @@
 	wk      *worker
 	node    *node
 	ask     int64
-	sent    int64
+	sent    micros.Micros
 	session uint64
 }
 
 // giveUpAfter is how long a worker waits for the answer to a report.
-const giveUpAfter = 4 * second
+const giveUpAfter = 4 * micros.Second
 
 func (wk *worker) send() {
 	w := wk.w
 	wk.asks++
 	s := &sending{wk: wk, node: w.nodes[wk.node], ask: wk.asks, sent: w.now, session: wk.session}
 	wk.asking, wk.lastAt = s.ask, w.now
-	every := int64(w.sc.ReportS * float64(second))
-	wk.nextAt = w.now + every*3/4 + w.rng.Int64N(every/2+1)
+	every := micros.FromSeconds(w.sc.ReportS)
+	wk.nextAt = w.now + every*3/4 + micros.Random(w.rng, every/2+1)
 	r := wk.report()
 	w.say("%s reports %d/%d to %s: %d tasks", wk.name, r.Incarnation, r.Sequence, s.node.name, len(r.Tasks))
-	w.after(giveUpAfter, func() { s.finish(w.now+second, (wk.node+1)%3) })
+	w.after(giveUpAfter, func() { s.finish(w.now+micros.Second, (wk.node+1)%3) })
 	w.copyLate(r)
 	wk.copyLater(r)
 	if w.live != nil {
@@ -185,9 +186,9 @@
 		w.happened("reports of mute machines")
 	}
 	if !s.node.up || wk.mute {
-		w.after(second/100, func() {
-			s.finish(w.now+second, (wk.node+1)%3)
-			wk.nextAt = max(wk.nextAt, w.now+second)
+		w.after(micros.Second/100, func() {
+			s.finish(w.now+micros.Second, (wk.node+1)%3)
+			wk.nextAt = max(wk.nextAt, w.now+micros.Second)
 		})
 		return
 	}
@@ -208,7 +209,7 @@
 		return
 	}
 	late := *r
-	w.after(second+w.rng.Int64N(int64(2*w.sc.LeaseS*float64(second))), func() {
+	w.after(micros.Second+micros.Random(w.rng, micros.FromSeconds(2*w.sc.LeaseS)), func() {
 		if n := w.nodes[w.rng.IntN(3)]; n.up && !n.cut["workers"] && !n.cut["all"] {
 			w.request(n, func(req uint64) core.Input { return core.WorkerHeartbeat{RequestID: req, Heartbeat: &late} }, func(core.Answer) {})
 		}
@@ -216,7 +217,7 @@
 }
 
 // finish ends the wait for the answer: the next report goes to a node by a time.
-func (s *sending) finish(next int64, node int) {
+func (s *sending) finish(next micros.Micros, node int) {
 	wk := s.wk
 	if wk.asking == s.ask {
 		wk.asking = 0
@@ -255,11 +256,11 @@
 func (s *sending) refused(a core.Answer) {
 	wk, w := s.wk, s.wk.w
 	other := (wk.node + 1) % 3
-	wait := second
+	wait := micros.Second
 	if d, ok := a.Body.(api.Redirect); ok && a.Status == 421 && d.To != "" && d.To != s.node.name {
 		for i, o := range w.nodes {
 			if o.name == d.To {
-				other, wait = i, w.rng.Int64N(second/2)
+				other, wait = i, micros.Random(w.rng, micros.Second/2)
 			}
 		}
 	}
@@ -328,9 +329,9 @@
 		return
 	}
 	wk.changed()
-	fetch := int64(truth.ImageGB * float64(second))
+	fetch := micros.FromSeconds(truth.ImageGB)
 	if wk.cached[spec.Image] {
-		fetch = second / 100
+		fetch = micros.Second / 100
 	}
 	t.later(fetch, func() {
 		wk.cached[spec.Image] = true
@@ -360,11 +361,11 @@
 		t.exit(api.JobDone)
 	case wk.sick || truth.Bad:
 		wk.w.happened("tasks that failed")
-		t.later(second, func() { t.exit(api.ExitFailed) })
+		t.later(micros.Second, func() { t.exit(api.ExitFailed) })
 	case truth.spec(0).Kind == api.Gang:
 		t.state = api.TaskWaiting
 		wk.changed()
-		t.later(40*second, func() {
+		t.later(40*micros.Second, func() {
 			if t.state == api.TaskWaiting {
 				t.exit(api.ExitAlone)
 			}
@@ -376,7 +377,7 @@
 }
 
 // later does something unless the task has ended or moved on by then.
-func (t *wtask) later(d int64, do func()) {
+func (t *wtask) later(d micros.Micros, do func()) {
 	epoch := t.epoch
 	t.w.w.after(d, func() {
 		t.w.awake(func() {
@@ -395,8 +396,8 @@
 		return
 	}
 	t.base = t.w.w.saved[t.key(truth)]
-	left := int64((truth.RunS+truth.StepS*t.index())*float64(second)) - t.base
-	t.later(max(left, second/10), func() { t.exit(api.JobDone) })
+	left := micros.FromSeconds((truth.RunS + truth.StepS*t.index())) - t.base
+	t.later(max(left, micros.Second/10), func() { t.exit(api.JobDone) })
 }
 
 // index is the task's number within its job.
@@ -451,7 +452,7 @@
 		t.state = api.Checkpointing
 		t.epoch++
 		t.w.changed()
-		t.later(int64(spec.CheckpointSaveS*float64(second)), func() {
+		t.later(micros.FromSeconds(spec.CheckpointSaveS), func() {
 			t.w.w.saved[t.key(truth)] = max(t.w.w.saved[t.key(truth)], t.base+done)
 			t.saved = true
 			t.exit(api.ExitStopped)
@@ -490,7 +491,7 @@
 	}
 	for _, m := range t.w.w.mates(t) {
 		if m != t && m.state == api.JobRunning {
-			m.later(2*second, func() { m.exit(api.ExitMatesGone) })
+			m.later(2*micros.Second, func() { m.exit(api.ExitMatesGone) })
 		}
 	}
 }
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -8,13 +8,12 @@
 
 	"spurmoor/internal/api"
 	"spurmoor/internal/core"
+	"spurmoor/internal/micros"
 )
 
-const second = core.Second
-
 // event is something that happens at a time; ties go by order of planning.
 type event struct {
-	at  int64
+	at  micros.Micros
 	seq int
 	do  func()
 }
@@ -59,15 +58,15 @@
 	queued     []core.Input // inputs that came meanwhile
 	asleep     []func()     // what was about to leave it meanwhile
 	// connectUntil: until then its orders wait for a connection.
-	connectUntil int64
-	begun        int64
+	connectUntil micros.Micros
+	begun        micros.Micros
 	clock        Clock
 }
 
 // time gives what the node's own clock says at a moment.
-func (n *node) time(now int64) int64 {
-	drift := int64(float64(now-n.begun) * n.clock.DriftPPM / 1e6)
-	return now + drift + int64(n.clock.AheadS*float64(second))
+func (n *node) time(now micros.Micros) micros.Micros {
+	drift := micros.Micros(float64(now-n.begun) * n.clock.DriftPPM / 1e6)
+	return now + drift + micros.FromSeconds(n.clock.AheadS)
 }
 
 func (n *node) zone() string { return zones[n.i%2] }
@@ -75,8 +74,8 @@
 // World is a day being played.
 type World struct {
 	sc        *Scenario
-	now       int64
-	begun     int64
+	now       micros.Micros
+	begun     micros.Micros
 	rng       *rand.Rand
 	q         queue
 	seq       int
@@ -88,27 +87,27 @@
 	users     []*user
 	byID      map[string]*user
 	check     *checker
-	saved     map[string]int64
+	saved     map[string]micros.Micros
 	results   map[string]bool
 	truth     map[string]Job
 	live      live
-	waiting   int    // peak of requests at a controller
-	pushing   int    // peak of its direct commands
-	machines  int    // peak of those up
-	slowUntil int64  // links are slow until then
-	cutZone   string // zone cut off from all others
+	waiting   int           // peak of requests at a controller
+	pushing   int           // peak of its direct commands
+	machines  int           // peak of those up
+	slowUntil micros.Micros // links are slow until then
+	cutZone   string        // zone cut off from all others
 	crossed   []func()
-	muted     string // job whose user gets no answers
-	calm      int64  // when the last trouble was over
+	muted     string        // job whose user gets no answers
+	calm      micros.Micros // when the last trouble was over
 	// what troubles.go brings about
 	lateWrites  share
 	lateReports share
 	cancelAtEnd share
-	looksUntil  int64
+	looksUntil  micros.Micros
 	forNext     []func() // reports kept for the next leader
 	leader      map[string]string
 	seen        map[string]int
-	observe     func(at int64, node string, effect core.Effect) // of every effect; may be nil
+	observe     func(at micros.Micros, node string, effect core.Effect) // of every effect; may be nil
 	Log         []string
 	orders      []order           // as they arrived at the stand-ins
 	terms       map[string]uint64 // highest under which an order took effect, by duty
@@ -121,8 +120,8 @@
 }
 
 func newWorld(sc *Scenario, l live) *World {
-	w := &World{sc: sc, now: 1_700_000_000 * second, rng: rand.New(rand.NewPCG(sc.Seed, 1)),
-		saved: map[string]int64{}, results: map[string]bool{}, truth: map[string]Job{}, live: l, byAddr: map[string]*worker{}, byID: map[string]*user{},
+	w := &World{sc: sc, now: 1_700_000_000 * micros.Second, rng: rand.New(rand.NewPCG(sc.Seed, 1)),
+		saved: map[string]micros.Micros{}, results: map[string]bool{}, truth: map[string]Job{}, live: l, byAddr: map[string]*worker{}, byID: map[string]*user{},
 		leader: map[string]string{}, seen: map[string]int{}, terms: map[string]uint64{}}
 	w.begun = w.now
 	w.check = newChecker(w)
@@ -139,7 +138,7 @@
 }
 
 // run does all that is due until a time.
-func (w *World) run(until int64) {
+func (w *World) run(until micros.Micros) {
 	for len(w.q) > 0 && w.q[0].at <= until {
 		e := heap.Pop(&w.q).(event)
 		w.now = e.at
@@ -152,7 +151,7 @@
 func Play(sc *Scenario) (*World, []string, error) { return playObserved(sc, nil) }
 
 // playObserved is Play with every effect of the cores shown to observe as well.
-func playObserved(sc *Scenario, observe func(at int64, node string, effect core.Effect)) (*World, []string, error) {
+func playObserved(sc *Scenario, observe func(at micros.Micros, node string, effect core.Effect)) (*World, []string, error) {
 	w := newWorld(sc, nil)
 	w.observe = observe
 	start := w.now
@@ -161,12 +160,12 @@
 			return nil, nil, err
 		}
 	}
-	w.every(second/10, func() {
+	w.every(micros.Second/10, func() {
 		for _, n := range w.nodes {
 			w.step(n, core.Tick{})
 		}
 	})
-	w.every(second, func() {
+	w.every(micros.Second, func() {
 		up := 0
 		for _, wk := range w.workers {
 			if wk.up && !wk.gone {
@@ -178,26 +177,26 @@
 	})
 	for _, j := range sc.Jobs {
 		for k := range max(1, j.Count) {
-			w.addUser(j, j.ID+k, start+int64((j.AtS+float64(k)*j.EveryS)*float64(second)))
+			w.addUser(j, j.ID+k, start+micros.FromSeconds((j.AtS+float64(k)*j.EveryS)))
 		}
 	}
 	for _, f := range sc.Faults {
-		w.calm = max(w.calm, start+int64((f.AtS+f.ForS)*float64(second)))
-		w.at(start+int64(f.AtS*float64(second)), func() { w.fault(f) })
+		w.calm = max(w.calm, start+micros.FromSeconds(f.AtS+f.ForS))
+		w.at(start+micros.FromSeconds(f.AtS), func() { w.fault(f) })
 	}
-	w.run(start + int64(sc.DurationS*float64(second)))
+	w.run(start + micros.FromSeconds(sc.DurationS))
 	w.check.atEnd(start)
 	return w, w.check.broken, nil
 }
 
-func (w *World) at(t int64, do func()) {
+func (w *World) at(t micros.Micros, do func()) {
 	w.seq++
 	heap.Push(&w.q, event{max(t, w.now), w.seq, do})
 }
 
-func (w *World) after(d int64, do func()) { w.at(w.now+d, do) }
+func (w *World) after(d micros.Micros, do func()) { w.at(w.now+d, do) }
 
-func (w *World) every(d int64, do func()) {
+func (w *World) every(d micros.Micros, do func()) {
 	var again func()
 	again = func() {
 		do()
@@ -207,7 +206,7 @@
 }
 
 func (w *World) say(format string, args ...any) {
-	w.Log = append(w.Log, fmt.Sprintf("%9.3f ", float64(w.now-1_700_000_000*second)/float64(second))+fmt.Sprintf(format, args...))
+	w.Log = append(w.Log, fmt.Sprintf("%9.3f ", (w.now-1_700_000_000*micros.Second).Seconds())+fmt.Sprintf(format, args...))
 }
 
 // boot starts a node's process anew; nothing of the old one remains.
@@ -254,22 +253,22 @@
 // Links that are slow: delays as between distant zones on a bad day, and packets
 // that are lost and resent.
 const (
-	slowDelay   = second * 2 / 5
+	slowDelay   = micros.Second * 2 / 5
 	slowLost    = 0.02
-	resendAfter = second
-	resendMost  = 2 * second
+	resendAfter = micros.Second
+	resendMost  = 2 * micros.Second
 )
 
 // latency is how long a packet takes.
-func (w *World) latency() int64 {
-	d := second/1000 + w.rng.Int64N(second/200)
+func (w *World) latency() micros.Micros {
+	d := micros.Second/1000 + micros.Random(w.rng, micros.Second/200)
 	if w.now >= w.slowUntil {
 		return d
 	}
-	d += w.rng.Int64N(slowDelay)
+	d += micros.Random(w.rng, slowDelay)
 	if w.rng.Float64() < slowLost {
 		w.happened("packets lost and resent")
-		d += resendAfter + w.rng.Int64N(resendMost-resendAfter)
+		d += resendAfter + micros.Random(w.rng, resendMost-resendAfter)
 	}
 	return d
 }
@@ -287,7 +286,7 @@
 // again carries a request out once more, long after the first time.
 func (w *World) again(do func()) {
 	if w.sc.Repeats > 0 && w.rng.Float64() < w.sc.Repeats {
-		w.after(second/2+w.rng.Int64N(int64(2*w.sc.LeaseS*float64(second))), do)
+		w.after(micros.Second/2+micros.Random(w.rng, micros.FromSeconds(2*w.sc.LeaseS)), do)
 	}
 }
 
