--- a/internal/core/apply.go
+++ b/internal/core/apply.go
@@ -8,22 +8,58 @@
 
 	"github.com/go-json-experiment/json"
 
+	"spurmoor/internal/api"
 	"spurmoor/internal/leadership"
 	"spurmoor/internal/micros"
-	"spurmoor/internal/scheduler"
 )
 
 func slotKey(part, slot int) string { return fmt.Sprintf("%s%d/%04d", logKey, part, slot) }
 
 // parseSlotKey reads a log slot's key.
 func (c *Controller) parseSlotKey(key string) (*partition, int) {
-	a, b, ok := strings.Cut(key[len(logKey):], "/")
-	i, err := strconv.Atoi(a)
-	slot, err2 := strconv.Atoi(b)
-	if !ok || err != nil || err2 != nil || i < 0 || i >= len(c.partitions) || slot < 0 {
+	partitionText, slotText, found := strings.Cut(key[len(logKey):], "/")
+	index, indexErr := strconv.Atoi(partitionText)
+	slot, slotErr := strconv.Atoi(slotText)
+	if !found || indexErr != nil || slotErr != nil || index < 0 || index >= len(c.partitions) || slot < 0 {
 		return nil, 0
 	}
-	return c.partitions[i], slot
+	return c.partitions[index], slot
+}
+
+// resetReplica forgets the replica, and with it all that was not committed.
+func (c *Controller) resetReplica() {
+	for _, p := range c.partitions {
+		if p.Leads() {
+			c.loseRole(p.RoleState, "everything is read again")
+			// Under a term of its own then: a copy of a flush that we forget
+			// here may still be carried out under this one.
+			c.incarnation++
+		}
+		p.Forget(c.now)
+		p.log = nil
+	}
+	c.forgetFleetRoles()
+	c.resetCluster()
+	c.resetDependencies()
+}
+
+// replaceAll takes in all live keys in place of what was known. Partitions come last:
+// a log is applied as long as its partition is not ours. The log's slots come in no
+// order: records and runs say which is later.
+func (c *Controller) replaceAll(pairs []api.KeyValue) {
+	c.resetReplica()
+	for _, prefix := range []string{adoptionKey, catalogKey, schemaKey, jobKey, logKey, requestsKey, fleetRoleKey, partitionKey} {
+		for _, pair := range pairs {
+			if strings.HasPrefix(pair.Key, prefix) {
+				c.applyPut(pair.Key, pair.Value, pair.Version)
+			}
+		}
+	}
+}
+
+// synchronized logs that the replica is complete.
+func (c *Controller) synchronized(revision uint64, keys int) {
+	c.logInfo("replica read", "revision", revision, "keys", keys, "jobs", len(c.jobs), "machines", len(c.machines))
 }
 
 // applyPut takes in one key's value unless a newer one is known. A value that
@@ -32,7 +68,7 @@
 	var err error
 	switch {
 	case key == adoptionKey:
-		c.adoptionVersion = max(c.adoptionVersion, ver)
+		c.observeAdoption(ver)
 	case key == catalogKey || strings.HasPrefix(key, catalogKey+"/"):
 		err = c.applyCatalogPage(strings.TrimPrefix(key[len(catalogKey):], "/"), value, ver)
 	case strings.HasPrefix(key, partitionKey):
@@ -69,13 +105,13 @@
 	}
 	var claim leadership.Claim
 	err = json.Unmarshal(value, &claim)
-	c.observeRole(&c.partitions[i].RoleState, claim, ver) // one that can't be read names no holder
+	c.observeRole(c.partitions[i].RoleState, claim, ver) // one that can't be read names no holder
 	return err
 }
 
 func (c *Controller) applySchemaKey(node string, value []byte, version uint64) error {
 	if node == c.settings.Node {
-		c.schemaKeyVersion = max(c.schemaKeyVersion, version)
+		c.observeSchemaKey(version)
 	}
 	var rec schemaRecord
 	if err := json.Unmarshal(value, &rec); err != nil {
@@ -95,9 +131,7 @@
 		return err
 	}
 	if j == nil {
-		j = &job{id: id, chunks: map[int][]task{}, failedMachines: map[string]bool{}, tasksPerZone: map[string]int{},
-			request: scheduler.ResourcesOf(rec.Spec.CPUs, rec.Spec.GPUs, rec.Spec.MemoryGB), partition: c.settings.TeamPartition[rec.Spec.Team]}
-		c.jobs[id] = j
+		j = c.addJob(id, rec.Spec)
 		c.logDebug("job seen", "job", id, "kind", rec.Spec.Kind, "team", rec.Spec.Team, "tasks", rec.Spec.Tasks, "partition", j.partition)
 	}
 	was := j.cancelled
@@ -180,13 +214,13 @@
 		return
 	}
 	if r.Deleted {
-		c.tombstones[r.Name] = from
+		c.setTombstone(r.Name, from)
 		if m != nil {
 			c.removeMachine(m)
 		}
 		return
 	}
-	delete(c.tombstones, r.Name)
+	c.clearTombstone(r.Name)
 	moved := m != nil && m.record.Partition != r.Partition
 	if m == nil {
 		m = c.addMachine(r)
@@ -201,7 +235,7 @@
 	m.machineType = c.machineTypeByName[r.Type]
 	switch {
 	case moved:
-		m.resetObservations(c)
+		c.resetObservations(m)
 	case floor > had && m.tokenConfirmed:
 		// Told at once: a worker reports a new token late, and until then
 		// nothing that it says counts as a sign of life.
@@ -235,8 +269,7 @@
 	for _, id := range m.taskIDsCopy() {
 		c.countOnMachine(c.jobs[id.job], id.index, m, -1)
 	}
-	delete(c.machines, m.name)
-	c.machinesByName = slices.DeleteFunc(c.machinesByName, func(o *machine) bool { return o == m })
+	c.forgetMachine(m)
 	c.recordDeletion(m.name)
 	c.releaseTasksWithoutMachine()
 }
@@ -247,7 +280,7 @@
 	case strings.HasPrefix(key, partitionKey):
 		i, err := strconv.Atoi(key[len(partitionKey):])
 		if err == nil && i >= 0 && i < len(c.partitions) && c.partitions[i].Term < ver {
-			c.observeRole(&c.partitions[i].RoleState, leadership.Claim{}, 0)
+			c.observeRole(c.partitions[i].RoleState, leadership.Claim{}, 0)
 		}
 	case strings.HasPrefix(key, fleetRoleKey):
 		c.deleteFleetRole(key[len(fleetRoleKey):], ver)
@@ -259,12 +292,10 @@
 				}
 			}
 			rec, sure := c.terminalOutcome(j)
-			delete(c.jobs, j.id)
-			delete(c.partitions[j.partition].changedJobs, j.id)
+			c.removeJob(j)
 			c.unlinkDependencies(j)
 			if sure {
-				c.terminalStates.add(j.id, rec)
-				c.settleOutcome(j.id, rec.outcome(), rec.EndedAt)
+				c.recordTerminalState(j.id, rec)
 			} else {
 				c.settleOutcome(j.id, outcomeUnknown, 0)
 			}
--- a/internal/core/budget.go
+++ b/internal/core/budget.go
@@ -50,13 +50,28 @@
 	return max(fixed, min(free, 0.8*all))
 }
 
-func (c *Controller) refillBudget() {
-	rate := c.writeRateShare()
+// refillBudget adds what the time since the last call allows at a rate of changes a second.
+func (c *Controller) refillBudget(rate float64) {
 	c.budget.capacity = max(rate, 6)
 	c.budget.available = min(c.budget.capacity, c.budget.available+rate*(c.now-c.budget.refilledAt).Seconds())
 	c.budget.refilledAt = c.now
 }
 
+// charge counts changes that were held back until the budget had room for them.
+func (b *writeBudget) charge(n int) {
+	b.available -= float64(n)
+	b.spent += float64(n)
+}
+
+// measureWriteRate gives how many changes a second were made of late.
+func (c *Controller) measureWriteRate() float64 {
+	if w := &c.budget; c.now >= w.measuredAt+micros.Second {
+		w.spendRate = (w.spendRate + (w.spent-w.measuredSpent)*float64(micros.Second)/float64(c.now-w.measuredAt)) / 2
+		w.measuredSpent, w.measuredAt = w.spent, c.now
+	}
+	return c.budget.spendRate
+}
+
 // chargeWrites counts changes made for users.
 func (c *Controller) chargeWrites(n int) {
 	c.budget.spent += float64(n)
--- a/internal/core/cloud.go
+++ b/internal/core/cloud.go
@@ -17,29 +17,37 @@
 	listRound   int
 }
 
-// reconcileCloud asks the cloud for what is due, one request of a sort at a time.
-func (c *Controller) reconcileCloud() {
+// readCatalogWhenDue reads the cloud's catalogue now and then.
+func (c *Controller) readCatalogWhenDue() {
 	if !c.catalogReadInFlight && c.now >= c.nextCatalogReadAt {
 		c.readCatalog()
 	}
+}
+
+// trackSweeping notes when it becomes or ceases to be this controller's task to act on
+// the cloud's list.
+func (c *Controller) trackSweeping() {
 	if sweeps := c.mayPerform(leadership.InstanceSweeper); sweeps != c.sweeping {
 		c.sweeping, c.nextListAt = sweeps, c.now
 	}
-	sweepsAlone := c.sweeping && c.isExclusive(leadership.InstanceSweeper)
-	if !sweepsAlone && !c.leadsAnyPartition() {
-		return
-	}
+}
+
+// sweepsExclusively tells whether no other controller acts on the cloud's list.
+func (c *Controller) sweepsExclusively() bool {
+	return c.sweeping && c.isExclusive(leadership.InstanceSweeper)
+}
+
+// listInstancesWhenDue reads the cloud's list now and then.
+func (c *Controller) listInstancesWhenDue() {
 	if !c.listInFlight && c.now >= c.nextListAt {
 		c.listInFlight = true
 		c.listRound++
 		c.listInstances("")
 	}
-	for _, p := range c.partitions {
-		if p.Leads() {
-			c.writeRequests(p)
-			c.sendDueRequests(p)
-		}
-	}
+}
+
+// deleteInstancesWhenDue has the cloud delete what it should, one request at a time.
+func (c *Controller) deleteInstancesWhenDue() {
 	if !c.deleteInFlight && c.now >= c.nextDeleteAt {
 		c.deleteInstances()
 	}
@@ -98,7 +106,7 @@
 }
 
 func (c *Controller) sendDelete(p *partition, names []string) {
-	grant := c.grant(&p.RoleState, leadership.Delete)
+	grant := c.grant(p.RoleState, leadership.Delete)
 	if grant.Check(leadership.Delete, c.now) != "" {
 		return
 	}
--- a/internal/core/commit.go
+++ b/internal/core/commit.go
@@ -112,7 +112,7 @@
 	if !c.synced {
 		return
 	}
-	c.refillBudget()
+	c.refillBudget(c.writeRateShare())
 	for k := range c.partitions {
 		// Each partition first in turn.
 		p := c.partitions[(k+c.nextPartition)%len(c.partitions)]
@@ -124,11 +124,9 @@
 			return
 		}
 		if f := c.buildCommit(p, most); f != nil {
-			c.budget.available -= float64(len(f.request.Writes))
-			c.budget.spent += float64(len(f.request.Writes))
+			c.budget.charge(len(f.request.Writes))
 			p.commitInFlight, p.lastCommitAt = f, c.now
-			c.transactions = append(c.transactions, f.transaction)
-			c.sendTransaction(f.transaction)
+			c.submitTransaction(f.transaction)
 			c.nextPartition++
 		}
 	}
@@ -143,7 +141,7 @@
 // their users wait, then machines, then tasks, of which a flush may hold
 // thousands. Nil: there is nothing to commit, or it waits for more budget.
 func (c *Controller) buildCommit(p *partition, most int) *logCommit {
-	f := &logCommit{transaction: &transaction{grant: func() leadership.Grant { return c.grant(&p.RoleState, leadership.Write) }}}
+	f := &logCommit{transaction: &transaction{grant: func() leadership.Grant { return c.grant(p.RoleState, leadership.Write) }}}
 	most = max(minCommitWrites, most>>p.sizeReductions)
 	ids := sortedKeys(p.changedJobs)
 	ends := c.terminalJobsDue(p, ids)
@@ -288,7 +286,7 @@
 			c.applyMachineRecord(r, recordOrigin{r.Epoch, p.index, e.sequence}, rev)
 		}
 	}
-	f.recordLaunchTimes(c)
+	c.recordLaunchTimes(f)
 	for _, s := range f.tasks {
 		if c.jobs[s.job.id] == s.job {
 			c.taskCommitted(s)
@@ -310,7 +308,7 @@
 }
 
 // recordLaunchTimes notes when the machines were rented that a flush recorded.
-func (f *logCommit) recordLaunchTimes(c *Controller) {
+func (c *Controller) recordLaunchTimes(f *logCommit) {
 	for _, n := range f.machineBatches {
 		for _, r := range n.records {
 			if m := c.machines[r.Name]; m != nil {
@@ -342,8 +340,7 @@
 func (c *Controller) terminalStateCommitted(p *partition, j *job, rec terminalRecord) {
 	j.terminal = true
 	delete(p.changedJobs, j.id)
-	c.terminalStates.add(j.id, rec)
-	c.settleOutcome(j.id, rec.outcome(), rec.EndedAt)
+	c.recordTerminalState(j.id, rec)
 	c.logInfo("job over", "job", j.id, "team", j.spec.Team, "class", j.spec.Class, "state", rec.State,
 		"after_s", (c.now - j.acceptedAt).WholeSeconds(), "deadline_s", j.spec.DeadlineS)
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -51,6 +51,7 @@
 // what the watch and reads show, in the order of their revisions, and by our own
 // writes once they were answered.
 type replica struct {
+	sink            recordSink
 	synced          bool
 	revision        uint64
 	currentAsOf     micros.Micros // the replica shows all that was committed before then
@@ -175,13 +176,15 @@
 	c.lease.TTL = c.leaseTTL()
 	c.roleState = newRoleState()
 	for i := range set.Operators.Partitions {
-		p := &partition{RoleState: leadership.RoleState{Role: leadership.PartitionRole(i)}, index: i, changedJobs: map[string]bool{}}
-		c.partitions, c.roles = append(c.partitions, p), append(c.roles, &p.RoleState)
+		role := &leadership.RoleState{Role: leadership.PartitionRole(i)}
+		c.partitions = append(c.partitions, &partition{RoleState: role, index: i, changedJobs: map[string]bool{}})
+		c.roles = append(c.roles, role)
 	}
 	c.roles = append(c.roles, c.fleetRoles...)
 	for _, t := range set.Deployment.Teams {
 		c.teamUsage[t.Name] = &scheduler.Resources{}
 	}
+	c.sink, c.observer, c.leaseObserver = c, c, c
 	return c
 }
 
@@ -225,7 +228,7 @@
 	case OrderRefused:
 		c.countRefusedOrder(v)
 	case Stop:
-		c.beginStop()
+		c.handleStop()
 	}
 }
 
@@ -256,6 +259,26 @@
 	c.completeStop()
 }
 
+// handleStop gives up all roles, so that other controllers take them at once.
+func (c *Controller) handleStop() {
+	c.beginStop()
+	c.requestBroadcast()
+	c.broadcastHeartbeat()
+	c.reconcileRoles()
+}
+
+// reconcileCloud asks the cloud for what is due, one request of a kind at a time.
+func (c *Controller) reconcileCloud() {
+	c.readCatalogWhenDue()
+	c.trackSweeping()
+	if !c.sweepsExclusively() && !c.leadsAnyPartition() {
+		return
+	}
+	c.listInstancesWhenDue()
+	c.reconcileRequests()
+	c.deleteInstancesWhenDue()
+}
+
 func (c *Controller) emit(e Effect) { c.effects = append(c.effects, e) }
 
 func (c *Controller) log(level slog.Level, msg string, args ...any) {
@@ -283,8 +306,15 @@
 		return
 	}
 	delete(c.storeCalls, r.Call)
+	c.observeStoreReply(r)
+	f(r)
+}
+
+// observeStoreReply takes in what a reply, or its absence, says of whether the store
+// answers.
+func (c *Controller) observeStoreReply(r *StoreReply) {
 	switch {
-	case r.Unsent: // says nothing of the state service
+	case r.Unsent: // says nothing of the store
 	case r.Status == 0 || r.Status >= 500:
 		c.refusing = c.refusing || r.Status != 0
 		if c.unavailableSince == 0 {
@@ -293,7 +323,6 @@
 	case r.Status != 429:
 		c.lastReplyAt, c.unavailableSince, c.refusing = c.now, 0, false
 	}
-	f(r)
 }
 
 func (c *Controller) callCloud(call CloudCall, f func(*CloudReply)) {
--- a/internal/core/duties_test.go
+++ b/internal/core/duties_test.go
@@ -82,7 +82,7 @@
 // rental was answered after the change of holder: the next one asks under the same name.
 func TestNextHolderRepeatsRentals(t *testing.T) {
 	c, p := recorder(t)
-	c.loseRole(&p.RoleState, "test")
+	c.loseRole(p.RoleState, "test")
 	open := requestsRecord{Open: []requestRecord{{Request: "p0-10-7", Type: "g4", Zone: "alta", Count: 4},
 		{Request: "p0-10-8", Type: "g4", Zone: "alta", Spot: true, Count: 2, Deferred: true}}}
 	c.applyPut(requestsKey+"0", mustMarshal(open), 50)
@@ -119,7 +119,7 @@
 	if len(sent) != 1 {
 		t.Fatalf("%d requests sent", len(sent))
 	}
-	c.loseRole(&p.RoleState, "test")
+	c.loseRole(p.RoleState, "test")
 	c.Step(c.now+micros.Second, &CloudReply{Call: sent[0].Call, Status: 200, Launched: []string{"n-7", "n-8", "n-9"}})
 	if len(p.machineBatches) != 0 || len(p.pendingMachines) != 0 {
 		t.Errorf("a former holder would record %d, counts on %v", len(p.machineBatches), p.pendingMachines)
@@ -139,7 +139,7 @@
 	}
 	late := sent + c.leaseTTL() + micros.Second
 	c.Step(late, &StoreReply{Call: renewals[0].Call, Status: 200})
-	if g := c.grant(&p.RoleState, leadership.Launch); c.leaseValid() || g.Check(leadership.Launch, c.now) != leadership.NoGrant {
+	if g := c.grant(p.RoleState, leadership.Launch); c.leaseValid() || g.Check(leadership.Launch, c.now) != leadership.NoGrant {
 		t.Error("the lease counts from its answer")
 	}
 	c.lease.RenewalSentAt = late
--- a/internal/core/elections.go
+++ b/internal/core/elections.go
@@ -13,6 +13,12 @@
 // wrote its key, which hangs on the holder's lease; its term is the version of that
 // key. Every write made under a duty guards that version.
 
+// partitionObserver is told when this controller begins or ceases to lead a partition.
+type partitionObserver interface {
+	partitionAcquired(index int)
+	partitionLost(index int, why string)
+}
+
 // failoverStep is how much later than the one before each further candidate takes a
 // duty that came free.
 const failoverStep = 3 * micros.Second / 2
@@ -58,7 +64,7 @@
 // roleAcquired begins to act under a duty.
 func (c *Controller) roleAcquired(h *leadership.RoleState) {
 	if h.Role.Kind == leadership.PartitionLeader {
-		c.partitionAcquired(c.partitions[h.Role.Index])
+		c.observer.partitionAcquired(h.Role.Index)
 		return
 	}
 	c.logInfo("duty taken over", "duty", h.Role.String(), "term", h.Term)
@@ -68,7 +74,7 @@
 func (c *Controller) loseRole(h *leadership.RoleState, why string) {
 	h.End(c.now)
 	if h.Role.Kind == leadership.PartitionLeader {
-		c.partitionLost(c.partitions[h.Role.Index], why)
+		c.observer.partitionLost(h.Role.Index, why)
 		return
 	}
 	c.logInfo("duty lost", "duty", h.Role.String(), "why", why)
@@ -78,7 +84,7 @@
 func (c *Controller) defaultLeader(id leadership.Role) int {
 	at := id.Index
 	if id.Kind != leadership.PartitionLeader {
-		at = len(c.partitions) + slices.Index(leadership.FleetRoles(), id)
+		at = c.settings.Operators.Partitions + slices.Index(leadership.FleetRoles(), id)
 	}
 	return at % len(c.settings.Nodes)
 }
@@ -144,8 +150,7 @@
 	// Held only once the replica shows it: then it shows all before it too.
 	t.onCommitted = func(uint64) { c.readLatest(func(bool) { free() }) }
 	t.onRefused = free
-	c.transactions = append(c.transactions, t)
-	c.sendTransaction(t)
+	c.submitTransaction(t)
 }
 
 // electionGrant permits to take a duty or to give it up: the write guards its key.
@@ -173,6 +178,5 @@
 	t := &transaction{grant: electionGrant, onCommitted: func(uint64) {}, onRefused: func() {}}
 	t.request.Compares = []api.Compare{{Key: roleKey(h.Role), Version: term}}
 	t.request.Writes = []api.Write{{Delete: roleKey(h.Role)}}
-	c.transactions = append(c.transactions, t)
-	c.sendTransaction(t)
+	c.submitTransaction(t)
 }
--- a/internal/core/findings.go
+++ b/internal/core/findings.go
@@ -41,9 +41,11 @@
 }
 
 // currentFindings drops what was told for long enough and gives the rest.
-func (c *Controller) currentFindings(list *[]listFinding) []listFinding {
-	*list = slices.DeleteFunc(*list, func(f listFinding) bool { return c.now > f.foundAt+findingDuration })
-	return *list
+func (c *Controller) currentFindings() listFindings {
+	for _, list := range []*[]listFinding{&c.findings.failed, &c.findings.unlisted, &c.findings.orphans} {
+		*list = slices.DeleteFunc(*list, func(f listFinding) bool { return c.now > f.foundAt+findingDuration })
+	}
+	return c.findings
 }
 
 func findingNames(list []listFinding) []string {
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -20,6 +20,7 @@
 	findings          listFindings
 	stopping          bool
 	stopped           bool
+	observer          partitionObserver
 }
 
 func newRoleState() roleState {
@@ -83,7 +84,7 @@
 
 // leadsAnyPartition tells whether we hold any partition.
 func (c *Controller) leadsAnyPartition() bool {
-	return slices.ContainsFunc(c.partitions, func(p *partition) bool { return p.Leads() })
+	return slices.ContainsFunc(c.roles, func(r *leadership.RoleState) bool { return r.Role.Kind == leadership.PartitionLeader && r.Leads() })
 }
 
 // applyFleetRole takes in the key of one of the fleet's duties. One that can't be read
@@ -135,18 +136,15 @@
 // duties come free.
 const stoppingPeerTimeout = 10 * micros.Second
 
-// beginStop gives up all that we hold, so that others take it at once.
+// beginStop has no role wanted any more.
 func (c *Controller) beginStop() {
 	c.stopping = true
 	c.logInfo("controller stops")
-	c.nextHeartbeatAt = c.now
-	c.broadcastHeartbeat()
-	c.reconcileRoles()
 }
 
 // completeStop tells when everything is given up.
 func (c *Controller) completeStop() {
-	if !c.stopping || c.stopped || slices.ContainsFunc(c.transactions, func(t *transaction) bool { return !t.settled }) {
+	if !c.stopping || c.stopped || !c.allTransactionsSettled() {
 		return
 	}
 	c.stopped = true
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -25,14 +25,11 @@
 	}
 	c.nextHeartbeatAt = c.now + micros.Second
 	able := c.synced && !c.stopping && !c.isolatedFromWorkers && c.now >= c.noFailoverBefore && (c.unavailableSince == 0 || c.now < c.unavailableSince+micros.Second) && c.lease.ID != 0
-	if w := &c.budget; c.now >= w.measuredAt+micros.Second {
-		w.spendRate = (w.spendRate + (w.spent-w.measuredSpent)*float64(micros.Second)/float64(c.now-w.measuredAt)) / 2
-		w.measuredSpent, w.measuredAt = w.spent, c.now
-	}
-	f := &c.findings
-	c.emit(Broadcast{&peer.Heartbeat{WriteRate: max(0.01, c.budget.spendRate), Node: c.settings.Node, Healthy: able, IdleMachines: c.idleOffers(), MachineRequests: c.machineRequests,
+	writeRate := c.measureWriteRate()
+	found := c.currentFindings()
+	c.emit(Broadcast{&peer.Heartbeat{WriteRate: max(0.01, writeRate), Node: c.settings.Node, Healthy: able, IdleMachines: c.idleOffers(), MachineRequests: c.machineRequests,
 		CancelledJobs: c.pendingNotices(), SchemaVersion: SchemaVersion, Stopping: c.stopping,
-		Failed: findingNames(c.currentFindings(&f.failed)), Unlisted: findingNames(c.currentFindings(&f.unlisted)), Orphans: findingOrphans(c.currentFindings(&f.orphans))}})
+		Failed: findingNames(found.failed), Unlisted: findingNames(found.unlisted), Orphans: findingOrphans(found.orphans)}})
 }
 
 // cancellationNotice is a cancellation that we confirmed to its user.
@@ -65,21 +62,31 @@
 	return ids
 }
 
+// requestBroadcast has the next heartbeat sent at once.
+func (c *Controller) requestBroadcast() { c.nextHeartbeatAt = c.now }
+
+// observePeer takes in what another controller says of itself.
+func (c *Controller) observePeer(h *peer.Heartbeat) {
+	status := c.peers[h.Node]
+	if status == nil || c.now > status.lastHeartbeatAt+4*micros.Second || !status.healthy {
+		status = &peerStatus{healthySince: c.now}
+		c.peers[h.Node] = status
+	}
+	status.lastHeartbeatAt, status.healthy, status.stopping = c.now, h.Healthy, h.Stopping
+	status.schemaVersion, status.writeRate = h.SchemaVersion, h.WriteRate
+	status.idleMachines = map[string]bool{}
+	for _, idle := range h.IdleMachines {
+		status.idleMachines[idle.Machine] = true
+	}
+}
+
+// handlePeerHeartbeat acts on what another controller says and asks for.
 func (c *Controller) handlePeerHeartbeat(h *peer.Heartbeat) {
 	if !slices.Contains(c.settings.Nodes, h.Node) || h.Node == c.settings.Node {
 		return
 	}
-	was := c.peers[h.Node]
-	if was == nil || c.now > was.lastHeartbeatAt+4*micros.Second || !was.healthy {
-		was = &peerStatus{healthySince: c.now}
-		c.peers[h.Node] = was
-	}
-	was.lastHeartbeatAt, was.healthy, was.idleMachines, was.schemaVersion, was.writeRate = c.now, h.Healthy, map[string]bool{}, h.SchemaVersion, h.WriteRate
-	was.stopping = h.Stopping
+	c.observePeer(h)
 	c.observeSchema(h.Node, h.SchemaVersion)
-	for _, i := range h.IdleMachines {
-		was.idleMachines[i.Machine] = true
-	}
 	for _, id := range h.CancelledJobs {
 		if j := c.jobs[id]; j != nil && !j.terminal && !j.mustNotRun() {
 			c.logInfo("cancelled, says another controller", "job", id, "by", h.Node)
--- a/internal/core/isolation.go
+++ b/internal/core/isolation.go
@@ -2,6 +2,25 @@
 
 import "spurmoor/internal/micros"
 
+// isolationDuration is how long a controller that no worker reaches takes no role.
+const isolationDuration = 20 * micros.Second
+
+// workerContact notes that a worker reached us, of whatever partition.
+func (c *Controller) workerContact() { c.lastWorkerContactAt = c.now }
+
+// workerAnswered notes that a worker answered a direct command.
+func (c *Controller) workerAnswered() {
+	c.lastWorkerContactAt, c.isolatedFromWorkers = c.now, false
+}
+
+// isolate notes that no worker reaches us: no role is taken for a while.
+func (c *Controller) isolate() {
+	c.noFailoverBefore, c.isolatedFromWorkers = c.now+isolationDuration, true
+}
+
+// endIsolation notes that there is no worker to be reached.
+func (c *Controller) endIsolation() { c.isolatedFromWorkers = false }
+
 // resignIfIsolated gives our partitions up when no worker reaches us, whatever its machine's
 // part, although another controller is well: the cut may be ours alone. The
 // more machines we have the sooner it is certain. Judged by each machine's own
@@ -28,7 +47,8 @@
 	if c.now < c.unreachedSince+2*micros.Second || !c.healthyPeerKnown() || c.now < c.noFailoverBefore {
 		return
 	}
-	c.unreachedSince, c.noFailoverBefore, c.isolatedFromWorkers = 0, c.now+20*micros.Second, true
+	c.unreachedSince = 0
+	c.isolate()
 	for _, h := range c.roles {
 		if h.Leads() {
 			c.resignRole(h, "no worker reaches this controller")
@@ -57,6 +77,6 @@
 		}
 	}
 	if sent == 0 {
-		c.isolatedFromWorkers = false
+		c.endIsolation()
 	}
 }
--- a/internal/core/job.go
+++ b/internal/core/job.go
@@ -246,3 +246,46 @@
 		}
 	}
 }
+
+// addJob makes a job of which nothing was known.
+func (c *Controller) addJob(id string, spec api.Job) *job {
+	j := &job{id: id, chunks: map[int][]task{}, failedMachines: map[string]bool{}, tasksPerZone: map[string]int{},
+		request: scheduler.ResourcesOf(spec.CPUs, spec.GPUs, spec.MemoryGB), partition: c.settings.TeamPartition[spec.Team]}
+	c.jobs[id] = j
+	return j
+}
+
+// removeJob forgets a job whose key is gone.
+func (c *Controller) removeJob(j *job) {
+	delete(c.jobs, j.id)
+	delete(c.partitions[j.partition].changedJobs, j.id)
+}
+
+// forgetMachine forgets a machine whose record is deleted.
+func (c *Controller) forgetMachine(m *machine) {
+	delete(c.machines, m.name)
+	c.machinesByName = slices.DeleteFunc(c.machinesByName, func(o *machine) bool { return o == m })
+}
+
+// setTombstone notes that a machine's record is deleted by an entry of a log.
+func (c *Controller) setTombstone(name string, by recordOrigin) { c.tombstones[name] = by }
+
+// clearTombstone notes that a machine has a record again.
+func (c *Controller) clearTombstone(name string) { delete(c.tombstones, name) }
+
+// observeAdoption takes in the version of the key that every adoption changes.
+func (c *Controller) observeAdoption(version uint64) {
+	c.adoptionVersion = max(c.adoptionVersion, version)
+}
+
+// resetCluster forgets all jobs and machines, before everything is read again.
+func (c *Controller) resetCluster() {
+	clear(c.machines)
+	clear(c.jobs)
+	clear(c.tombstones)
+	clear(c.logReferences)
+	c.machinesByName = nil
+	for _, u := range c.teamUsage {
+		*u = scheduler.Resources{}
+	}
+}
--- a/internal/core/lease.go
+++ b/internal/core/lease.go
@@ -10,6 +10,19 @@
 	lease           leadership.Lease
 	nextRenewalAt   micros.Micros
 	renewalInFlight bool
+	leaseObserver   leaseObserver
+}
+
+// leaseObserver is told when the store ended our lease.
+type leaseObserver interface{ leaseLost() }
+
+// leaseLost stops acting under all roles.
+func (c *Controller) leaseLost() {
+	for _, h := range c.roles {
+		if h.Leads() {
+			c.loseRole(h, "our lease ended")
+		}
+	}
 }
 
 // leaseTTL is how long our lease lasts.
@@ -103,11 +116,7 @@
 			c.logInfo("lease lost", "lease", c.lease.ID)
 			c.lease.ID, c.lease.RenewalSentAt = 0, 0
 			c.nextRenewalAt = c.now
-			for _, h := range c.roles {
-				if h.Leads() {
-					c.loseRole(h, "our lease ended")
-				}
-			}
+			c.leaseObserver.leaseLost()
 		default:
 			c.nextRenewalAt = c.now + c.jitter(micros.Second/2)
 		}
--- a/internal/core/needs.go
+++ b/internal/core/needs.go
@@ -99,6 +99,19 @@
 	}
 }
 
+// recordTerminalState notes how a job ended, and what follows for those that need it.
+func (c *Controller) recordTerminalState(id string, rec terminalRecord) {
+	c.terminalStates.add(id, rec)
+	c.settleOutcome(id, rec.outcome(), rec.EndedAt)
+}
+
+// resetDependencies forgets all dependencies, before everything is read again. What is
+// known of jobs that ended stays.
+func (c *Controller) resetDependencies() {
+	clear(c.dependencies)
+	c.outcomesToRead = nil
+}
+
 // reviewDependencies works out anew whether a job must wait, and whether it is withdrawn.
 func (c *Controller) reviewDependencies(j *job) {
 	had := j.pendingDependencies
@@ -194,8 +207,7 @@
 		case r.Status == 404:
 			f(jobNeverAccepted)
 		case r.Status == 200 && json.Unmarshal(r.Item.Value, &rec) == nil && rec.State != "":
-			c.terminalStates.add(id, rec)
-			c.settleOutcome(id, rec.outcome(), rec.EndedAt)
+			c.recordTerminalState(id, rec)
 			f(jobKnown)
 		default:
 			f(lookupUnknown)
--- a/internal/core/partitions.go
+++ b/internal/core/partitions.go
@@ -8,7 +8,7 @@
 
 // partition is a share of the teams, held by one controller at a time.
 type partition struct {
-	leadership.RoleState
+	*leadership.RoleState
 	index           int
 	log             []logEntry
 	changedJobs     map[string]bool // jobs with changes to commit
@@ -26,11 +26,12 @@
 func (p *partition) key() string { return roleKey(p.Role) }
 
 // partitionAcquired begins to act for a partition.
-func (c *Controller) partitionAcquired(p *partition) {
+func (c *Controller) partitionAcquired(index int) {
+	p := c.partitions[index]
 	c.logInfo("partition taken over", "partition", p.index, "term", p.Term)
 	for _, m := range c.machinesByName {
 		if m.record.Partition == p.index {
-			m.resetObservations(c)
+			c.resetObservations(m)
 		}
 	}
 	for id, j := range c.jobs {
@@ -45,7 +46,7 @@
 
 // resetObservations starts over with a machine that came to us from another holder:
 // that one may have told its worker 200 until now.
-func (m *machine) resetObservations(c *Controller) {
+func (c *Controller) resetObservations(m *machine) {
 	m.tokenConfirmed, m.nextCommandAt, m.commandInFlight = false, c.now, false
 	m.leaseExpiresAt = max(m.leaseExpiresAt, c.now+c.formerLeaderLeaseBound())
 	m.lastSeenAt, m.awaitedSince = max(m.lastSeenAt, c.now), c.now
@@ -63,7 +64,8 @@
 
 // partitionLost throws away what was not committed of a partition that is held no
 // more.
-func (c *Controller) partitionLost(p *partition, why string) {
+func (c *Controller) partitionLost(index int, why string) {
+	p := c.partitions[index]
 	c.logInfo("partition lost", "partition", p.index, "why", why)
 	if p.commitInFlight != nil {
 		p.commitInFlight.settled = true // it was carried out before the partition went, or never
--- a/internal/core/plan.go
+++ b/internal/core/plan.go
@@ -146,7 +146,7 @@
 		c.machineRequests = append(c.machineRequests, peer.MachineRequest{Machine: m.name, Partition: p.index, Spare: true})
 	}
 	if len(c.machineRequests) > 0 {
-		c.nextHeartbeatAt = c.now
+		c.requestBroadcast()
 		c.handleMachineRequests(c.machineRequests)
 	}
 }
--- a/internal/core/rentals.go
+++ b/internal/core/rentals.go
@@ -171,7 +171,7 @@
 
 // sendRequest sends a request, if we may rent now.
 func (c *Controller) sendRequest(p *partition, r *provisioningRequest) {
-	grant := c.grant(&p.RoleState, leadership.Launch)
+	grant := c.grant(p.RoleState, leadership.Launch)
 	if grant.Check(leadership.Launch, c.now) != "" {
 		r.nextSendAt = c.now + requestRetryInterval
 		return
@@ -331,6 +331,30 @@
 	return err
 }
 
+// unavailableKinds gives the kinds that the cloud refused of late.
+func (c *Controller) unavailableKinds() map[scheduler.InstanceKind]bool {
+	kinds := map[scheduler.InstanceKind]bool{}
+	for kind, until := range c.unavailableUntil {
+		if c.now < until {
+			kinds[kind] = true
+		} else {
+			delete(c.unavailableUntil, kind)
+		}
+	}
+	return kinds
+}
+
+// reconcileRequests writes down and sends what is due of the requests of the partitions
+// that we lead.
+func (c *Controller) reconcileRequests() {
+	for _, p := range c.partitions {
+		if p.Leads() {
+			c.writeRequests(p)
+			c.sendDueRequests(p)
+		}
+	}
+}
+
 // requestsWriteInterval is how often a record that is merely outdated is written.
 const requestsWriteInterval = 5 * micros.Second
 
@@ -350,7 +374,7 @@
 	for _, r := range open {
 		rec.Open = append(rec.Open, requestRecord{r.request.Name, r.kind.Type, r.kind.Zone, r.kind.Spot, r.request.Count, r.deferred})
 	}
-	t := &transaction{grant: func() leadership.Grant { return c.grant(&p.RoleState, leadership.Write) }}
+	t := &transaction{grant: func() leadership.Grant { return c.grant(p.RoleState, leadership.Write) }}
 	t.request.Compares = []api.Compare{{Key: p.key(), Version: p.Term}, {Key: requestsKeyOf(p), Version: s.version}}
 	t.request.Writes = []api.Write{{Put: requestsKeyOf(p), Value: mustMarshal(rec)}}
 	t.onCommitted = func(rev uint64) {
@@ -364,6 +388,5 @@
 	t.onRefused = func() { s.writeInFlight, s.mustWrite = nil, true }
 	s.writeInFlight, s.mustWrite, s.outdated, s.writtenAt = t, false, false, c.now
 	c.chargeWrites(1)
-	c.transactions = append(c.transactions, t)
-	c.sendTransaction(t)
+	c.submitTransaction(t)
 }
--- a/internal/core/replica.go
+++ b/internal/core/replica.go
@@ -1,13 +1,20 @@
 package core
 
 import (
-	"strings"
-
 	"spurmoor/internal/api"
 	"spurmoor/internal/micros"
-	"spurmoor/internal/scheduler"
 )
 
+// recordSink takes in what the watch cache reads, in the order of its revisions.
+type recordSink interface {
+	// replaceAll takes in all live keys in place of what was known before.
+	replaceAll(pairs []api.KeyValue)
+	applyPut(key string, value []byte, version uint64)
+	applyDelete(key string, version uint64)
+	// synchronized tells that all keys and the changes since were taken in.
+	synchronized(revision uint64, keys int)
+}
+
 // relist is a reading of all keys, after the start or when the log of
 // changes no longer reaches back.
 type relist struct {
@@ -111,50 +118,16 @@
 				fail()
 				return
 			}
-			c.resetReplica()
-			// Parts last: a log is applied as long as its partition is not ours. Its
-			// slots come in no order: rows and runs say which is later.
-			for _, prefix := range []string{adoptionKey, catalogKey, schemaKey, jobKey, logKey, requestsKey, fleetRoleKey, partitionKey} {
-				for _, it := range l.items {
-					if strings.HasPrefix(it.Key, prefix) {
-						c.applyPut(it.Key, it.Value, it.Version)
-					}
-				}
-			}
+			c.sink.replaceAll(l.items)
 			c.relist = nil
 			c.revision = l.revision
 			c.applyWatchReply(r, began)
 			c.synced = true
-			c.logInfo("replica read", "revision", c.revision, "keys", len(l.items), "jobs", len(c.jobs), "machines", len(c.machines))
+			c.sink.synchronized(c.revision, len(l.items))
 		})
 	})
 }
 
-// resetReplica forgets the replica, and with it all that was not committed.
-func (c *Controller) resetReplica() {
-	for _, p := range c.partitions {
-		if p.Leads() {
-			c.loseRole(&p.RoleState, "everything is read again")
-			// Under a term of its own then: a copy of a flush that we forget
-			// here may still be carried out under this one.
-			c.incarnation++
-		}
-		p.Forget(c.now)
-		p.log = nil
-	}
-	c.forgetFleetRoles()
-	clear(c.machines)
-	clear(c.jobs)
-	clear(c.dependencies)
-	c.outcomesToRead = nil
-	clear(c.tombstones)
-	clear(c.logReferences)
-	c.machinesByName = nil
-	for _, u := range c.teamUsage {
-		*u = scheduler.Resources{}
-	}
-}
-
 // applyWatchReply takes in a log of changes that was asked for at a time; it tells
 // whether the replica is now as new as the answer.
 func (c *Controller) applyWatchReply(r *StoreReply, began micros.Micros) bool {
@@ -172,9 +145,9 @@
 			continue
 		}
 		if e.Delete != "" {
-			c.applyDelete(e.Delete, e.Version)
+			c.sink.applyDelete(e.Delete, e.Version)
 		} else {
-			c.applyPut(e.Put, e.Value, e.Version)
+			c.sink.applyPut(e.Put, e.Value, e.Version)
 		}
 	}
 	c.revision = max(c.revision, r.Watch.Revision)
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -13,7 +13,7 @@
 // answer deadline, answers 200: that keeps the worker's tasks alive.
 func (c *Controller) handleWorkerHeartbeat(v WorkerHeartbeat) {
 	r := v.Heartbeat
-	c.lastWorkerContactAt = c.now
+	c.workerContact()
 	if !c.synced {
 		c.refuse(v.RequestID, 503, "the state service has not been read yet", 1)
 		return
@@ -98,7 +98,7 @@
 // handleCommandReply takes in the answer to commands sent directly.
 func (c *Controller) handleCommandReply(v CommandReply) {
 	if v.Status != 0 {
-		c.lastWorkerContactAt, c.isolatedFromWorkers = c.now, false
+		c.workerAnswered()
 	}
 	answered := v.Status == 200 || v.Status == 409
 	m := c.machines[v.Machine]
--- a/internal/core/safety_test.go
+++ b/internal/core/safety_test.go
@@ -97,7 +97,7 @@
 func TestResignedTerm(t *testing.T) {
 	c, p, _, _ := holder(t)
 	ver, rec := p.Term, mustMarshal(leadership.Claim{Node: c.settings.Node, Process: c.incarnation})
-	c.resignRole(&p.RoleState, "test")
+	c.resignRole(p.RoleState, "test")
 	p.Forget(c.now) // as when everything is read again
 	c.applyPut(p.key(), rec, ver)
 	if p.Leads() {
@@ -192,7 +192,7 @@
 			t.Fatal("the task was not seen")
 		}
 		if away { // lost and taken again
-			c.loseRole(&p.RoleState, "test")
+			c.loseRole(p.RoleState, "test")
 			c.applyPut(p.key(), mustMarshal(leadership.Claim{Node: c.settings.Node, Process: c.incarnation}), 20)
 		}
 		c.observeIncarnation(m, 2)
--- a/internal/core/schema.go
+++ b/internal/core/schema.go
@@ -34,6 +34,11 @@
 	c.schemaVersions[node] = max(c.schemaVersions[node], form)
 }
 
+// observeSchemaKey takes in the version of the key of our own announcement.
+func (c *Controller) observeSchemaKey(version uint64) {
+	c.schemaKeyVersion = max(c.schemaKeyVersion, version)
+}
+
 // readsSchema tells whether a controller reads a form. One that says that it does
 // not, now, is believed: it was put back.
 func (c *Controller) readsSchema(node string, form int) bool {
--- a/internal/core/txn.go
+++ b/internal/core/txn.go
@@ -1,6 +1,8 @@
 package core
 
 import (
+	"slices"
+
 	"spurmoor/internal/api"
 	"spurmoor/internal/leadership"
 	"spurmoor/internal/micros"
@@ -21,6 +23,17 @@
 	onRefused   func()
 }
 
+// submitTransaction sends a transaction until its outcome is known.
+func (c *Controller) submitTransaction(t *transaction) {
+	c.transactions = append(c.transactions, t)
+	c.sendTransaction(t)
+}
+
+// allTransactionsSettled tells whether no outcome is awaited.
+func (c *Controller) allTransactionsSettled() bool {
+	return !slices.ContainsFunc(c.transactions, func(t *transaction) bool { return !t.settled })
+}
+
 // grantRetryInterval is when a transaction is tried again for which there was no grant.
 const grantRetryInterval = micros.Second / 8
 
--- a/internal/core/view.go
+++ b/internal/core/view.go
@@ -23,7 +23,7 @@
 // snapshotFor shows a partition to the planner.
 func (c *Controller) snapshotFor(p *partition) (*scheduler.Snapshot, map[string]*job) {
 	v := &snapshotBuilder{Controller: c, partition: p, jobs: map[string]*job{}, schedulerJobs: map[string]*scheduler.Job{}, partitionPrices: make([]float64, len(c.partitions)),
-		snapshot: &scheduler.Snapshot{Now: c.now, MachineTypes: c.machineTypes, Quotas: map[string]*scheduler.Quota{}, UnavailableKinds: map[scheduler.InstanceKind]bool{}, Operators: &c.settings.Operators, Objectives: map[string][]settings.Objective{}}}
+		snapshot: &scheduler.Snapshot{Now: c.now, MachineTypes: c.machineTypes, Quotas: map[string]*scheduler.Quota{}, Operators: &c.settings.Operators, Objectives: map[string][]settings.Objective{}}}
 	v.addSettings()
 	v.addJobs()
 	for _, m := range c.machines {
@@ -48,13 +48,7 @@
 	for _, t := range v.settings.Deployment.Teams {
 		v.snapshot.Quotas[t.Name] = v.schedulerTeam(t.Name)
 	}
-	for k, until := range v.unavailableUntil {
-		if v.now < until {
-			v.snapshot.UnavailableKinds[k] = true
-		} else {
-			delete(v.unavailableUntil, k)
-		}
-	}
+	v.snapshot.UnavailableKinds = v.unavailableKinds()
 }
 
 // addJobs shows the partition's jobs that may run.
