--- a/internal/core/commit.go
+++ b/internal/core/commit.go
@@ -12,6 +12,28 @@
 	"spurmoor/internal/micros"
 )
 
+// partitionLog commits what was decided of the partitions that we lead: each partition's
+// changes as entries of its log, several at a time, within the budget of changes.
+type partitionLog struct {
+	*environment
+	budget       *writeBudget
+	cache        *watchCache
+	cluster      *clusterState
+	dependencies *dependencyGraph
+	peers        *peerTracker
+	registry     *machineRegistry
+	storeLease   *storeLease
+	transactions *transactionSender
+
+	nextPartition int // whose turn it is to commit first
+}
+
+func newPartitionLog(env *environment, budget *writeBudget, cache *watchCache, cluster *clusterState, dependencies *dependencyGraph,
+	peers *peerTracker, registry *machineRegistry, lease *storeLease, transactions *transactionSender) *partitionLog {
+	return &partitionLog{environment: env, budget: budget, cache: cache, cluster: cluster, dependencies: dependencies,
+		peers: peers, registry: registry, storeLease: lease, transactions: transactions}
+}
+
 // logEntry is an entry of a partition's log.
 type logEntry struct {
 	sequence uint64
@@ -21,27 +43,6 @@
 	machines []machineRecord
 }
 
-// recordLogEntry notes an entry in the place of what its slot held before.
-func (c *Controller) recordLogEntry(p *partition, e logEntry) {
-	for _, r := range e.machines {
-		c.logReferences[r.Name]++
-	}
-	p.log = slices.DeleteFunc(p.log, func(o logEntry) bool {
-		if o.slot != e.slot {
-			return false
-		}
-		for _, r := range o.machines {
-			if c.logReferences[r.Name]--; c.logReferences[r.Name] == 0 {
-				delete(c.logReferences, r.Name)
-				delete(c.tombstones, r.Name)
-			}
-		}
-		return true
-	})
-	at, _ := slices.BinarySearchFunc(p.log, e.sequence, func(o logEntry, seq uint64) int { return cmp.Compare(o.sequence, seq) })
-	p.log = slices.Insert(p.log, at, e)
-}
-
 // logCommit is the one transaction of a partition that is out: all that was decided,
 // as far as it fits. It guards the partition's key and the version of the slot that
 // its first entry goes to, which never comes back: of several copies at most
@@ -107,27 +108,27 @@
 
 // commitChanges sends each held partition's next flush when there is something to
 // commit, the last one is settled and the budget allows it.
-func (c *Controller) commitChanges() {
-	c.resendTransactions()
-	if !c.synced {
+func (l *partitionLog) commitChanges() {
+	l.transactions.resendTransactions()
+	if !l.cache.synced {
 		return
 	}
-	c.refillBudget(c.writeRateShare())
-	for k := range c.partitions {
+	l.budget.refillBudget(l.writeRateShare())
+	for k := range l.cluster.partitions {
 		// Each partition first in turn.
-		p := c.partitions[(k+c.nextPartition)%len(c.partitions)]
-		if !p.Leads() || p.commitInFlight != nil || c.now < p.lastCommitAt+micros.Second/10 || !p.hasChanges() || !c.leaseValid() {
+		p := l.cluster.partitions[(k+l.nextPartition)%len(l.cluster.partitions)]
+		if !p.Leads() || p.commitInFlight != nil || l.now < p.lastCommitAt+micros.Second/10 || !p.hasChanges() || !l.storeLease.leaseValid() {
 			continue
 		}
-		most := min(c.settings.Deployment.Store.MaxTransactionOps, int(c.budget.available))
-		if most < min(4, c.settings.Deployment.Store.MaxTransactionOps) {
+		most := min(l.settings.Deployment.Store.MaxTransactionOps, int(l.budget.available))
+		if most < min(4, l.settings.Deployment.Store.MaxTransactionOps) {
 			return
 		}
-		if f := c.buildCommit(p, most); f != nil {
-			c.budget.charge(len(f.request.Writes))
-			p.commitInFlight, p.lastCommitAt = f, c.now
-			c.submitTransaction(f.transaction)
-			c.nextPartition++
+		if f := l.buildCommit(p, most); f != nil {
+			l.budget.charge(len(f.request.Writes))
+			p.commitInFlight, p.lastCommitAt = f, l.now
+			l.transactions.submitTransaction(f.transaction)
+			l.nextPartition++
 		}
 	}
 }
@@ -140,25 +141,25 @@
 // buildCommit gathers a partition's flush in at most so many writes: finals first, for
 // their users wait, then machines, then tasks, of which a flush may hold
 // thousands. Nil: there is nothing to commit, or it waits for more budget.
-func (c *Controller) buildCommit(p *partition, most int) *logCommit {
-	f := &logCommit{transaction: &transaction{grant: func() leadership.Grant { return c.grant(p.RoleState, leadership.Write) }}}
+func (l *partitionLog) buildCommit(p *partition, most int) *logCommit {
+	f := &logCommit{transaction: &transaction{grant: func() leadership.Grant { return l.storeLease.grant(p.RoleState, leadership.Write) }}}
 	most = max(minCommitWrites, most>>p.sizeReductions)
 	ids := sortedKeys(p.changedJobs)
-	ends := c.terminalJobsDue(p, ids)
-	if want := min(2*len(ends)+2, c.settings.Deployment.Store.MaxTransactionOps); most < min(want, int(c.budget.capacity)) && c.now < p.lastCommitAt+commitBatchWait {
+	ends := l.terminalJobsDue(p, ids)
+	if want := min(2*len(ends)+2, l.settings.Deployment.Store.MaxTransactionOps); most < min(want, int(l.budget.capacity)) && l.now < p.lastCommitAt+commitBatchWait {
 		return nil
 	}
 	f.compare(p.key(), p.Term)
-	c.addTerminalStates(f, ends, most)
-	c.addLogEntries(f, p, ids, most)
+	l.addTerminalStates(f, ends, most)
+	l.addLogEntries(f, p, ids, most)
 	if f.isEmpty() {
 		return nil
 	}
 	for _, e := range f.entries {
 		f.request.Writes = append(f.request.Writes, api.Write{Put: slotKey(p.index, e.slot), Value: mustMarshal(logRecord{e.sequence, e.runs, e.machines})})
 	}
-	f.onCommitted = func(rev uint64) { c.commitSucceeded(p, rev) }
-	f.onRefused = func() { c.commitRefused(p) }
+	f.onCommitted = func(rev uint64) { l.commitSucceeded(p, rev) }
+	f.onRefused = func() { l.commitRefused(p) }
 	return f
 }
 
@@ -172,16 +173,13 @@
 	return len(f.terminalJobs) == 0 && len(f.recordChanges) == 0 && len(f.machineBatches) == 0 && len(f.tasks) == 0
 }
 
-// maxCompares is how many conditions a transaction may have.
-func (c *Controller) maxCompares() int { return 4 * c.settings.Deployment.Store.MaxTransactionOps }
-
 // addTerminalStates adds final states, as many as leave room for an entry.
-func (c *Controller) addTerminalStates(f *logCommit, ends []*job, most int) {
+func (l *partitionLog) addTerminalStates(f *logCommit, ends []*job, most int) {
 	for _, j := range ends {
-		if len(f.request.Writes)+2+1 > most || len(f.request.Compares)+2 > c.maxCompares()/2 {
+		if len(f.request.Writes)+2+1 > most || len(f.request.Compares)+2 > l.settings.maxCompares()/2 {
 			continue
 		}
-		if j.cancelled && float64(most) < c.budget.capacity*0.7 && c.now < j.endedAt+cancelledTerminalWait {
+		if j.cancelled && float64(most) < l.budget.capacity*0.7 && l.now < j.endedAt+cancelledTerminalWait {
 			continue // its user was told without it: others' ends need the budget
 		}
 		f.addTerminalState(j)
@@ -189,9 +187,9 @@
 }
 
 // addLogEntries adds entries of the log with what became of machines and tasks.
-func (c *Controller) addLogEntries(f *logCommit, p *partition, ids []string, most int) {
-	limit := min(maxTransactionBytes/2, c.maxValueBytes()-entryOverheadBytes) >> p.sizeReductions
-	b := &entryBuilder{c: c, partition: p, commit: f, compare: f.compare, maxCompares: c.maxCompares(), entryLimit: limit, included: map[*task]bool{}}
+func (l *partitionLog) addLogEntries(f *logCommit, p *partition, ids []string, most int) {
+	limit := min(maxTransactionBytes/2, l.settings.maxValueBytes()-entryOverheadBytes) >> p.sizeReductions
+	b := &entryBuilder{log: l, partition: p, commit: f, compare: f.compare, maxCompares: l.settings.maxCompares(), entryLimit: limit, included: map[*task]bool{}}
 	b.maxEntries = min(most-len(f.request.Writes), maxTransactionBytes/b.entryLimit)
 	if b.openEntry() {
 		b.addNewMachines()
@@ -206,10 +204,10 @@
 
 // terminalJobsDue lists the jobs among these whose final states are to be committed, in the
 // order in which they are. What has nothing to commit is not looked at again.
-func (c *Controller) terminalJobsDue(p *partition, ids []string) []*job {
+func (l *partitionLog) terminalJobsDue(p *partition, ids []string) []*job {
 	var ends []*job
 	for _, id := range ids {
-		j := c.jobs[id]
+		j := l.cluster.jobs[id]
 		if j == nil || j.terminal {
 			delete(p.changedJobs, id)
 			continue
@@ -221,11 +219,11 @@
 			continue
 		}
 		if j.endedAt == 0 {
-			j.endedAt = c.now
+			j.endedAt = l.now
 		}
 		ends = append(ends, j)
 	}
-	slices.SortStableFunc(ends, c.compareTerminalJobs)
+	slices.SortStableFunc(ends, l.compareTerminalJobs)
 	return ends
 }
 
@@ -252,12 +250,12 @@
 // compareTerminalJobs orders final states: first of jobs that others wait for, then of
 // those done, in the order of their ends. In the order of their names the last
 // once waited for a hundred seconds.
-func (c *Controller) compareTerminalJobs(a, b *job) int {
+func (l *partitionLog) compareTerminalJobs(a, b *job) int {
 	class := func(j *job) int {
 		switch {
 		case j.cancelled:
 			return 2 // told without it
-		case c.dependencies[j.id] != nil:
+		case l.dependencies.byJob[j.id] != nil:
 			return 0
 		}
 		return 1
@@ -266,7 +264,7 @@
 }
 
 // commitSucceeded takes in that a partition's flush was carried out.
-func (c *Controller) commitSucceeded(p *partition, rev uint64) {
+func (l *partitionLog) commitSucceeded(p *partition, rev uint64) {
 	f := p.commitInFlight
 	if f == nil {
 		return
@@ -274,7 +272,7 @@
 	p.commitInFlight, f.settled = nil, true
 	for _, e := range f.entries {
 		e.version = rev
-		c.recordLogEntry(p, e)
+		l.cluster.recordLogEntry(p, e)
 	}
 	for _, s := range f.recordChanges {
 		if s.machine.pendingChange == s.kind {
@@ -283,17 +281,17 @@
 	}
 	for _, e := range f.entries {
 		for _, r := range e.machines {
-			c.applyMachineRecord(r, recordOrigin{r.Epoch, p.index, e.sequence}, rev)
+			l.registry.applyMachineRecord(r, recordOrigin{r.Epoch, p.index, e.sequence}, rev)
 		}
 	}
-	c.recordLaunchTimes(f)
+	l.recordLaunchTimes(f)
 	for _, s := range f.tasks {
-		if c.jobs[s.job.id] == s.job {
-			c.taskCommitted(s)
+		if l.cluster.jobs[s.job.id] == s.job {
+			l.taskCommitted(s)
 		}
 	}
 	for i, j := range f.terminalJobs {
-		c.terminalStateCommitted(p, j, f.terminalRecords[i])
+		l.terminalStateCommitted(p, j, f.terminalRecords[i])
 	}
 	p.machineBatches = slices.DeleteFunc(p.machineBatches, func(n *machineBatch) bool {
 		sent := slices.Contains(f.machineBatches, n)
@@ -303,15 +301,15 @@
 		return sent
 	})
 	if len(f.terminalJobs) > 0 {
-		c.readLatest(func(bool) {})
+		l.cache.readLatest(func(bool) {})
 	}
 }
 
 // recordLaunchTimes notes when the machines were rented that a flush recorded.
-func (c *Controller) recordLaunchTimes(f *logCommit) {
+func (l *partitionLog) recordLaunchTimes(f *logCommit) {
 	for _, n := range f.machineBatches {
 		for _, r := range n.records {
-			if m := c.machines[r.Name]; m != nil {
+			if m := l.cluster.machines[r.Name]; m != nil {
 				m.launchedAt = min(m.launchedAt, r.LaunchedAt) // by our own clock
 			}
 		}
@@ -319,7 +317,7 @@
 }
 
 // taskCommitted takes in that what a task became is committed.
-func (c *Controller) taskCommitted(s taskChange) {
+func (l *partitionLog) taskCommitted(s taskChange) {
 	t := s.job.ensureTask(s.index)
 	t.committed, t.loggedIn = s.record, s.sequence
 	if t.changed && t.generation == s.generation {
@@ -327,8 +325,8 @@
 		s.job.changedTasks--
 	}
 	if t.state == taskPlaced && !t.changed && !t.observed && t.directStartToken == 0 {
-		if m := c.machines[t.machine]; m != nil {
-			m.nextCommandAt = min(m.nextCommandAt, c.now) // start it without waiting for a report
+		if m := l.cluster.machines[t.machine]; m != nil {
+			m.nextCommandAt = min(m.nextCommandAt, l.now) // start it without waiting for a report
 		}
 	}
 	// Before any machine reports: one that died first left the gang
@@ -337,18 +335,18 @@
 }
 
 // terminalStateCommitted takes in that a job's final state is committed.
-func (c *Controller) terminalStateCommitted(p *partition, j *job, rec terminalRecord) {
+func (l *partitionLog) terminalStateCommitted(p *partition, j *job, rec terminalRecord) {
 	j.terminal = true
 	delete(p.changedJobs, j.id)
-	c.recordTerminalState(j.id, rec)
-	c.logInfo("job over", "job", j.id, "team", j.spec.Team, "class", j.spec.Class, "state", rec.State,
-		"after_s", (c.now - j.acceptedAt).WholeSeconds(), "deadline_s", j.spec.DeadlineS)
+	l.dependencies.recordTerminalState(j.id, rec)
+	l.logInfo("job over", "job", j.id, "team", j.spec.Team, "class", j.spec.Class, "state", rec.State,
+		"after_s", (l.now - j.acceptedAt).WholeSeconds(), "deadline_s", j.spec.DeadlineS)
 }
 
 // commitRefused takes in that a partition's flush was refused for good: a job was
 // cancelled meanwhile, say. The replica is newer than the refusal, so the next
 // flush says the same in the light of it. Strays can wait.
-func (c *Controller) commitRefused(p *partition) {
+func (l *partitionLog) commitRefused(p *partition) {
 	p.machineBatches = slices.DeleteFunc(p.machineBatches, func(n *machineBatch) bool {
 		if n.adopt {
 			n.onRecorded()
@@ -362,16 +360,6 @@
 	p.commitInFlight = nil
 }
 
-// requestRecordChange wants a machine's record changed.
-func (c *Controller) requestRecordChange(m *machine, op recordChangeKind) {
-	m.pendingChange = op
-	p := c.partitions[m.record.Partition]
-	p.recordChanges = append(p.recordChanges, m)
-}
-
-// maxValueBytes is the longest value written, in bytes.
-func (c *Controller) maxValueBytes() int { return int(c.settings.Deployment.Store.ValueKB * 1000) }
-
 func mustMarshal(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
@@ -379,3 +367,29 @@
 	}
 	return b
 }
+
+// writeRateShare is how many changes a second we may make: a fixed share, by the partitions held,
+// and what the others said they do not use. All the same may want it at once: then
+// some are refused and repeated until each has heard of the others.
+func (l *partitionLog) writeRateShare() float64 {
+	held := 0
+	for _, p := range l.cluster.partitions {
+		if p.Leads() {
+			held++
+		}
+	}
+	all := l.settings.Deployment.Store.WriteRPS
+	fixed := all * (0.1 + 0.65*float64(held)/float64(len(l.cluster.partitions)))
+	free := 0.9 * all
+	for _, node := range l.settings.Nodes {
+		if node == l.settings.Node {
+			continue
+		}
+		h := l.peers.byNode[node]
+		if h == nil || l.now > h.lastHeartbeatAt+3*micros.Second || h.writeRate == 0 {
+			return fixed // not known: one that was not heard may use its share
+		}
+		free -= max(h.writeRate*1.2, 0.1*all)
+	}
+	return max(fixed, min(free, 0.8*all))
+}
--- a/internal/core/condition.go
+++ b/internal/core/condition.go
@@ -2,6 +2,27 @@
 
 import "spurmoor/internal/micros"
 
+// conditionTracker says in the log, and to health checks, what this controller has lost.
+type conditionTracker struct {
+	*environment
+	cache       *watchCache
+	cluster     *clusterState
+	isolation   *isolationGuard
+	peers       *peerTracker
+	storeHealth *storeHealth
+	workerReach *workerReach
+
+	reported          condition
+	reportedSince     micros.Micros
+	observedCondition condition // seen since observedSince, not reported yet
+	observedSince     micros.Micros
+}
+
+func newConditionTracker(env *environment, cache *watchCache, cluster *clusterState, isolation *isolationGuard, peers *peerTracker,
+	health *storeHealth, reach *workerReach) *conditionTracker {
+	return &conditionTracker{environment: env, cache: cache, cluster: cluster, isolation: isolation, peers: peers, storeHealth: health, workerReach: reach}
+}
+
 // condition is what a controller can tell of what it has lost. Each is one line in
 // the log when it begins and ends, and stands on /ready.
 type condition string
@@ -20,13 +41,13 @@
 // storeSilenceTolerance is how long the state service must not answer before it is said.
 const storeSilenceTolerance = 3 * micros.Second / 2
 
-func (c *Controller) currentCondition() condition {
+func (t *conditionTracker) currentCondition() condition {
 	switch {
-	case c.unavailableSince > 0 && c.now > c.unavailableSince+storeSilenceTolerance:
-		return c.conditionWithoutStore()
-	case !c.synced:
+	case t.storeHealth.unavailableSince > 0 && t.now > t.storeHealth.unavailableSince+storeSilenceTolerance:
+		return t.conditionWithoutStore()
+	case !t.cache.synced:
 		return conditionReading
-	case c.isolatedFromWorkers || c.unreachedSince > 0:
+	case t.workerReach.isolatedFromWorkers || t.isolation.unreachedSince > 0:
 		return conditionNoWorkers
 	}
 	return conditionHealthy
@@ -34,15 +55,15 @@
 
 // conditionWithoutStore tells what else a controller lost that the state service
 // does not answer.
-func (c *Controller) conditionWithoutStore() condition {
+func (t *conditionTracker) conditionWithoutStore() condition {
 	// Without machines none can be heard.
-	silent := len(c.machines) >= 2 && c.now > c.lastWorkerContactAt+c.silenceTimeout()
+	silent := len(t.cluster.machines) >= 2 && t.now > t.workerReach.lastWorkerContactAt+t.settings.silenceTimeout()
 	switch {
-	case c.healthyPeerKnown() && c.refusing:
+	case t.peers.healthyPeerKnown() && t.storeHealth.refusing:
 		return conditionRefusedAlone
-	case c.healthyPeerKnown():
+	case t.peers.healthyPeerKnown():
 		return conditionUnansweredAlone
-	case c.hearsAnyPeer():
+	case t.peers.hearsAnyPeer():
 		return conditionStoreUnavailable
 	case silent:
 		return conditionIsolated
@@ -50,28 +71,17 @@
 	return conditionOnlyWorkers
 }
 
-// hearsAnyPeer tells whether another controller was heard of late; one without others
-// hears all that there are.
-func (c *Controller) hearsAnyPeer() bool {
-	for _, h := range c.peers {
-		if c.now < h.lastHeartbeatAt+4*micros.Second {
-			return true
-		}
-	}
-	return len(c.settings.Nodes) == 1
-}
-
 // trackCondition says when it changes.
-func (c *Controller) trackCondition() {
-	now := c.currentCondition()
-	if now != c.observedCondition {
-		c.observedCondition, c.observedSince = now, c.now
+func (t *conditionTracker) trackCondition() {
+	now := t.currentCondition()
+	if now != t.observedCondition {
+		t.observedCondition, t.observedSince = now, t.now
 	}
-	if now == c.condition || c.now < c.observedSince+micros.Second {
+	if now == t.reported || t.now < t.observedSince+micros.Second {
 		return // one that passes is not said
 	}
-	if c.condition != "" {
-		c.logWarn("condition", "now", string(now), "before", string(c.condition), "for_s", (c.now - c.conditionSince).WholeSeconds())
+	if t.reported != "" {
+		t.logWarn("condition", "now", string(now), "before", string(t.reported), "for_s", (t.now - t.reportedSince).WholeSeconds())
 	}
-	c.condition, c.conditionSince = now, c.now
+	t.reported, t.reportedSince = now, t.now
 }
--- a/internal/core/needs.go
+++ b/internal/core/dependencies.go
@@ -15,6 +15,28 @@
 // nothing. A need whose key is gone was done or withdrawn; which of the two, the
 // order of the changes says, or its final record.
 
+// dependencyGraph is which unfinished jobs depend on which, and how jobs ended.
+type dependencyGraph struct {
+	*environment
+	cache   *watchCache
+	cluster *clusterState
+	trigger *cycleTrigger
+
+	byJob             map[string]*dependency // jobs that unfinished others depend on
+	outcomesToRead    []string               // of those, the ones whose terminal records are to be read
+	nextOutcomeReadAt micros.Micros
+	outcomeReads      int // terminal records being read for dependencies
+	terminalStates    *terminalCache
+}
+
+// maxTerminalStates is how many terminal states are kept in memory.
+const maxTerminalStates = 20_000
+
+func newDependencyGraph(env *environment, cache *watchCache, cluster *clusterState, trigger *cycleTrigger) *dependencyGraph {
+	return &dependencyGraph{environment: env, cache: cache, cluster: cluster, trigger: trigger,
+		byJob: map[string]*dependency{}, terminalStates: newTerminalCache(maxTerminalStates)}
+}
+
 // dependencyOutcome is what became of a job that others need.
 type dependencyOutcome uint8
 
@@ -36,40 +58,40 @@
 const maxOutcomeReads = 32
 
 // linkDependencies notes what a job needs.
-func (c *Controller) linkDependencies(j *job) {
+func (g *dependencyGraph) linkDependencies(j *job) {
 	for _, id := range j.dependencies {
-		n := c.dependencies[id]
+		n := g.byJob[id]
 		if n == nil {
 			n = &dependency{}
-			if n.dependencyOutcome, n.doneAt = c.knownOutcome(id); n.dependencyOutcome == outcomeUnknown {
-				c.outcomesToRead = append(c.outcomesToRead, id)
+			if n.dependencyOutcome, n.doneAt = g.knownOutcome(id); n.dependencyOutcome == outcomeUnknown {
+				g.outcomesToRead = append(g.outcomesToRead, id)
 			}
-			c.dependencies[id] = n
+			g.byJob[id] = n
 		}
 		n.dependents = append(n.dependents, j)
 	}
-	c.reviewDependencies(j)
+	g.reviewDependencies(j)
 }
 
 // unlinkDependencies forgets what a job that is over needed.
-func (c *Controller) unlinkDependencies(j *job) {
+func (g *dependencyGraph) unlinkDependencies(j *job) {
 	for _, id := range j.dependencies {
-		n := c.dependencies[id]
+		n := g.byJob[id]
 		if n == nil {
 			continue
 		}
 		if n.dependents = slices.DeleteFunc(n.dependents, func(o *job) bool { return o == j }); len(n.dependents) == 0 {
-			delete(c.dependencies, id)
+			delete(g.byJob, id)
 		}
 	}
 }
 
 // knownOutcome tells what became of a job, as far as no read is needed for it.
-func (c *Controller) knownOutcome(id string) (dependencyOutcome, micros.Micros) {
-	if rec, ok := c.terminalStates.records[id]; ok {
+func (g *dependencyGraph) knownOutcome(id string) (dependencyOutcome, micros.Micros) {
+	if rec, ok := g.terminalStates.records[id]; ok {
 		return rec.outcome(), rec.EndedAt
 	}
-	switch j := c.jobs[id]; {
+	switch j := g.cluster.jobs[id]; {
 	case j == nil:
 		return outcomeUnknown, 0
 	case j.cancelled:
@@ -86,38 +108,38 @@
 }
 
 // settleOutcome takes in what became of a job, and what follows for those that need it.
-func (c *Controller) settleOutcome(id string, o dependencyOutcome, at micros.Micros) {
-	n := c.dependencies[id]
+func (g *dependencyGraph) settleOutcome(id string, o dependencyOutcome, at micros.Micros) {
+	n := g.byJob[id]
 	if n == nil || n.dependencyOutcome == o || n.dependencyOutcome >= outcomeDone {
 		return
 	}
 	if n.dependencyOutcome, n.doneAt = o, at; o == outcomeUnknown {
-		c.outcomesToRead = append(c.outcomesToRead, id)
+		g.outcomesToRead = append(g.outcomesToRead, id)
 	}
 	for _, j := range n.dependents {
-		c.reviewDependencies(j)
+		g.reviewDependencies(j)
 	}
 }
 
 // recordTerminalState notes how a job ended, and what follows for those that need it.
-func (c *Controller) recordTerminalState(id string, rec terminalRecord) {
-	c.terminalStates.add(id, rec)
-	c.settleOutcome(id, rec.outcome(), rec.EndedAt)
+func (g *dependencyGraph) recordTerminalState(id string, rec terminalRecord) {
+	g.terminalStates.add(id, rec)
+	g.settleOutcome(id, rec.outcome(), rec.EndedAt)
 }
 
 // resetDependencies forgets all dependencies, before everything is read again. What is
 // known of jobs that ended stays.
-func (c *Controller) resetDependencies() {
-	clear(c.dependencies)
-	c.outcomesToRead = nil
+func (g *dependencyGraph) resetDependencies() {
+	clear(g.byJob)
+	g.outcomesToRead = nil
 }
 
 // reviewDependencies works out anew whether a job must wait, and whether it is withdrawn.
-func (c *Controller) reviewDependencies(j *job) {
+func (g *dependencyGraph) reviewDependencies(j *job) {
 	had := j.pendingDependencies
 	j.pendingDependencies, j.unknownDependencies, j.dependenciesDoneAt = 0, 0, 0
 	for _, id := range j.dependencies {
-		switch n := c.dependencies[id]; n.dependencyOutcome {
+		switch n := g.byJob[id]; n.dependencyOutcome {
 		case outcomeDone:
 			j.dependenciesDoneAt = max(j.dependenciesDoneAt, n.doneAt)
 			continue
@@ -129,14 +151,14 @@
 		j.pendingDependencies++
 	}
 	if had > 0 && j.pendingDependencies == 0 {
-		c.logDebug("all that the job needs is done", "job", j.id, "after_s", (c.now - j.acceptedAt).WholeSeconds())
-		c.requestPlanWithin(0)
+		g.logDebug("all that the job needs is done", "job", j.id, "after_s", (g.now - j.acceptedAt).WholeSeconds())
+		g.trigger.requestPlanWithin(0)
 	}
 	if j.dependencyCancelled && !j.cancelled {
 		j.cancelled = true
-		c.logDebug("job withdrawn with one that it needs", "job", j.id)
-		c.markChanged(j)
-		c.settleOutcome(j.id, outcomeCancelled, 0)
+		g.logDebug("job withdrawn with one that it needs", "job", j.id)
+		g.cluster.markChanged(j)
+		g.settleOutcome(j.id, outcomeCancelled, 0)
 	}
 }
 
@@ -149,8 +171,8 @@
 // terminalOutcome tells what a job that vanished from the replica had become, if that is
 // known. A cancellation changes the job's key before its end does, and a final
 // state guards the version that it follows: without one the job was done.
-func (c *Controller) terminalOutcome(j *job) (terminalRecord, bool) {
-	if rec, ok := c.terminalStates.records[j.id]; ok {
+func (g *dependencyGraph) terminalOutcome(j *job) (terminalRecord, bool) {
+	if rec, ok := g.terminalStates.records[j.id]; ok {
 		return rec, true
 	}
 	switch {
@@ -159,31 +181,31 @@
 	case j.unknownDependencies > 0 && !j.hasStarted():
 		return terminalRecord{}, false
 	}
-	return terminalRecord{State: api.JobDone, DoneTasks: j.spec.Tasks, EndedAt: c.now}, true
+	return terminalRecord{State: api.JobDone, DoneTasks: j.spec.Tasks, EndedAt: g.now}, true
 }
 
 // readUnknownOutcomes reads the final records of needs that were over before the replica
 // could show how, a few at a time.
-func (c *Controller) readUnknownOutcomes() {
-	if !c.synced || c.now < c.nextOutcomeReadAt {
+func (g *dependencyGraph) readUnknownOutcomes() {
+	if !g.cache.synced || g.now < g.nextOutcomeReadAt {
 		return
 	}
-	for len(c.outcomesToRead) > 0 && c.outcomeReads < maxOutcomeReads/2 {
-		id := c.outcomesToRead[0]
-		c.outcomesToRead = c.outcomesToRead[1:]
-		if n := c.dependencies[id]; n == nil || n.dependencyOutcome != outcomeUnknown {
+	for len(g.outcomesToRead) > 0 && g.outcomeReads < maxOutcomeReads/2 {
+		id := g.outcomesToRead[0]
+		g.outcomesToRead = g.outcomesToRead[1:]
+		if n := g.byJob[id]; n == nil || n.dependencyOutcome != outcomeUnknown {
 			continue
 		}
-		if o, at := c.knownOutcome(id); o != outcomeUnknown {
-			c.settleOutcome(id, o, at)
+		if o, at := g.knownOutcome(id); o != outcomeUnknown {
+			g.settleOutcome(id, o, at)
 			continue
 		}
-		c.readOutcome(id, func(f lookupResult) {
-			if n := c.dependencies[id]; f != jobKnown && n != nil && n.dependencyOutcome == outcomeUnknown {
+		g.readOutcome(id, func(f lookupResult) {
+			if n := g.byJob[id]; f != jobKnown && n != nil && n.dependencyOutcome == outcomeUnknown {
 				if f == jobNeverAccepted {
-					c.logError("no trace of a job that others need", "job", id)
+					g.logError("no trace of a job that others need", "job", id)
 				}
-				c.outcomesToRead, c.nextOutcomeReadAt = append(c.outcomesToRead, id), c.now+c.jitter(micros.Second/2)
+				g.outcomesToRead, g.nextOutcomeReadAt = append(g.outcomesToRead, id), g.now+g.jitter(micros.Second/2)
 			}
 		})
 	}
@@ -191,23 +213,23 @@
 
 // readOutcome is readFinal for a need, of which so many are read at a time; what
 // users ask of jobs that are over does not count.
-func (c *Controller) readOutcome(id string, f func(lookupResult)) {
-	c.outcomeReads++
-	c.readTerminalRecord(id, func(found lookupResult) {
-		c.outcomeReads--
+func (g *dependencyGraph) readOutcome(id string, f func(lookupResult)) {
+	g.outcomeReads++
+	g.readTerminalRecord(id, func(found lookupResult) {
+		g.outcomeReads--
 		f(found)
 	})
 }
 
 // readTerminalRecord reads a job's final record, and notes what it says.
-func (c *Controller) readTerminalRecord(id string, f func(lookupResult)) {
-	c.callStore(StoreCall{Op: OpGet, Key: terminalKey + id}, func(r *StoreReply) {
+func (g *dependencyGraph) readTerminalRecord(id string, f func(lookupResult)) {
+	g.callStore(StoreCall{Op: OpGet, Key: terminalKey + id}, func(r *StoreReply) {
 		var rec terminalRecord
 		switch {
 		case r.Status == 404:
 			f(jobNeverAccepted)
 		case r.Status == 200 && json.Unmarshal(r.Item.Value, &rec) == nil && rec.State != "":
-			c.recordTerminalState(id, rec)
+			g.recordTerminalState(id, rec)
 			f(jobKnown)
 		default:
 			f(lookupUnknown)
@@ -218,47 +240,47 @@
 // verifyDependencies makes sure that all jobs that a submission names were accepted, from a
 // read begun after it arrived where the replica doesn't know one. It gives 0, or
 // the status of a refusal.
-func (c *Controller) verifyDependencies(spec *api.Job, f func(status int, why string)) {
-	if len(c.unknownDependencies(spec)) == 0 {
-		f(c.rejectServiceDependencies(spec))
+func (g *dependencyGraph) verifyDependencies(spec *api.Job, f func(status int, why string)) {
+	if len(g.unknownDependencies(spec)) == 0 {
+		f(g.rejectServiceDependencies(spec))
 		return
 	}
-	c.readLatest(func(ok bool) {
+	g.cache.readLatest(func(ok bool) {
 		if !ok {
 			f(503, "the state service did not answer")
 			return
 		}
 		// What is left is over or was never accepted. A long list is read in
 		// several tries of its user, each of which finds more of it known.
-		list := c.unknownDependencies(spec)
+		list := g.unknownDependencies(spec)
 		if len(list) == 0 {
-			f(c.rejectServiceDependencies(spec))
+			f(g.rejectServiceDependencies(spec))
 			return
 		}
-		most := max(0, maxOutcomeReads-c.outcomeReads)
+		most := max(0, maxOutcomeReads-g.outcomeReads)
 		if most == 0 {
 			f(503, "too many submissions that name others at a time")
 			return
 		}
 		all := len(list) <= most
-		c.readOutcomes(list[:min(len(list), most)], func(missing string, failed bool) {
+		g.readOutcomes(list[:min(len(list), most)], func(missing string, failed bool) {
 			switch {
 			case missing != "":
 				f(422, missing+" was never accepted")
 			case failed || !all:
 				f(503, "not all jobs that it names could be looked up")
 			default:
-				f(c.rejectServiceDependencies(spec))
+				f(g.rejectServiceDependencies(spec))
 			}
 		})
 	})
 }
 
 // unknownDependencies lists the jobs a submission names of which nothing is known.
-func (c *Controller) unknownDependencies(spec *api.Job) []string {
+func (g *dependencyGraph) unknownDependencies(spec *api.Job) []string {
 	var list []string
 	for _, id := range spec.Dependencies {
-		if o, _ := c.knownOutcome(id); o == outcomeUnknown {
+		if o, _ := g.knownOutcome(id); o == outcomeUnknown {
 			list = append(list, id)
 		}
 	}
@@ -266,9 +288,9 @@
 }
 
 // rejectServiceDependencies tells whether accepted jobs may be waited for.
-func (c *Controller) rejectServiceDependencies(spec *api.Job) (status int, why string) {
+func (g *dependencyGraph) rejectServiceDependencies(spec *api.Job) (status int, why string) {
 	for _, id := range spec.Dependencies {
-		if j := c.jobs[id]; j != nil && j.spec.Kind == api.Service {
+		if j := g.cluster.jobs[id]; j != nil && j.spec.Kind == api.Service {
 			return 422, id + " is a service: it is never done"
 		}
 	}
@@ -277,10 +299,10 @@
 
 // readOutcomes reads the final records of jobs, and tells which was never accepted,
 // if any, and whether some could not be read.
-func (c *Controller) readOutcomes(list []string, f func(missing string, failed bool)) {
+func (g *dependencyGraph) readOutcomes(list []string, f func(missing string, failed bool)) {
 	left, missing, failed := len(list), "", false
 	for _, id := range list {
-		c.readOutcome(id, func(found lookupResult) {
+		g.readOutcome(id, func(found lookupResult) {
 			left--
 			switch found {
 			case jobNeverAccepted:
@@ -297,10 +319,10 @@
 
 // dropSettledDependencies leaves of what a job needs only what is not over: the rest says
 // nothing any more. One that needs a withdrawn job is withdrawn itself.
-func (c *Controller) dropSettledDependencies(rec *jobRecord) {
+func (g *dependencyGraph) dropSettledDependencies(rec *jobRecord) {
 	var left []string
 	for _, id := range rec.Spec.Dependencies {
-		switch o, _ := c.knownOutcome(id); o {
+		switch o, _ := g.knownOutcome(id); o {
 		case outcomeDone:
 		case outcomeCancelled:
 			rec.Spec.Dependencies, rec.Cancelled = nil, true
--- a/internal/core/duties_test.go
+++ b/internal/core/duties_test.go
@@ -19,8 +19,8 @@
 	c, p, _, _ := holder(t)
 	c.settings.Operators.Roles.Exclusive, c.settings.Operators.Roles.RecordRequests = leadership.FleetRoleNames(), true
 	c.settings.Deployment.Cloud.RPS = 6
-	c.nextCatalogReadAt, c.nextListAt = 1<<60, 1<<60 // they are not asked for here
-	c.recordingRequests, c.exclusive = true, true
+	c.catalog.nextCatalogReadAt, c.instances.nextListAt = 1<<60, 1<<60 // they are not asked for here
+	c.provisioning.recordingRequests, c.roles.exclusive = true, true
 	c.effects = nil
 	return c, p
 }
@@ -62,7 +62,7 @@
 // record's write guards the term and the record that it replaces.
 func TestRentalIsRecordedFirst(t *testing.T) {
 	c, p := recorder(t)
-	c.scaleOut(p, scheduler.InstanceKind{Type: "g4", Zone: "alta"}, 3)
+	c.provisioning.scaleOut(p, scheduler.InstanceKind{Type: "g4", Zone: "alta"}, 3)
 	record := writesTo(c.effects, requestsKey+"0")
 	if record == nil || rentalsSent(c.effects) != 0 {
 		t.Fatalf("recorded: %t, sent before that: %d", record != nil, rentalsSent(c.effects))
@@ -82,11 +82,11 @@
 // rental was answered after the change of holder: the next one asks under the same name.
 func TestNextHolderRepeatsRentals(t *testing.T) {
 	c, p := recorder(t)
-	c.loseRole(p.RoleState, "test")
+	c.roles.loseRole(p.RoleState, "test")
 	open := requestsRecord{Open: []requestRecord{{Request: "p0-10-7", Type: "g4", Zone: "alta", Count: 4},
 		{Request: "p0-10-8", Type: "g4", Zone: "alta", Spot: true, Count: 2, Deferred: true}}}
-	c.applyPut(requestsKey+"0", mustMarshal(open), 50)
-	c.applyPut(p.key(), mustMarshal(c.leaderClaim()), 60)
+	c.applier.applyPut(requestsKey+"0", mustMarshal(open), 50)
+	c.applier.applyPut(p.key(), mustMarshal(c.roles.leaderClaim()), 60)
 	effects := c.Step(c.now+micros.Second, Tick{})
 	var names []string
 	for _, call := range calls[CloudCall](effects) {
@@ -102,7 +102,7 @@
 	}
 	// The one that was refused is the next for its kind, if as much is wanted.
 	c.effects = nil
-	c.scaleOut(p, scheduler.InstanceKind{Type: "g4", Zone: "alta", Spot: true}, 2)
+	c.provisioning.scaleOut(p, scheduler.InstanceKind{Type: "g4", Zone: "alta", Spot: true}, 2)
 	sent := calls[CloudCall](c.effects)
 	if len(sent) != 1 || sent[0].Launch.Body().Name != "p0-10-8" {
 		t.Errorf("instead of the refused request %+v is sent", sent)
@@ -114,12 +114,12 @@
 func TestLateAnswerToFormerHolder(t *testing.T) {
 	c, p := recorder(t)
 	c.settings.Operators.Roles.RecordRequests = false
-	c.scaleOut(p, scheduler.InstanceKind{Type: "g4", Zone: "alta"}, 3)
+	c.provisioning.scaleOut(p, scheduler.InstanceKind{Type: "g4", Zone: "alta"}, 3)
 	sent := calls[CloudCall](c.effects)
 	if len(sent) != 1 {
 		t.Fatalf("%d requests sent", len(sent))
 	}
-	c.loseRole(p.RoleState, "test")
+	c.roles.loseRole(p.RoleState, "test")
 	c.Step(c.now+micros.Second, &CloudReply{Call: sent[0].Call, Status: 200, Launched: []string{"n-7", "n-8", "n-9"}})
 	if len(p.machineBatches) != 0 || len(p.pendingMachines) != 0 {
 		t.Errorf("a former holder would record %d, counts on %v", len(p.machineBatches), p.pendingMachines)
@@ -132,21 +132,21 @@
 func TestLeaseCountsFromSending(t *testing.T) {
 	c, p := recorder(t)
 	sent := c.now
-	c.nextRenewalAt, c.renewalInFlight = c.now, false
+	c.storeLease.nextRenewalAt, c.storeLease.renewalInFlight = c.now, false
 	renewals := slices.DeleteFunc(calls[StoreCall](c.Step(sent, Tick{})), func(s StoreCall) bool { return s.Op != OpRenewLease })
 	if len(renewals) != 1 {
 		t.Fatalf("%d renewals", len(renewals))
 	}
-	late := sent + c.leaseTTL() + micros.Second
+	late := sent + c.settings.leaseTTL() + micros.Second
 	c.Step(late, &StoreReply{Call: renewals[0].Call, Status: 200})
-	if g := c.grant(p.RoleState, leadership.Launch); c.leaseValid() || g.Check(leadership.Launch, c.now) != leadership.NoGrant {
+	if g := c.storeLease.grant(p.RoleState, leadership.Launch); c.storeLease.leaseValid() || g.Check(leadership.Launch, c.now) != leadership.NoGrant {
 		t.Error("the lease counts from its answer")
 	}
-	c.lease.RenewalSentAt = late
-	c.nextRenewalAt, c.renewalInFlight = late, false
+	c.storeLease.lease.RenewalSentAt = late
+	c.storeLease.nextRenewalAt, c.storeLease.renewalInFlight = late, false
 	again := slices.DeleteFunc(calls[StoreCall](c.Step(late+1, Tick{})), func(s StoreCall) bool { return s.Op != OpRenewLease })
 	c.Step(late+2*micros.Second, &StoreReply{Call: again[0].Call}) // renewed there, but the answer is lost
-	if c.lease.RenewalSentAt != late {
+	if c.storeLease.lease.RenewalSentAt != late {
 		t.Error("a renewal without an answer counts")
 	}
 }
@@ -159,16 +159,16 @@
 	c.Step(c.now+micros.Second/10, Tick{})
 	at := c.now + 9*micros.Second
 	c.Step(at, Tick{})
-	if at >= c.answerDeadline() {
+	if at >= c.storeLease.answerDeadline() {
 		t.Fatal("the answer deadline is over")
 	}
-	if c.mayAnswerFor(p) {
+	if c.storeLease.mayAnswerFor(p) {
 		t.Error("it answers before it can have heard of the others")
 	}
 	for range 40 {
 		c.Step(c.now+micros.Second/10, Tick{})
 	}
-	if !c.mayAnswerFor(p) {
+	if !c.storeLease.mayAnswerFor(p) {
 		t.Error("it does not answer although nobody else is heard")
 	}
 }
@@ -177,18 +177,18 @@
 // record can't be read: it counts as held until its lease has run out.
 func TestUnreadableDuty(t *testing.T) {
 	c, _ := recorder(t)
-	c.applyPut(fleetRoleKey+"strays", []byte(`"?"`), 70)
-	h := c.fleetRole(leadership.OrphanAdopter)
-	if c.isVacant(h) || h.Leads() || c.mayPerform(leadership.OrphanAdopter) {
-		t.Errorf("free %t, held %t", c.isVacant(h), h.Leads())
+	c.applier.applyPut(fleetRoleKey+"strays", []byte(`"?"`), 70)
+	h := c.roles.fleetRole(leadership.OrphanAdopter)
+	if c.roles.isVacant(h) || h.Leads() || c.roles.mayPerform(leadership.OrphanAdopter) {
+		t.Errorf("free %t, held %t", c.roles.isVacant(h), h.Leads())
 	}
 	logged := slices.ContainsFunc(calls[Log](c.effects), func(l Log) bool { return strings.Contains(l.Message, "unreadable value") })
 	if !logged {
 		t.Error("it is not logged")
 	}
-	c.applyDelete(fleetRoleKey+"strays", 71)
+	c.applier.applyDelete(fleetRoleKey+"strays", 71)
 	c.now += 10 * micros.Second
-	if !c.isVacant(h) {
+	if !c.roles.isVacant(h) {
 		t.Error("not free after its lease ran out")
 	}
 }
@@ -198,21 +198,21 @@
 func TestFleetDutyNeedsAll(t *testing.T) {
 	c, _ := recorder(t)
 	c.settings.Nodes = []string{"nodo-0", "nodo-1"}
-	if !c.mayPerform(leadership.OrphanAdopter) {
+	if !c.roles.mayPerform(leadership.OrphanAdopter) {
 		t.Error("a controller whose peers may be of an older version leaves strays alone")
 	}
-	c.handlePeerHeartbeat(&peer.Heartbeat{Node: "nodo-1", Healthy: true, SchemaVersion: schemaRoles})
-	if c.mayPerform(leadership.OrphanAdopter) {
+	c.messenger.handlePeerHeartbeat(&peer.Heartbeat{Node: "nodo-1", Healthy: true, SchemaVersion: schemaRoles})
+	if c.roles.mayPerform(leadership.OrphanAdopter) {
 		t.Error("all know of the duty, and one that does not hold it acts")
 	}
-	c.applyPut(fleetRoleKey+"strays", mustMarshal(c.leaderClaim()), 80)
-	if !c.mayPerform(leadership.OrphanAdopter) {
+	c.applier.applyPut(fleetRoleKey+"strays", mustMarshal(c.roles.leaderClaim()), 80)
+	if !c.roles.mayPerform(leadership.OrphanAdopter) {
 		t.Fatal("its holder does not act")
 	}
-	c.handlePeerHeartbeat(&peer.Heartbeat{Node: "nodo-1", Healthy: true, SchemaVersion: schemaDependencies}) // put back
+	c.messenger.handlePeerHeartbeat(&peer.Heartbeat{Node: "nodo-1", Healthy: true, SchemaVersion: schemaDependencies}) // put back
 	c.effects = nil
-	c.reconcileRoles()
-	if c.fleetRole(leadership.OrphanAdopter).Leads() || !c.mayPerform(leadership.OrphanAdopter) {
+	c.roles.reconcileRoles()
+	if c.roles.fleetRole(leadership.OrphanAdopter).Leads() || !c.roles.mayPerform(leadership.OrphanAdopter) {
 		t.Error("the duty is kept although a controller does not know of it")
 	}
 }
@@ -221,9 +221,9 @@
 // the version before is there already.
 func TestSchemaIsAnnouncedAnew(t *testing.T) {
 	c, _ := recorder(t)
-	c.applyPut(schemaKey+c.settings.Node, mustMarshal(schemaRecord{schemaDependencies, "1.0"}), 33)
-	c.effects, c.nextSchemaAnnouncementAt = nil, 0
-	c.announceSchema()
+	c.applier.applyPut(schemaKey+c.settings.Node, mustMarshal(schemaRecord{schemaDependencies, "1.0"}), 33)
+	c.effects, c.schema.nextSchemaAnnouncementAt = nil, 0
+	c.schema.announceSchema()
 	call := writesTo(c.effects, schemaKey+c.settings.Node)
 	if call == nil || !slices.Contains(call.Transaction.Body().Compares, api.Compare{Key: schemaKey + c.settings.Node, Version: 33}) {
 		t.Errorf("announced by %+v", call)
@@ -234,22 +234,22 @@
 // committed that it is never to be used again, and against a deletion without a lease.
 func TestDeletionFollowsTombstone(t *testing.T) {
 	c, _ := recorder(t)
-	m := c.machines["n-1"]
-	c.setTask(c.jobs["wk-000001"], 0, taskRecord{})
-	c.scaleIn(m, "test")
+	m := c.cluster.machines["n-1"]
+	c.cluster.setTask(c.cluster.jobs["wk-000001"], 0, taskRecord{})
+	c.registry.scaleIn(m, "test")
 	c.effects = nil
-	c.deleteInstances()
+	c.deleter.deleteInstances()
 	if n := len(calls[CloudCall](c.effects)); n != 0 {
 		t.Fatalf("%d deletions before the tombstone is committed", n)
 	}
 	m.pendingChange, m.record.Condemned = noRecordChange, true // committed
-	held := c.lease.RenewalSentAt
-	c.lease.RenewalSentAt = c.now - c.leaseTTL()
-	if c.deleteInstances(); len(calls[CloudCall](c.effects)) != 0 {
+	held := c.storeLease.lease.RenewalSentAt
+	c.storeLease.lease.RenewalSentAt = c.now - c.settings.leaseTTL()
+	if c.deleter.deleteInstances(); len(calls[CloudCall](c.effects)) != 0 {
 		t.Error("deleted without a lease that holds")
 	}
-	c.lease.RenewalSentAt = held
-	c.deleteInstances()
+	c.storeLease.lease.RenewalSentAt = held
+	c.deleter.deleteInstances()
 	if sent := calls[CloudCall](c.effects); len(sent) != 1 || sent[0].Delete.Grant().Check(leadership.Delete, c.now) != "" {
 		t.Errorf("deletions: %+v", sent)
 	}
--- a/internal/core/faults.go
+++ b/internal/core/failures.go
@@ -33,45 +33,45 @@
 
 // taskSucceeded takes in that a task was done: the job is sound, and the
 // machine works.
-func (c *Controller) taskSucceeded(j *job, m *machine) {
+func (l *taskLifecycle) taskSucceeded(j *job, m *machine) {
 	m.failures.machineFaults = 0
 	clear(m.failures.unattributed)
 	j.suspect = false
 	for _, name := range sortedKeys(j.failedMachines) {
-		if o := c.machines[name]; o != nil && o.failures.unattributed[j.id] {
+		if o := l.cluster.machines[name]; o != nil && o.failures.unattributed[j.id] {
 			delete(o.failures.unattributed, j.id)
 			o.failures.machineFaults++
-			c.quarantine(o)
+			l.quarantine(o)
 		}
 	}
 	clear(j.failedMachines)
 }
 
 // taskFailed takes in that a task failed on a machine.
-func (c *Controller) taskFailed(j *job, m *machine, task string) {
+func (l *taskLifecycle) taskFailed(j *job, m *machine, task string) {
 	if j.mustNotRun() {
 		return
 	}
-	j.failedMachines[m.name], j.lastFailureAt = true, c.now
+	j.failedMachines[m.name], j.lastFailureAt = true, l.now
 	j.failureCount++
 	if j.doneTasks > 0 {
 		m.failures.machineFaults++
 	} else {
 		m.failures.unattributed[j.id] = true
 	}
-	c.logInfo("task failed", "task", task, "machine", m.name, "job_failed_on", len(j.failedMachines))
-	c.quarantine(m)
-	if c.failsAnywhere(j) {
-		c.suspectJob(j)
+	l.logInfo("task failed", "task", task, "machine", m.name, "job_failed_on", len(j.failedMachines))
+	l.quarantine(m)
+	if l.failsAnywhere(j) {
+		l.suspectJob(j)
 	}
 }
 
 // evidence counts the failures that speak against a machine, and the jobs that
 // failed there and elsewhere.
-func (c *Controller) evidence(m *machine) (own, shared int) {
+func (l *taskLifecycle) evidence(m *machine) (own, shared int) {
 	own = m.failures.machineFaults
 	for id := range m.failures.unattributed {
-		j := c.jobs[id]
+		j := l.cluster.jobs[id]
 		switch {
 		case j == nil:
 			delete(m.failures.unattributed, id) // it is over, and nothing of it was done
@@ -86,30 +86,30 @@
 }
 
 // quarantine has a machine drained and returned once its failures are its own.
-func (c *Controller) quarantine(m *machine) {
-	own, shared := c.evidence(m)
+func (l *taskLifecycle) quarantine(m *machine) {
+	own, shared := l.evidence(m)
 	if m.quarantined || own < quarantineAfterFaults && own+shared < quarantineAfterJobs {
 		return
 	}
 	m.quarantined = true
-	c.logInfo("machine quarantined", "machine", m.name, "failures", own, "jobs_failed_elsewhere_too", shared)
+	l.logInfo("machine quarantined", "machine", m.name, "failures", own, "jobs_failed_elsewhere_too", shared)
 }
 
 // suspectJob has a job that fails wherever it runs tried again ever more rarely.
-func (c *Controller) suspectJob(j *job) {
-	c.logInfo("job fails wherever it runs", "job", j.id, "machines", len(j.failedMachines))
+func (l *taskLifecycle) suspectJob(j *job) {
+	l.logInfo("job fails wherever it runs", "job", j.id, "machines", len(j.failedMachines))
 	j.suspect = true
 	j.backoff = min(maxBackoff, max(minBackoff, 2*j.backoff))
-	j.notBefore = c.now + c.jitter(j.backoff)
+	j.notBefore = l.now + l.jitter(j.backoff)
 	clear(j.failedMachines)
 }
 
 // soundMachinesFailedOn counts the machines on which a job failed that are not known to be
 // faulty.
-func (c *Controller) soundMachinesFailedOn(j *job) int {
+func (l *taskLifecycle) soundMachinesFailedOn(j *job) int {
 	n := 0
 	for name := range j.failedMachines {
-		if m := c.machines[name]; m != nil && !m.quarantined {
+		if m := l.cluster.machines[name]; m != nil && !m.quarantined {
 			n++
 		}
 	}
@@ -121,8 +121,8 @@
 // be faulty, and on more than hold tasks of it that did not fail. Without the
 // last two, a gang of eight that met one faulty machine at each of three attempts
 // was put behind all others, and began after ten minutes.
-func (c *Controller) failsAnywhere(j *job) bool {
-	n := c.soundMachinesFailedOn(j)
+func (l *taskLifecycle) failsAnywhere(j *job) bool {
+	n := l.soundMachinesFailedOn(j)
 	return n >= suspectAfterMachines && n > j.placedTasks && j.doneTasks == 0
 }
 
@@ -137,31 +137,31 @@
 // maxTasksPerPlan bounds the tasks of a job that one plan looks at. A gang or service is
 // placed whole: with a bound one of 600 tasks was placed by two plans, and what the
 // first had placed held machines that waited for the second.
-func (c *Controller) maxTasksPerPlan(j *job) int {
+func (l *taskLifecycle) maxTasksPerPlan(j *job) int {
 	if j.spec.Kind != api.Array {
 		return j.spec.Tasks
 	}
-	return max(minTasksPerPlan, len(c.machines)/machinesPerTask)
+	return max(minTasksPerPlan, len(l.cluster.machines)/machinesPerTask)
 }
 
 // placeableTasks is how many tasks of a job may be placed now. An array that
 // failed on several machines and of which nothing was done waits for those of
 // its tasks that run; if they fail too, it is tried with one task at a time. One
 // with a mistake once filled 67 machines again and again, and had machines rented.
-func (c *Controller) placeableTasks(j *job) int {
+func (l *taskLifecycle) placeableTasks(j *job) int {
 	switch {
 	case j.spec.Kind != api.Array:
 		return j.spec.Tasks
 	case j.suspect && j.placedTasks == 0:
 		return 1
-	case j.suspect, j.placedTasks > 0 && j.doneTasks == 0 && c.soundMachinesFailedOn(j) >= suspectAfterMachines:
+	case j.suspect, j.placedTasks > 0 && j.doneTasks == 0 && l.soundMachinesFailedOn(j) >= suspectAfterMachines:
 		return 0
 	}
-	return c.maxTasksPerPlan(j)
+	return l.maxTasksPerPlan(j)
 }
 
 // deprioritized tells whether a job that fails wherever it runs must let all others
 // go first. After two minutes it is tried once in its own turn.
-func (c *Controller) deprioritized(j *job) bool {
-	return j.suspect && c.now < j.lastFailureAt+120*micros.Second
+func (l *taskLifecycle) deprioritized(j *job) bool {
+	return j.suspect && l.now < j.lastFailureAt+120*micros.Second
 }
--- a/internal/core/faults_test.go
+++ b/internal/core/faults_test.go
@@ -15,10 +15,10 @@
 	t.Helper()
 	c := New(&settings.Settings{Operators: settings.Defaults()}, 1, rand.New(rand.NewPCG(1, 1)))
 	for _, name := range []string{"m-0", "m-1", "m-2", "m-3", "m-4"} {
-		c.machines[name] = &machine{name: name, failures: failureEvidence{unattributed: map[string]bool{}}}
+		c.cluster.machines[name] = &machine{name: name, failures: failureEvidence{unattributed: map[string]bool{}}}
 	}
 	for _, id := range []string{"a", "b", "c", "d"} {
-		c.jobs[id] = &job{id: id, spec: api.Job{Kind: api.Array, Tasks: 20}, failedMachines: map[string]bool{}}
+		c.cluster.jobs[id] = &job{id: id, spec: api.Job{Kind: api.Array, Tasks: 20}, failedMachines: map[string]bool{}}
 	}
 	return c
 }
@@ -46,20 +46,20 @@
 	} {
 		c := faultsOf(t)
 		for _, id := range tc.sound {
-			c.jobs[id].doneTasks = 1
+			c.cluster.jobs[id].doneTasks = 1
 		}
 		for _, f := range tc.failures {
-			c.taskFailed(c.jobs[f.job], c.machines[f.machine], f.job+"/0")
+			c.tasks.taskFailed(c.cluster.jobs[f.job], c.cluster.machines[f.machine], f.job+"/0")
 		}
 		for _, id := range tc.proven {
-			c.taskSucceeded(c.jobs[id], c.machines["m-4"])
+			c.tasks.taskSucceeded(c.cluster.jobs[id], c.cluster.machines["m-4"])
 		}
-		for name, m := range c.machines {
+		for name, m := range c.cluster.machines {
 			if want := slices.Contains(tc.faulty, name); m.quarantined != want {
 				t.Errorf("%s: %s is faulty: %t", tc.what, name, m.quarantined)
 			}
 		}
-		for id, j := range c.jobs {
+		for id, j := range c.cluster.jobs {
 			if want := slices.Contains(tc.suspect, id); j.suspect != want {
 				t.Errorf("%s: job %s is suspect: %t", tc.what, id, j.suspect)
 			}
--- a/internal/core/reports.go
+++ b/internal/core/heartbeat_reconciliation.go
@@ -4,132 +4,9 @@
 	"slices"
 
 	"spurmoor/internal/api"
-	"spurmoor/internal/leadership"
 	"spurmoor/internal/micros"
-	"spurmoor/internal/peer"
 )
 
-// handleWorkerHeartbeat answers a worker. Only the holder of the machine's partition, within its
-// answer deadline, answers 200: that keeps the worker's tasks alive.
-func (c *Controller) handleWorkerHeartbeat(v WorkerHeartbeat) {
-	r := v.Heartbeat
-	c.workerContact()
-	if !c.synced {
-		c.refuse(v.RequestID, 503, "the state service has not been read yet", 1)
-		return
-	}
-	m := c.machines[r.Machine]
-	if m == nil {
-		c.observeUnknownWorker(r)
-		c.answer(v.RequestID, 421, api.Redirect{})
-		return
-	}
-	if m.record.Type != r.Type || m.record.Zone != r.Zone || m.record.Spot != r.Spot {
-		c.refuse(v.RequestID, 400, "not the machine that was rented", 0)
-		return
-	}
-	if m.address == "" || m.isNewer(r) {
-		m.address = r.Address
-	}
-	if p := c.ledPartition(m); p == nil || !c.mayAnswerFor(p) {
-		c.answer(v.RequestID, 421, api.Redirect{To: c.otherLeader(m)})
-		return
-	}
-	if why := c.refusalReason(m, r); why != "" {
-		c.refuse(v.RequestID, 503, why, 1)
-		return
-	}
-	m.lastHeartbeatAt = c.now
-	commands := c.reconcileHeartbeat(m, r, true)
-	m.leaseExpiresAt = max(m.leaseExpiresAt, c.now+c.workerLease()+micros.Second/2)
-	body := api.HeartbeatResponse{FencingToken: c.fencingToken(m), Commands: commands}
-	c.answer(v.RequestID, 200, leadership.NewOrder(c.commandGrant(c.partitions[m.record.Partition]), body))
-}
-
-// otherLeader names the other controller that holds a machine's partition; "" if
-// none is known. Only a controller that has the state service names one: two that
-// had lost it sent workers to each other, by what each knew last, until the leases
-// of seven hundred machines had run out.
-func (c *Controller) otherLeader(m *machine) string {
-	known := m.record.Partition >= 0 && m.record.Partition < len(c.partitions) && c.partitions[m.record.Partition].Term > 0
-	if !known || c.ledPartition(m) != nil || !c.leaseValid() {
-		return ""
-	}
-	if node := c.partitions[m.record.Partition].Claim.Node; node != c.settings.Node {
-		return node
-	}
-	return ""
-}
-
-// refusalReason says why a report of a machine of ours must not be answered 200;
-// "" if it may be.
-func (c *Controller) refusalReason(m *machine, r *api.Heartbeat) string {
-	switch {
-	case c.mustLetLeaseExpire(m):
-		return "a cancelled task may still start there"
-	case r.FencingToken > c.fencingToken(m):
-		// Someone was entitled after us: our replica is behind.
-		c.readLatest(func(bool) {})
-		return "not entitled"
-	case !m.isNewer(r):
-		return "a newer report was seen"
-	}
-	return ""
-}
-
-// mustLetLeaseExpire tells whether a machine is to lose its lease for a job that was
-// cancelled an answer deadline ago: a direct start of it there had no answer and is not
-// ruled out by a higher token, for that needs the state service. Everything else
-// that must stop is told with each answer that renews the lease.
-func (c *Controller) mustLetLeaseExpire(m *machine) bool {
-	for _, id := range m.taskIDs {
-		j := c.jobs[id.job]
-		if t := j.task(id.index); j.mustNotRun() && !t.observed && t.directStartToken >= c.fencingToken(m) && t.directStartToken > 0 && c.now > j.stopRequiredSince+c.answerWindow() {
-			return true
-		}
-	}
-	return false
-}
-
-func (m *machine) isNewer(r *api.Heartbeat) bool {
-	return r.Incarnation > m.incarnation || r.Incarnation == m.incarnation && r.Sequence > m.heartbeatSequence
-}
-
-// handleCommandReply takes in the answer to commands sent directly.
-func (c *Controller) handleCommandReply(v CommandReply) {
-	if v.Status != 0 {
-		c.workerAnswered()
-	}
-	answered := v.Status == 200 || v.Status == 409
-	m := c.machines[v.Machine]
-	if m == nil {
-		if r := v.Heartbeat; r != nil && r.Machine == v.Machine && answered {
-			c.adoptOrphan(peer.Orphan{Machine: r.Machine, Type: r.Type, Zone: r.Zone, Spot: r.Spot}, "reported")
-		}
-		return
-	}
-	m.commandInFlight = false
-	if v.Unsent {
-		m.nextCommandAt = c.now + micros.Second/5
-	}
-	if c.ledPartition(m) == nil {
-		return
-	}
-	c.settleDirectStarts(m, v)
-	if v.Heartbeat == nil || v.Heartbeat.Machine != m.name || !answered || !m.isNewer(v.Heartbeat) {
-		return
-	}
-	if v.Status == 409 {
-		// Its session was not known to us: again with the right one.
-		c.observeIncarnation(m, v.Heartbeat.Incarnation)
-		m.nextCommandAt = c.now
-		return
-	}
-	if v.Heartbeat.FencingToken <= c.fencingToken(m) {
-		c.reconcileHeartbeat(m, v.Heartbeat, false)
-	}
-}
-
 // maxEndedTasks is how many ended tasks a worker holds before its token rises so
 // that they can be forgotten.
 const maxEndedTasks = 12
@@ -140,7 +17,7 @@
 // heartbeatReconciler is a worker's report while it is taken in, with the commands that bring
 // the worker to what is recorded.
 type heartbeatReconciler struct {
-	*Controller
+	*reconciler
 	machine     *machine
 	heartbeat   *api.Heartbeat
 	renewsLease bool // its answer keeps the lease; else it answers a direct command
@@ -153,15 +30,15 @@
 // bring it to what is recorded. Only the answer to a report may start tasks,
 // and only a report proves a task absent: a direct command's answer may be
 // older than a start that rides in a report's answer.
-func (c *Controller) reconcileHeartbeat(m *machine, r *api.Heartbeat, viaReport bool) []api.Command {
+func (c *reconciler) reconcileHeartbeat(m *machine, r *api.Heartbeat, viaReport bool) []api.Command {
 	c.observeIncarnation(m, r.Incarnation)
 	m.heartbeatSequence = r.Sequence
 	// Its session, or the answer that keeps it, is no later than now. Counting
 	// from our own answers alone took a machine for dead that had booted for
 	// longer than a lease and was heard through a direct command first.
-	m.leaseExpiresAt = max(m.leaseExpiresAt, c.now+c.workerLease()+micros.Second/2)
-	in := &heartbeatReconciler{Controller: c, machine: m, heartbeat: r, renewsLease: viaReport, observed: map[taskID]bool{}, commands: []api.Command{}}
-	if r.FencingToken != c.fencingToken(m) {
+	m.leaseExpiresAt = max(m.leaseExpiresAt, c.now+c.settings.workerLease()+micros.Second/2)
+	in := &heartbeatReconciler{reconciler: c, machine: m, heartbeat: r, renewsLease: viaReport, observed: map[taskID]bool{}, commands: []api.Command{}}
+	if r.FencingToken != c.cluster.fencingToken(m) {
 		in.stopCancelled()
 		return in.commands
 	}
@@ -206,7 +83,7 @@
 		if !ok || tr.State == api.TaskExited {
 			continue
 		}
-		if j := in.jobs[id.job]; j != nil && j.mustNotRun() {
+		if j := in.cluster.jobs[id.job]; j != nil && j.mustNotRun() {
 			in.addStop(id, tr.Attempt)
 		}
 	}
@@ -214,22 +91,22 @@
 
 // observeMachine takes in what a report says of the machine itself.
 func (in *heartbeatReconciler) observeMachine() {
-	c, m, r := in.Controller, in.machine, in.heartbeat
+	c, m, r := in.reconciler, in.machine, in.heartbeat
 	m.lastSeenAt, m.reportedTasks = c.now, r.Tasks
 	if m.firstHeartbeatAt == 0 {
 		m.firstHeartbeatAt, m.idleSince = c.now, c.now
-		c.recordBoot(m)
+		c.boots.recordBoot(m)
 		c.logInfo("machine up", "machine", m.name, "type", m.record.Type, "zone", m.record.Zone, "spot", m.record.Spot, "after_s", (c.now - m.launchedAt).WholeSeconds())
-		c.requestPlanWithin(0)
+		c.trigger.requestPlanWithin(0)
 	}
 	if !m.tokenConfirmed {
 		m.tokenConfirmed = true
-		c.requestPlanWithin(0)
+		c.trigger.requestPlanWithin(0)
 	}
 	if r.InterruptionNoticeS != nil && m.interruptionAt == 0 {
 		m.interruptionAt = c.now + micros.FromSeconds(*r.InterruptionNoticeS)
 		c.logInfo("machine will be taken", "machine", m.name, "in_s", *r.InterruptionNoticeS, "tasks", len(m.taskIDs))
-		c.requestPlanWithin(0)
+		c.trigger.requestPlanWithin(0)
 	}
 }
 
@@ -257,7 +134,7 @@
 	if !ok {
 		return
 	}
-	j := in.jobs[id.job]
+	j := in.cluster.jobs[id.job]
 	var t *task
 	if j != nil {
 		t = j.task(id.index)
@@ -289,11 +166,11 @@
 
 // reconcileRecorded takes in the state of a task that is recorded on this machine.
 func (in *heartbeatReconciler) reconcileRecorded(j *job, id taskID, t *task, tr api.TaskStatus) {
-	c, m := in.Controller, in.machine
+	c, m := in.reconciler, in.machine
 	in.observed[id] = true
 	t.observed = true
 	if tr.State == api.TaskExited {
-		c.taskExited(j, id.index, t, m, tr)
+		c.tasks.taskExited(j, id.index, t, m, tr)
 		return
 	}
 	if t.reportedState != tr.State && (tr.State == api.JobRunning || tr.State == api.TaskWaiting) {
@@ -304,10 +181,10 @@
 		}
 	}
 	t.reportedState = tr.State
-	if !c.mustStop(j, t) {
+	if !c.tasks.mustStop(j, t) {
 		return
 	}
-	if grace := c.graceFor(j, t); tr.State != api.Checkpointing || grace == 0 {
+	if grace := c.tasks.graceFor(j, t); tr.State != api.Checkpointing || grace == 0 {
 		in.addCommand(api.CommandStop, id, tr.Attempt, &grace)
 	}
 }
@@ -315,16 +192,16 @@
 // reconcileAbsent takes in that a task recorded on this machine is not in its report: it
 // is gone, or still to be started.
 func (in *heartbeatReconciler) reconcileAbsent(id taskID) {
-	c, r := in.Controller, in.heartbeat
-	j := c.jobs[id.job]
+	c, r := in.reconciler, in.heartbeat
+	j := c.cluster.jobs[id.job]
 	t := j.task(id.index)
 	switch {
 	case !in.renewsLease || !j.isCommitted(id.index) || j.partition != in.machine.record.Partition:
-	case !t.observed && t.directStartToken >= r.FencingToken && c.mustStop(j, t):
+	case !t.observed && t.directStartToken >= r.FencingToken && c.tasks.mustStop(j, t):
 		// A direct start may still come; it counts as here until then.
-	case t.observed || c.mustStop(j, t):
-		c.taskGone(j, id.index, "no longer reported")
-	case c.mayStartOn(in.machine, j) && (t.directStartToken == 0 || t.directStartToken < r.FencingToken):
+	case t.observed || c.tasks.mustStop(j, t):
+		c.tasks.taskGone(j, id.index, "no longer reported")
+	case c.tasks.mayStartOn(in.machine, j) && (t.directStartToken == 0 || t.directStartToken < r.FencingToken):
 		// Not while a direct copy may come after this one was forgotten.
 		in.addCommand(api.CommandStart, id, t.attempt, nil)
 	}
@@ -335,17 +212,17 @@
 // it and however late; nothing told in the earlier one is carried out any more.
 // Proven by reports alone, tasks on a machine that only direct commands reached
 // were taken to run on for as long as that lasted.
-func (c *Controller) observeIncarnation(m *machine, session uint64) {
+func (c *reconciler) observeIncarnation(m *machine, session uint64) {
 	if session <= m.incarnation {
 		return
 	}
 	m.incarnation, m.cachedImages = session, nil
 	for _, id := range m.taskIDsCopy() {
-		j := c.jobs[id.job]
+		j := c.cluster.jobs[id.job]
 		t := j.task(id.index)
 		t.directStartToken = 0 // direct starts name the session
-		if t.observed && c.ledPartition(m) != nil && j.partition == m.record.Partition {
-			c.taskGone(j, id.index, "its worker's session ended")
+		if t.observed && c.cluster.ledPartition(m) != nil && j.partition == m.record.Partition {
+			c.tasks.taskGone(j, id.index, "its worker's session ended")
 		}
 	}
 }
--- a/internal/core/isolation.go
+++ b/internal/core/isolation.go
@@ -2,56 +2,55 @@
 
 import "spurmoor/internal/micros"
 
-// isolationDuration is how long a controller that no worker reaches takes no role.
-const isolationDuration = 20 * micros.Second
+// isolationGuard gives our roles up when no worker reaches this controller, and finds
+// out when one does again.
+type isolationGuard struct {
+	*environment
+	cluster     *clusterState
+	peers       *peerTracker
+	roles       *roleManager
+	workerReach *workerReach
 
-// workerContact notes that a worker reached us, of whatever partition.
-func (c *Controller) workerContact() { c.lastWorkerContactAt = c.now }
-
-// workerAnswered notes that a worker answered a direct command.
-func (c *Controller) workerAnswered() {
-	c.lastWorkerContactAt, c.isolatedFromWorkers = c.now, false
+	unreachedSince micros.Micros // 0: workers reach us
+	nextProbeAt    micros.Micros
+	nextProbeIndex int // in the machines by name
 }
 
-// isolate notes that no worker reaches us: no role is taken for a while.
-func (c *Controller) isolate() {
-	c.noFailoverBefore, c.isolatedFromWorkers = c.now+isolationDuration, true
+func newIsolationGuard(env *environment, cluster *clusterState, peers *peerTracker, roles *roleManager, reach *workerReach) *isolationGuard {
+	return &isolationGuard{environment: env, cluster: cluster, peers: peers, roles: roles, workerReach: reach}
 }
 
-// endIsolation notes that there is no worker to be reached.
-func (c *Controller) endIsolation() { c.isolatedFromWorkers = false }
-
 // resignIfIsolated gives our partitions up when no worker reaches us, whatever its machine's
 // part, although another controller is well: the cut may be ours alone. The
 // more machines we have the sooner it is certain. Judged by each machine's own
 // silence, a controller that was cut off went on borrowing machines, each of
 // which counted as heard, until the tasks on all of its own had run out of lease.
-func (c *Controller) resignIfIsolated(up int) {
-	quiet := c.now
-	for _, p := range c.partitions {
+func (g *isolationGuard) resignIfIsolated(up int) {
+	quiet := g.now
+	for _, p := range g.cluster.partitions {
 		if p.Leads() {
-			quiet = min(quiet, c.now-max(c.lastWorkerContactAt, p.AcquiredAt))
+			quiet = min(quiet, g.now-max(g.workerReach.lastWorkerContactAt, p.AcquiredAt))
 		}
 	}
-	enough := c.silenceTimeout() * 2 / 3
+	enough := g.settings.silenceTimeout() * 2 / 3
 	if up >= 2 {
-		enough = min(enough, max(5*micros.Second, 20*micros.FromSeconds(c.settings.Deployment.Workers.ReportS)/micros.Micros(up)))
+		enough = min(enough, max(5*micros.Second, 20*micros.FromSeconds(g.settings.Deployment.Workers.ReportS)/micros.Micros(up)))
 	}
 	if up < 2 || quiet < enough {
-		c.unreachedSince = 0
+		g.unreachedSince = 0
 		return
 	}
-	if c.unreachedSince == 0 {
-		c.unreachedSince = c.now
+	if g.unreachedSince == 0 {
+		g.unreachedSince = g.now
 	}
-	if c.now < c.unreachedSince+2*micros.Second || !c.healthyPeerKnown() || c.now < c.noFailoverBefore {
+	if g.now < g.unreachedSince+2*micros.Second || !g.peers.healthyPeerKnown() || g.now < g.workerReach.noFailoverBefore {
 		return
 	}
-	c.unreachedSince = 0
-	c.isolate()
-	for _, h := range c.roles {
+	g.unreachedSince = 0
+	g.workerReach.isolate()
+	for _, h := range g.roles.all {
 		if h.Leads() {
-			c.resignRole(h, "no worker reaches this controller")
+			g.roles.resignRole(h, "no worker reaches this controller")
 		}
 	}
 }
@@ -59,24 +58,24 @@
 // probeWorkers asks a few workers, after no worker reached us, whether one does again:
 // none comes by itself to a controller that holds no part. Handed back after a
 // set time, the partitions went without answers for as long again.
-func (c *Controller) probeWorkers() {
-	if !c.isolatedFromWorkers || c.now < c.nextProbeAt {
+func (g *isolationGuard) probeWorkers() {
+	if !g.workerReach.isolatedFromWorkers || g.now < g.nextProbeAt {
 		return
 	}
-	c.nextProbeAt = c.now + 2*micros.Second
+	g.nextProbeAt = g.now + 2*micros.Second
 	sent := 0
-	for i := range c.machinesByName {
-		m := c.machinesByName[(c.nextProbeIndex+i)%len(c.machinesByName)]
+	for i := range g.cluster.machinesByName {
+		m := g.cluster.machinesByName[(g.nextProbeIndex+i)%len(g.cluster.machinesByName)]
 		if m.address == "" || m.record.Condemned {
 			continue
 		}
-		c.emit(probeCommand(m.name, m.address, max(1, m.incarnation)))
+		g.emit(probeCommand(m.name, m.address, max(1, m.incarnation)))
 		if sent++; sent == 3 {
-			c.nextProbeIndex += i + 1
+			g.nextProbeIndex += i + 1
 			break
 		}
 	}
 	if sent == 0 {
-		c.endIsolation()
+		g.workerReach.endIsolation()
 	}
 }
--- a/internal/core/job.go
+++ b/internal/core/job.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"slices"
 	"strconv"
 	"strings"
 
@@ -101,23 +100,6 @@
 	return taskID{id, n}, ok && err == nil && n >= 0
 }
 
-// requestJobStop has a job's machines told at once that it must not run any more.
-func (c *Controller) requestJobStop(j *job) {
-	if j.stopRequiredSince == 0 {
-		j.stopRequiredSince = c.currentAsOf
-	}
-	if j.placedTasks == 0 || !c.partitions[j.partition].Leads() {
-		return
-	}
-	for _, k := range j.chunkIndexes() {
-		for i := range j.chunks[k] {
-			if m := c.machines[j.chunks[k][i].machine]; m != nil {
-				m.nextCommandAt = min(m.nextCommandAt, c.now)
-			}
-		}
-	}
-}
-
 func (j *job) chunkIndexes() []int {
 	var list []int
 	for n := 0; n*chunkSize < j.spec.Tasks; n++ {
@@ -149,143 +131,8 @@
 	return nil
 }
 
-// markChanged has a job looked at for what is to be committed.
-func (c *Controller) markChanged(j *job) {
-	if p := c.partitions[j.partition]; p.Leads() && c.jobs[j.id] == j && !j.terminal {
-		p.changedJobs[j.id] = true
-	}
-}
-
-// changeTask changes a task, to be committed.
-func (c *Controller) changeTask(j *job, n int, s taskRecord) {
-	t := j.ensureTask(n)
-	if m := c.machines[t.machine]; m != nil && m.name != s.machine {
-		m.departedJobs[j.id] = true
-	}
-	c.setTask(j, n, s)
-	t.generation++
-	if !t.changed {
-		t.changed = true
-		j.changedTasks++
-	}
-	c.markChanged(j)
-}
-
-// revertUncommitted throws away what is not committed of a job.
-func (c *Controller) revertUncommitted(j *job) {
-	j.startUncommitted = false
-	for _, k := range j.chunkIndexes() {
-		for i := range j.chunks[k] {
-			if t := &j.chunks[k][i]; t.changed {
-				c.setTask(j, k*chunkSize+i, t.committed)
-			}
-		}
-	}
-}
-
 // isCommitted tells whether what is known of a task is committed.
 func (j *job) isCommitted(n int) bool {
 	t := j.task(n)
 	return t == nil || !t.changed
 }
-
-// setTask changes a task and every count that depends on it.
-func (c *Controller) setTask(j *job, n int, s taskRecord) {
-	t := j.ensureTask(n)
-	if t.changed {
-		t.changed = false
-		j.changedTasks--
-	}
-	c.countTask(j, n, t, -1)
-	*t = task{taskRecord: s, committed: t.committed, generation: t.generation, loggedIn: t.loggedIn, placedAt: c.now, notBefore: t.notBefore}
-	c.countTask(j, n, t, 1)
-	if j.placedTasks == 0 {
-		j.attemptSpoiled = false
-	}
-}
-
-func (c *Controller) countTask(j *job, n int, t *task, by int) {
-	switch t.state {
-	case taskDone:
-		j.doneTasks += by
-	case taskPlaced:
-		j.placedTasks += by
-		if u := c.teamUsage[j.spec.Team]; u != nil {
-			*u = u.Add(j.request, int64(by))
-		}
-		if m := c.machines[t.machine]; m != nil {
-			c.countOnMachine(j, n, m, by)
-		}
-	}
-}
-
-func (c *Controller) countOnMachine(j *job, n int, m *machine, by int) {
-	m.allocated = m.allocated.Add(j.request, int64(by))
-	j.tasksPerZone[m.record.Zone] += by
-	id := taskID{j.id, n}
-	at, found := slices.BinarySearchFunc(m.taskIDs, id, taskID.compare)
-	switch {
-	case by > 0 && !found:
-		m.taskIDs = slices.Insert(m.taskIDs, at, id)
-	case by < 0 && found:
-		m.taskIDs = slices.Delete(m.taskIDs, at, at+1)
-		if len(m.taskIDs) == 0 {
-			m.idleSince = c.now
-		}
-	}
-}
-
-// countTasksOn counts the tasks of a job on a machine whose record came later
-// than theirs.
-func (c *Controller) countTasksOn(j *job, m *machine) {
-	for _, k := range j.chunkIndexes() {
-		for i := range j.chunks[k] {
-			if t := &j.chunks[k][i]; t.state == taskPlaced && t.machine == m.name {
-				c.countOnMachine(j, k*chunkSize+i, m, 1)
-			}
-		}
-	}
-}
-
-// addJob makes a job of which nothing was known.
-func (c *Controller) addJob(id string, spec api.Job) *job {
-	j := &job{id: id, chunks: map[int][]task{}, failedMachines: map[string]bool{}, tasksPerZone: map[string]int{},
-		request: scheduler.ResourcesOf(spec.CPUs, spec.GPUs, spec.MemoryGB), partition: c.settings.TeamPartition[spec.Team]}
-	c.jobs[id] = j
-	return j
-}
-
-// removeJob forgets a job whose key is gone.
-func (c *Controller) removeJob(j *job) {
-	delete(c.jobs, j.id)
-	delete(c.partitions[j.partition].changedJobs, j.id)
-}
-
-// forgetMachine forgets a machine whose record is deleted.
-func (c *Controller) forgetMachine(m *machine) {
-	delete(c.machines, m.name)
-	c.machinesByName = slices.DeleteFunc(c.machinesByName, func(o *machine) bool { return o == m })
-}
-
-// setTombstone notes that a machine's record is deleted by an entry of a log.
-func (c *Controller) setTombstone(name string, by recordOrigin) { c.tombstones[name] = by }
-
-// clearTombstone notes that a machine has a record again.
-func (c *Controller) clearTombstone(name string) { delete(c.tombstones, name) }
-
-// observeAdoption takes in the version of the key that every adoption changes.
-func (c *Controller) observeAdoption(version uint64) {
-	c.adoptionVersion = max(c.adoptionVersion, version)
-}
-
-// resetCluster forgets all jobs and machines, before everything is read again.
-func (c *Controller) resetCluster() {
-	clear(c.machines)
-	clear(c.jobs)
-	clear(c.tombstones)
-	clear(c.logReferences)
-	c.machinesByName = nil
-	for _, u := range c.teamUsage {
-		*u = scheduler.Resources{}
-	}
-}
--- a/internal/core/lending_test.go
+++ b/internal/core/lending_test.go
@@ -10,22 +10,22 @@
 // forgotten at once, whatever stands before them.
 func TestEmptiedLooksAtAll(t *testing.T) {
 	c := faultsOf(t)
-	m := c.machines["m-0"]
+	m := c.cluster.machines["m-0"]
 	m.departedJobs = map[string]bool{"a": true}
-	c.jobs["a"].changedTasks = 1
+	c.cluster.jobs["a"].changedTasks = 1
 	for i := range 30 {
 		id := strconv.Itoa(i)
-		c.jobs[id] = &job{id: id}
+		c.cluster.jobs[id] = &job{id: id}
 		m.departedJobs[id] = true
 	}
-	if c.isEmptyAndCommitted(m) {
+	if c.cluster.isEmptyAndCommitted(m) {
 		t.Error("a task's leaving is not committed, and the machine counts as empty")
 	}
 	for i := range 30 {
-		c.jobs[strconv.Itoa(i)].changedTasks = 1 // something else of them is being committed
+		c.cluster.jobs[strconv.Itoa(i)].changedTasks = 1 // something else of them is being committed
 	}
-	c.jobs["a"].changedTasks = 0
-	if !c.isEmptyAndCommitted(m) {
+	c.cluster.jobs["a"].changedTasks = 0
+	if !c.cluster.isEmptyAndCommitted(m) {
 		t.Error("what left was committed, and the machine does not count as empty")
 	}
 }
--- a/internal/core/limits_test.go
+++ b/internal/core/limits_test.go
@@ -70,15 +70,15 @@
 	c, _, _ := watched(t)
 	c.now = 1000 * micros.Second
 	for i := range 6000 {
-		c.recordDeletion(fmt.Sprintf("n-%06d", i))
+		c.deletions.recordDeletion(fmt.Sprintf("n-%06d", i))
 	}
-	if !c.recentlyDeleted("n-000000") || !c.recentlyDeleted("n-005999") {
+	if !c.deletions.recentlyDeleted("n-000000") || !c.deletions.recentlyDeleted("n-005999") {
 		t.Error("a deletion is forgotten at once")
 	}
 	c.now += deletionMemory + 1
-	c.recordDeletion("n-006000")
-	if len(c.recentDeletions.deletedAt) != 1 || len(c.recentDeletions.byTime) != 1 || !c.recentlyDeleted("n-006000") {
-		t.Errorf("%d deletions are kept, %d in order", len(c.recentDeletions.deletedAt), len(c.recentDeletions.byTime))
+	c.deletions.recordDeletion("n-006000")
+	if len(c.deletions.deletedAt) != 1 || len(c.deletions.byTime) != 1 || !c.deletions.recentlyDeleted("n-006000") {
+		t.Errorf("%d deletions are kept, %d in order", len(c.deletions.deletedAt), len(c.deletions.byTime))
 	}
 }
 
@@ -87,12 +87,12 @@
 func TestAgeIsNotCompared(t *testing.T) {
 	c, _, _, _ := holder(t)
 	c.now = 20_000 * micros.Second
-	c.applyMachineRecord(machineRecord{Name: "n-2", Type: "g4", Zone: "alta", Epoch: 1, MinToken: 12, LaunchedAt: c.now - 10_800*micros.Second}, recordOrigin{1, 0, 2}, 12)
-	m := c.machines["n-2"]
+	c.registry.applyMachineRecord(machineRecord{Name: "n-2", Type: "g4", Zone: "alta", Epoch: 1, MinToken: 12, LaunchedAt: c.now - 10_800*micros.Second}, recordOrigin{1, 0, 2}, 12)
+	m := c.cluster.machines["n-2"]
 	if m.launchedAt != c.now {
 		t.Errorf("read now, it counts as %d s old", (c.now - m.launchedAt).WholeSeconds())
 	}
-	c.observeListed(api.Instance{ID: "n-2", Type: "g4", Zone: "alta", State: api.InstanceBooting, AgeS: 40})
+	c.instances.observeListed(api.Instance{ID: "n-2", Type: "g4", Zone: "alta", State: api.InstanceBooting, AgeS: 40})
 	if m.launchedAt != c.now-40*micros.Second {
 		t.Errorf("listed as 40 s old, it counts as %d s old", (c.now - m.launchedAt).WholeSeconds())
 	}
--- a/internal/core/findings.go
+++ b/internal/core/list_findings.go
@@ -33,19 +33,19 @@
 )
 
 // addFinding notes something for the others.
-func (c *Controller) addFinding(list *[]listFinding, stray peer.Orphan) {
+func (i *instanceList) addFinding(list *[]listFinding, stray peer.Orphan) {
 	known := slices.ContainsFunc(*list, func(f listFinding) bool { return f.instance.Machine == stray.Machine })
 	if !known && len(*list) < maxFindings {
-		*list = append(*list, listFinding{stray, c.now})
+		*list = append(*list, listFinding{stray, i.now})
 	}
 }
 
 // currentFindings drops what was told for long enough and gives the rest.
-func (c *Controller) currentFindings() listFindings {
-	for _, list := range []*[]listFinding{&c.findings.failed, &c.findings.unlisted, &c.findings.orphans} {
-		*list = slices.DeleteFunc(*list, func(f listFinding) bool { return c.now > f.foundAt+findingDuration })
+func (i *instanceList) currentFindings() listFindings {
+	for _, list := range []*[]listFinding{&i.findings.failed, &i.findings.unlisted, &i.findings.orphans} {
+		*list = slices.DeleteFunc(*list, func(f listFinding) bool { return i.now > f.foundAt+findingDuration })
 	}
-	return c.findings
+	return i.findings
 }
 
 func findingNames(list []listFinding) []string {
@@ -65,58 +65,58 @@
 }
 
 // handleFailedInstance acts on a machine that the cloud lists as failed.
-func (c *Controller) handleFailedInstance(m *machine) {
-	if c.ledPartition(m) != nil {
-		c.scaleIn(m, "failed")
+func (i *instanceList) handleFailedInstance(m *machine) {
+	if i.cluster.ledPartition(m) != nil {
+		i.registry.scaleIn(m, "failed")
 		return
 	}
-	c.addFinding(&c.findings.failed, peer.Orphan{Machine: m.name})
+	i.addFinding(&i.findings.failed, peer.Orphan{Machine: m.name})
 }
 
 // handleUnlistedInstance acts on a machine that the cloud listed once and does not any more.
-func (c *Controller) handleUnlistedInstance(name string) {
-	m := c.machines[name]
+func (i *instanceList) handleUnlistedInstance(name string) {
+	m := i.cluster.machines[name]
 	if m == nil || m.record.Condemned {
 		return
 	}
-	if c.ledPartition(m) == nil {
-		c.addFinding(&c.findings.unlisted, peer.Orphan{Machine: name})
+	if i.cluster.ledPartition(m) == nil {
+		i.addFinding(&i.findings.unlisted, peer.Orphan{Machine: name})
 		return
 	}
-	if c.now > m.lastSeenAt+c.unlistedTimeout() {
-		c.scaleIn(m, "no longer listed")
+	if i.now > m.lastSeenAt+i.unlistedTimeout() {
+		i.registry.scaleIn(m, "no longer listed")
 	}
 }
 
 // unlistedTimeout is how long a machine must be absent from the list, and silent, to be
 // taken for gone.
-func (c *Controller) unlistedTimeout() micros.Micros {
-	return micros.FromSeconds(2*c.settings.Deployment.Cloud.ListLagS + unlistGraceS)
+func (i *instanceList) unlistedTimeout() micros.Micros {
+	return micros.FromSeconds(2*i.settings.Deployment.Cloud.ListLagS + unlistGraceS)
 }
 
 // handleOrphan acts on a machine in the list of which no record is known.
-func (c *Controller) handleOrphan(cm api.Instance) {
+func (i *instanceList) handleOrphan(cm api.Instance) {
 	stray := peer.Orphan{Machine: cm.ID, Type: cm.Type, Zone: cm.Zone, Spot: cm.Spot}
-	if !c.adoptOrphan(stray, "listed") {
-		c.addFinding(&c.findings.orphans, stray)
+	if !i.adoptOrphan(stray, "listed") {
+		i.addFinding(&i.findings.orphans, stray)
 	}
 }
 
 // applyPeerFindings acts on what another controller found in the list.
-func (c *Controller) applyPeerFindings(h *peer.Heartbeat) {
+func (i *instanceList) applyPeerFindings(h *peer.Heartbeat) {
 	for _, name := range h.Failed {
-		if m := c.machines[name]; m != nil && c.ledPartition(m) != nil {
-			c.scaleIn(m, "failed")
+		if m := i.cluster.machines[name]; m != nil && i.cluster.ledPartition(m) != nil {
+			i.registry.scaleIn(m, "failed")
 		}
 	}
 	for _, name := range h.Unlisted {
-		if m := c.machines[name]; m != nil && c.ledPartition(m) != nil {
-			c.handleUnlistedInstance(name)
+		if m := i.cluster.machines[name]; m != nil && i.cluster.ledPartition(m) != nil {
+			i.handleUnlistedInstance(name)
 		}
 	}
 	for _, stray := range h.Orphans {
-		if c.machines[stray.Machine] == nil {
-			c.adoptOrphan(stray, "listed")
+		if i.cluster.machines[stray.Machine] == nil {
+			i.adoptOrphan(stray, "listed")
 		}
 	}
 }
--- a/internal/core/entries.go
+++ b/internal/core/log_entries.go
@@ -8,7 +8,7 @@
 
 // entryBuilder fills the log entries of a flush.
 type entryBuilder struct {
-	c           *Controller
+	log         *partitionLog
 	partition   *partition
 	commit      *logCommit
 	compare     func(key string, ver uint64)
@@ -96,7 +96,7 @@
 	var tasks []taskChange
 	last := taskRun{}
 	for _, r := range old.runs {
-		j := b.c.jobs[r.Job]
+		j := b.log.cluster.jobs[r.Job]
 		if j == nil || j.terminal || slices.Contains(b.commit.terminalJobs, j) {
 			continue
 		}
@@ -129,9 +129,9 @@
 	size := 0
 	for _, r := range old.machines {
 		here := recordOrigin{r.Epoch, b.partition.index, old.sequence}
-		if m := b.c.machines[r.Name]; m != nil && m.origin == here {
+		if m := b.log.cluster.machines[r.Name]; m != nil && m.origin == here {
 			r = m.record
-		} else if t, ok := b.c.tombstones[r.Name]; !ok || t != here || b.c.logReferences[r.Name] <= 1 {
+		} else if t, ok := b.log.cluster.tombstones[r.Name]; !ok || t != here || b.log.cluster.logReferences[r.Name] <= 1 {
 			continue
 		}
 		size += r.encodedSize()
@@ -180,18 +180,18 @@
 // other partition's log went on unseen, which would change its oldest slot or
 // begin a new one.
 func (b *entryBuilder) addNewMachines() {
-	c, p := b.c, b.partition
+	log, p := b.log, b.partition
 	adopts := false
 	for _, n := range p.machineBatches {
-		n.records = slices.DeleteFunc(n.records, func(r machineRecord) bool { return c.machines[r.Name] != nil })
+		n.records = slices.DeleteFunc(n.records, func(r machineRecord) bool { return log.cluster.machines[r.Name] != nil })
 		if n.adopt && !adopts {
-			if len(b.commit.request.Compares)+3*len(c.partitions) > b.maxCompares || b.maxEntries <= len(b.commit.entries) {
+			if len(b.commit.request.Compares)+3*len(log.cluster.partitions) > b.maxCompares || b.maxEntries <= len(b.commit.entries) {
 				continue
 			}
 			adopts = true
 			b.maxEntries--
 			b.commit.request.Writes = append(b.commit.request.Writes, api.Write{Put: adoptionKey, Value: mustMarshal(struct{}{})})
-			for _, o := range c.partitions {
+			for _, o := range log.cluster.partitions {
 				if o == p {
 					continue
 				}
@@ -203,14 +203,14 @@
 		}
 		size := 0
 		for i := range n.records {
-			n.records[i].Epoch = c.tombstones[n.records[i].Name].epoch + 1
+			n.records[i].Epoch = log.cluster.tombstones[n.records[i].Name].epoch + 1
 			size += n.records[i].encodedSize()
 		}
 		if !b.reserveSpace(size) {
 			break
 		}
 		if len(b.commit.machineBatches) == 0 {
-			b.compare(adoptionKey, c.adoptionVersion)
+			b.compare(adoptionKey, log.cluster.adoptionVersion)
 		}
 		for _, r := range n.records {
 			b.addMachine(r)
@@ -223,7 +223,7 @@
 func (b *entryBuilder) addRecordChanges() {
 	left := b.partition.recordChanges[:0]
 	for _, m := range b.partition.recordChanges {
-		if m.pendingChange != noRecordChange && b.c.machines[m.name] == m && m.record.Partition == b.partition.index {
+		if m.pendingChange != noRecordChange && b.log.cluster.machines[m.name] == m && m.record.Partition == b.partition.index {
 			left = append(left, m)
 		}
 	}
@@ -254,7 +254,7 @@
 // cancellation cannot both win.
 func (b *entryBuilder) addTaskChanges(ids []string) {
 	for _, id := range ids {
-		j := b.c.jobs[id]
+		j := b.log.cluster.jobs[id]
 		if j == nil || j.changedTasks == 0 || slices.Contains(b.commit.terminalJobs, j) {
 			continue
 		}
--- a/internal/core/needs_test.go
+++ b/internal/core/needs_test.go
@@ -21,11 +21,11 @@
 	set.Deployment.Teams = []settings.Team{{Name: "norte"}}
 	set.Deployment.Store = settings.StoreLimits{RPS: 200, WriteRPS: 20, ValueKB: 8, MaxTransactionOps: 12}
 	c := New(set, 1, rand.New(rand.NewPCG(1, 1)))
-	c.synced = true
-	c.machineTypes = []api.MachineType{{Name: "g4", CPUs: 24, GPUs: 4, MemoryGB: 100, Zones: []string{"alta"}}}
+	c.cache.synced = true
+	c.catalog.machineTypes = []api.MachineType{{Name: "g4", CPUs: 24, GPUs: 4, MemoryGB: 100, Zones: []string{"alta"}}}
 	spec := api.Job{ID: "wk-000001", Class: "c", Team: "norte", Kind: api.Array, Priority: "standard", Tasks: 1, CPUs: 1, Image: "i", EstimateS: 5}
 	put := api.Event{Put: jobKey + spec.ID, Value: mustMarshal(jobRecord{Spec: spec, AcceptedAt: 1}), Version: 3}
-	c.applyWatchReply(&StoreReply{Status: 200, Watch: api.WatchResponse{Revision: 3, Events: []api.Event{put}}}, 0)
+	c.cache.applyWatchReply(&StoreReply{Status: 200, Watch: api.WatchResponse{Revision: 3, Events: []api.Event{put}}}, 0)
 	body := map[string]any{}
 	if err := json.Unmarshal(mustMarshal(spec), &body); err != nil {
 		t.Fatal(err)
@@ -38,13 +38,13 @@
 // overtook: it brought back a job that was over, for good.
 func TestOvertakenWatch(t *testing.T) {
 	c, _, put := watched(t)
-	if c.jobs["wk-000001"] == nil {
+	if c.cluster.jobs["wk-000001"] == nil {
 		t.Fatal("the job is not in the replica")
 	}
-	c.applyWatchReply(&StoreReply{Status: 200, Watch: api.WatchResponse{Revision: 5, Events: []api.Event{put, {Delete: put.Put, Version: 5}}}}, 0)
-	c.applyWatchReply(&StoreReply{Status: 200, Watch: api.WatchResponse{Revision: 3, Events: []api.Event{put}}}, 0)
-	if c.jobs["wk-000001"] != nil || c.terminalStates.records["wk-000001"].State != api.JobDone {
-		t.Errorf("a job that was over came back; its end is taken for %+v", c.terminalStates.records["wk-000001"])
+	c.cache.applyWatchReply(&StoreReply{Status: 200, Watch: api.WatchResponse{Revision: 5, Events: []api.Event{put, {Delete: put.Put, Version: 5}}}}, 0)
+	c.cache.applyWatchReply(&StoreReply{Status: 200, Watch: api.WatchResponse{Revision: 3, Events: []api.Event{put}}}, 0)
+	if c.cluster.jobs["wk-000001"] != nil || c.dependencies.terminalStates.records["wk-000001"].State != api.JobDone {
+		t.Errorf("a job that was over came back; its end is taken for %+v", c.dependencies.terminalStates.records["wk-000001"])
 	}
 }
 
--- a/internal/core/rentals.go
+++ b/internal/core/provisioning.go
@@ -12,6 +12,28 @@
 	"spurmoor/internal/scheduler"
 )
 
+// provisioner asks the cloud for machines, and has what it gives recorded.
+type provisioner struct {
+	*environment
+	budget       *writeBudget
+	cluster      *clusterState
+	deletions    *deletionLog
+	schema       *schemaTracker
+	storeLease   *storeLease
+	transactions *transactionSender
+	trigger      *cycleTrigger
+
+	lastRequestNumber int
+	unavailableUntil  map[scheduler.InstanceKind]micros.Micros // kinds that the cloud refused
+	recordingRequests bool                                     // requests are recorded before they are sent; said so
+}
+
+func newProvisioner(env *environment, budget *writeBudget, cluster *clusterState, deletions *deletionLog, schema *schemaTracker,
+	lease *storeLease, transactions *transactionSender, trigger *cycleTrigger) *provisioner {
+	return &provisioner{environment: env, budget: budget, cluster: cluster, deletions: deletions, schema: schema, storeLease: lease,
+		transactions: transactions, trigger: trigger, unavailableUntil: map[scheduler.InstanceKind]micros.Micros{}}
+}
+
 // requestLedger are the requests for machines that a partition's holder has open.
 //
 // The cloud has no fencing: a request that a replaced holder sent may be carried out
@@ -69,29 +91,23 @@
 
 func requestsKeyOf(p *partition) string { return requestsKey + strconv.Itoa(p.index) }
 
-// recordsRequests tells whether requests for machines are recorded before they are
-// sent: the operators want it, and every controller knows the record.
-func (c *Controller) recordsRequests() bool {
-	return c.settings.Operators.Roles.RecordRequests && c.allReadSchema(schemaRoles)
-}
-
 // trackRequestRecording has every open request written down once that begins to be wanted: what
 // the record held was written before, and means nothing any more.
-func (c *Controller) trackRequestRecording() {
-	now := c.recordsRequests()
-	if now == c.recordingRequests {
+func (v *provisioner) trackRequestRecording() {
+	now := v.schema.recordsRequests()
+	if now == v.recordingRequests {
 		return
 	}
-	c.recordingRequests = now
-	c.logInfo("rentals are recorded before they are sent", "recorded", now)
-	for _, p := range c.partitions {
+	v.recordingRequests = now
+	v.logInfo("rentals are recorded before they are sent", "recorded", now)
+	for _, p := range v.cluster.partitions {
 		p.requests.mustWrite = p.Leads() && now
 	}
 }
 
 // maxOpenRequests is how many requests a partition may have open.
-func (c *Controller) maxOpenRequests() int {
-	return max(2, min(c.maxValueBytes(), maxTransactionBytes/8)/requestRecordBytes)
+func (v *provisioner) maxOpenRequests() int {
+	return max(2, min(v.settings.maxValueBytes(), maxTransactionBytes/8)/requestRecordBytes)
 }
 
 // maxMachinesPerRequest is how many machines one request may ask for.
@@ -100,32 +116,32 @@
 // scaleOut asks for machines: by the open request for their kind that was refused, if there
 // is one and as much is wanted, and by a new one for the rest. The name of a request is
 // never used for another: it has the term in it, which is global.
-func (c *Controller) scaleOut(p *partition, k scheduler.InstanceKind, count int) {
+func (v *provisioner) scaleOut(p *partition, k scheduler.InstanceKind, count int) {
 	if r := p.deferredRequest(k); r != nil && r.request.Count <= count {
-		r.deferred, r.attempts, r.nextSendAt = false, 0, c.now
+		r.deferred, r.attempts, r.nextSendAt = false, 0, v.now
 		p.countPendingMachines(k, r.request.Count)
 		count -= r.request.Count
 	} else if r != nil {
-		c.withdrawRequest(p, r)
+		v.withdrawRequest(p, r)
 	}
 	if count > 0 {
-		c.openRequest(p, k, count)
+		v.openRequest(p, k, count)
 	}
-	c.writeRequests(p)
-	c.sendDueRequests(p)
+	v.writeRequests(p)
+	v.sendDueRequests(p)
 }
 
 // openRequest asks for machines by a new request.
-func (c *Controller) openRequest(p *partition, k scheduler.InstanceKind, count int) {
-	if len(p.requests.open) >= c.maxOpenRequests() && !c.withdrawDeferred(p) {
+func (v *provisioner) openRequest(p *partition, k scheduler.InstanceKind, count int) {
+	if len(p.requests.open) >= v.maxOpenRequests() && !v.withdrawDeferred(p) {
 		return
 	}
-	c.lastRequestNumber++
-	name := "p" + strconv.Itoa(p.index) + "-" + strconv.FormatUint(p.Term, 10) + "-" + strconv.Itoa(c.lastRequestNumber)
+	v.lastRequestNumber++
+	name := "p" + strconv.Itoa(p.index) + "-" + strconv.FormatUint(p.Term, 10) + "-" + strconv.Itoa(v.lastRequestNumber)
 	r := &provisioningRequest{kind: k, request: api.LaunchRequest{Name: name, Type: k.Type, Zone: k.Zone, Spot: k.Spot, Count: min(count, maxMachinesPerRequest)}}
 	p.countPendingMachines(k, r.request.Count)
 	p.requests.open = append(p.requests.open, r)
-	if c.recordsRequests() {
+	if v.schema.recordsRequests() {
 		p.requests.mustWrite = true
 		return // sent once that is committed
 	}
@@ -157,131 +173,131 @@
 const requestLookaheadS = 2.0
 
 // sendDueRequests sends what is due of the open requests.
-func (c *Controller) sendDueRequests(p *partition) {
-	most := max(1, int(requestLookaheadS*c.settings.Deployment.Cloud.RPS/2))
+func (v *provisioner) sendDueRequests(p *partition) {
+	most := max(1, int(requestLookaheadS*v.settings.Deployment.Cloud.RPS/2))
 	for _, r := range slices.Clone(p.requests.open) {
 		if p.requests.inFlight >= most {
 			return
 		}
-		if r.recorded && !r.inFlight && r.unrecordedBatches == 0 && !r.deferred && c.now >= r.nextSendAt {
-			c.sendRequest(p, r)
+		if r.recorded && !r.inFlight && r.unrecordedBatches == 0 && !r.deferred && v.now >= r.nextSendAt {
+			v.sendRequest(p, r)
 		}
 	}
 }
 
 // sendRequest sends a request, if we may rent now.
-func (c *Controller) sendRequest(p *partition, r *provisioningRequest) {
-	grant := c.grant(p.RoleState, leadership.Launch)
-	if grant.Check(leadership.Launch, c.now) != "" {
-		r.nextSendAt = c.now + requestRetryInterval
+func (v *provisioner) sendRequest(p *partition, r *provisioningRequest) {
+	grant := v.storeLease.grant(p.RoleState, leadership.Launch)
+	if grant.Check(leadership.Launch, v.now) != "" {
+		r.nextSendAt = v.now + requestRetryInterval
 		return
 	}
 	r.inFlight = true
 	r.attempts++
 	p.requests.inFlight++
-	c.callCloud(CloudCall{Op: OpLaunch, Launch: leadership.NewOrder(grant, &r.request)}, func(reply *CloudReply) {
+	v.callCloud(CloudCall{Op: OpLaunch, Launch: leadership.NewOrder(grant, &r.request)}, func(reply *CloudReply) {
 		r.inFlight = false
 		if r.abandoned {
 			return
 		}
 		p.requests.inFlight--
-		c.handleRequestReply(p, r, reply)
-		c.sendDueRequests(p)
+		v.handleRequestReply(p, r, reply)
+		v.sendDueRequests(p)
 	})
 }
 
 // handleRequestReply takes in the answer to a request, or that none came.
-func (c *Controller) handleRequestReply(p *partition, r *provisioningRequest, reply *CloudReply) {
+func (v *provisioner) handleRequestReply(p *partition, r *provisioningRequest, reply *CloudReply) {
 	switch {
 	case reply.Unsent:
 		r.attempts--
-		r.nextSendAt = c.now + requestRetryInterval
+		r.nextSendAt = v.now + requestRetryInterval
 	case reply.Status == 200:
-		c.recordLaunched(p, r, reply.Launched)
+		v.recordLaunched(p, r, reply.Launched)
 	case reply.Status == 0 && r.attempts < maxRequestAttempts:
 		// Whether it was carried out is not known: the same name gives the
 		// same machines.
 		r.outcomeUnknown = true
-		c.sendRequest(p, r)
+		v.sendRequest(p, r)
 	default:
 		r.outcomeUnknown = r.outcomeUnknown || reply.Status == 0
-		c.requestRefused(p, r, reply.Status)
+		v.requestRefused(p, r, reply.Status)
 	}
 }
 
 // requestRefused takes in that no machines are to be had by a request now.
-func (c *Controller) requestRefused(p *partition, r *provisioningRequest, status int) {
+func (v *provisioner) requestRefused(p *partition, r *provisioningRequest, status int) {
 	p.countPendingMachines(r.kind, -r.request.Count)
-	c.requestPlanWithin(micros.Second)
-	if c.recordsRequests() {
-		c.deferRequest(p, r)
+	v.trigger.requestPlanWithin(micros.Second)
+	if v.schema.recordsRequests() {
+		v.deferRequest(p, r)
 	} else {
-		c.withdrawRequest(p, r)
+		v.withdrawRequest(p, r)
 	}
 	if status == 429 {
 		return // our budget, not the cloud's room
 	}
-	c.unavailableUntil[r.kind] = c.now + c.jitter(micros.FromSeconds(c.settings.Operators.RefusalMemoryS))
-	c.logInfo("rental refused", "partition", p.index, "kind", kindName(r.kind).String(), "status", status)
+	v.unavailableUntil[r.kind] = v.now + v.jitter(micros.FromSeconds(v.settings.Operators.RefusalMemoryS))
+	v.logInfo("rental refused", "partition", p.index, "kind", kindName(r.kind).String(), "status", status)
 }
 
 // deferRequest keeps a refused request, to be sent again under its name: one for each kind,
 // rather one that may still be carried out.
-func (c *Controller) deferRequest(p *partition, r *provisioningRequest) {
+func (v *provisioner) deferRequest(p *partition, r *provisioningRequest) {
 	other := p.deferredRequest(r.kind)
 	if other != nil && other.outcomeUnknown && !r.outcomeUnknown {
-		c.withdrawRequest(p, r)
+		v.withdrawRequest(p, r)
 		return
 	}
 	if other != nil && !other.outcomeUnknown {
-		c.withdrawRequest(p, other)
+		v.withdrawRequest(p, other)
 	}
 	r.deferred = true
 	p.requests.outdated = true
 }
 
 // recordLaunched has the machines recorded that a request got.
-func (c *Controller) recordLaunched(p *partition, r *provisioningRequest, machines []string) {
+func (v *provisioner) recordLaunched(p *partition, r *provisioningRequest, machines []string) {
 	k := r.kind
-	c.logInfo("machines rented", "partition", p.index, "kind", kindName(k).String(), "request", r.request.Name, "asked", r.request.Count, "got", len(machines))
+	v.logInfo("machines rented", "partition", p.index, "kind", kindName(k).String(), "request", r.request.Name, "asked", r.request.Count, "got", len(machines))
 	if len(machines) < r.request.Count {
-		c.unavailableUntil[k] = c.now + micros.FromSeconds(c.settings.Operators.RefusalMemoryS)
+		v.unavailableUntil[k] = v.now + micros.FromSeconds(v.settings.Operators.RefusalMemoryS)
 		p.countPendingMachines(k, len(machines)-r.request.Count)
-		c.requestPlanWithin(micros.Second / 5)
+		v.trigger.requestPlanWithin(micros.Second / 5)
 	}
 	// As many at a time as leave room in an entry of the log.
-	for batch := range slices.Chunk(machines, max(1, c.maxValueBytes()/3/machineRecordBytes)) {
+	for batch := range slices.Chunk(machines, max(1, v.settings.maxValueBytes()/3/machineRecordBytes)) {
 		var rows []machineRecord
 		for _, name := range batch {
-			if c.recentlyDeleted(name) {
+			if v.deletions.recentlyDeleted(name) {
 				continue // adopted and returned meanwhile
 			}
-			rows = append(rows, machineRecord{Name: name, Type: k.Type, Zone: k.Zone, Spot: k.Spot, HomePartition: p.index, Partition: p.index, LaunchedAt: c.now})
+			rows = append(rows, machineRecord{Name: name, Type: k.Type, Zone: k.Zone, Spot: k.Spot, HomePartition: p.index, Partition: p.index, LaunchedAt: v.now})
 		}
 		r.unrecordedBatches++
 		p.machineBatches = append(p.machineBatches, &machineBatch{records: rows, onRecorded: func() {
 			p.countPendingMachines(k, -len(batch))
 			if r.unrecordedBatches--; r.unrecordedBatches == 0 {
-				c.withdrawRequest(p, r)
+				v.withdrawRequest(p, r)
 			}
 		}})
 	}
 	if r.unrecordedBatches == 0 {
-		c.withdrawRequest(p, r)
+		v.withdrawRequest(p, r)
 	}
 }
 
 // withdrawRequest forgets a request that is settled.
-func (c *Controller) withdrawRequest(p *partition, r *provisioningRequest) {
+func (v *provisioner) withdrawRequest(p *partition, r *provisioningRequest) {
 	p.requests.open = slices.DeleteFunc(p.requests.open, func(o *provisioningRequest) bool { return o == r })
 	p.requests.outdated = true
 }
 
 // withdrawDeferred makes room for a request, if any open one was refused.
-func (c *Controller) withdrawDeferred(p *partition) bool {
+func (v *provisioner) withdrawDeferred(p *partition) bool {
 	at := slices.IndexFunc(p.requests.open, func(r *provisioningRequest) bool { return r.deferred })
 	if at >= 0 {
-		c.withdrawRequest(p, p.requests.open[at])
+		v.withdrawRequest(p, p.requests.open[at])
 	}
 	return at >= 0
 }
@@ -300,13 +316,13 @@
 }
 
 // adoptOpenRequests repeats the requests that the holder before had open.
-func (c *Controller) adoptOpenRequests(p *partition) {
-	if !c.recordsRequests() {
+func (v *provisioner) adoptOpenRequests(p *partition) {
+	if !v.schema.recordsRequests() {
 		return
 	}
 	for _, rec := range p.requests.storedRequests {
 		k := scheduler.InstanceKind{Type: rec.Type, Zone: rec.Zone, Spot: rec.Spot}
-		r := &provisioningRequest{kind: k, recorded: true, deferred: rec.Deferred, outcomeUnknown: true, nextSendAt: c.now,
+		r := &provisioningRequest{kind: k, recorded: true, deferred: rec.Deferred, outcomeUnknown: true, nextSendAt: v.now,
 			request: api.LaunchRequest{Name: rec.Request, Type: rec.Type, Zone: rec.Zone, Spot: rec.Spot, Count: rec.Count}}
 		if !r.deferred {
 			p.countPendingMachines(k, rec.Count)
@@ -314,17 +330,17 @@
 		p.requests.open = append(p.requests.open, r)
 	}
 	if n := len(p.requests.storedRequests); n > 0 {
-		c.logInfo("rentals of the holder before are repeated", "partition", p.index, "requests", n)
+		v.logInfo("rentals of the holder before are repeated", "partition", p.index, "requests", n)
 	}
 }
 
 // applyRequests takes in a partition's record of open requests.
-func (c *Controller) applyRequests(name string, value []byte, version uint64) error {
+func (v *provisioner) applyRequests(name string, value []byte, version uint64) error {
 	i, err := strconv.Atoi(name)
-	if err != nil || i < 0 || i >= len(c.partitions) || c.partitions[i].requests.version >= version {
+	if err != nil || i < 0 || i >= len(v.cluster.partitions) || v.cluster.partitions[i].requests.version >= version {
 		return nil // not one of ours, or older than what is known
 	}
-	rentals := &c.partitions[i].requests
+	rentals := &v.cluster.partitions[i].requests
 	var rec requestsRecord
 	err = json.Unmarshal(value, &rec)
 	rentals.version, rentals.storedRequests = version, rec.Open
@@ -332,13 +348,13 @@
 }
 
 // unavailableKinds gives the kinds that the cloud refused of late.
-func (c *Controller) unavailableKinds() map[scheduler.InstanceKind]bool {
+func (v *provisioner) unavailableKinds() map[scheduler.InstanceKind]bool {
 	kinds := map[scheduler.InstanceKind]bool{}
-	for kind, until := range c.unavailableUntil {
-		if c.now < until {
+	for kind, until := range v.unavailableUntil {
+		if v.now < until {
 			kinds[kind] = true
 		} else {
-			delete(c.unavailableUntil, kind)
+			delete(v.unavailableUntil, kind)
 		}
 	}
 	return kinds
@@ -346,11 +362,11 @@
 
 // reconcileRequests writes down and sends what is due of the requests of the partitions
 // that we lead.
-func (c *Controller) reconcileRequests() {
-	for _, p := range c.partitions {
+func (v *provisioner) reconcileRequests() {
+	for _, p := range v.cluster.partitions {
 		if p.Leads() {
-			c.writeRequests(p)
-			c.sendDueRequests(p)
+			v.writeRequests(p)
+			v.sendDueRequests(p)
 		}
 	}
 }
@@ -363,10 +379,10 @@
 // stay in the record for a while, for repeated by another holder it gives the same
 // machines, which are known or lately deleted. It guards the record's version besides
 // the term: a late copy would else bring back requests that are settled.
-func (c *Controller) writeRequests(p *partition) {
+func (v *provisioner) writeRequests(p *partition) {
 	s := &p.requests
-	outdated := s.outdated && c.now > s.writtenAt+requestsWriteInterval
-	if s.writeInFlight != nil || !s.mustWrite && !outdated || !c.recordsRequests() {
+	outdated := s.outdated && v.now > s.writtenAt+requestsWriteInterval
+	if s.writeInFlight != nil || !s.mustWrite && !outdated || !v.schema.recordsRequests() {
 		return
 	}
 	rec := requestsRecord{}
@@ -374,7 +390,7 @@
 	for _, r := range open {
 		rec.Open = append(rec.Open, requestRecord{r.request.Name, r.kind.Type, r.kind.Zone, r.kind.Spot, r.request.Count, r.deferred})
 	}
-	t := &transaction{grant: func() leadership.Grant { return c.grant(p.RoleState, leadership.Write) }}
+	t := &transaction{grant: func() leadership.Grant { return v.storeLease.grant(p.RoleState, leadership.Write) }}
 	t.request.Compares = []api.Compare{{Key: p.key(), Version: p.Term}, {Key: requestsKeyOf(p), Version: s.version}}
 	t.request.Writes = []api.Write{{Put: requestsKeyOf(p), Value: mustMarshal(rec)}}
 	t.onCommitted = func(rev uint64) {
@@ -383,10 +399,10 @@
 		for _, r := range open {
 			r.recorded = true
 		}
-		c.sendDueRequests(p)
+		v.sendDueRequests(p)
 	}
 	t.onRefused = func() { s.writeInFlight, s.mustWrite = nil, true }
-	s.writeInFlight, s.mustWrite, s.outdated, s.writtenAt = t, false, false, c.now
-	c.chargeWrites(1)
-	c.submitTransaction(t)
+	s.writeInFlight, s.mustWrite, s.outdated, s.writtenAt = t, false, false, v.now
+	v.budget.chargeWrites(1)
+	v.transactions.submitTransaction(t)
 }
--- a/internal/core/safety_test.go
+++ b/internal/core/safety_test.go
@@ -19,12 +19,12 @@
 	w := &c.settings.Deployment.Workers
 	w.ReportS, w.LeaseS, w.CancelS = 3, 20, 45
 	c.now = 100 * micros.Second
-	c.lease.ID, c.lease.RenewalSentAt, c.currentAsOf = 7, c.now, c.now
-	p := c.partitions[0]
-	c.applyPut(p.key(), mustMarshal(leadership.Claim{Node: c.settings.Node, Process: c.incarnation}), 10)
-	c.applyMachineRecord(machineRecord{Name: "n-1", Type: "g4", Zone: "alta", Partition: 0, Epoch: 1, MinToken: 11}, recordOrigin{1, 0, 1}, 11)
-	m, j := c.machines["n-1"], c.jobs["wk-000001"]
-	c.setTask(j, 0, taskRecord{taskPlaced, 1, "n-1"})
+	c.storeLease.lease.ID, c.storeLease.lease.RenewalSentAt, c.cache.currentAsOf = 7, c.now, c.now
+	p := c.cluster.partitions[0]
+	c.applier.applyPut(p.key(), mustMarshal(leadership.Claim{Node: c.settings.Node, Process: c.incarnation}), 10)
+	c.registry.applyMachineRecord(machineRecord{Name: "n-1", Type: "g4", Zone: "alta", Partition: 0, Epoch: 1, MinToken: 11}, recordOrigin{1, 0, 1}, 11)
+	m, j := c.cluster.machines["n-1"], c.cluster.jobs["wk-000001"]
+	c.cluster.setTask(j, 0, taskRecord{taskPlaced, 1, "n-1"})
 	j.task(0).committed = j.task(0).taskRecord
 	if !p.Leads() || m == nil || len(m.taskIDs) != 1 {
 		t.Fatalf("held %t, machine %v", p.Leads(), m)
@@ -72,18 +72,18 @@
 func TestDoubtfulStartEndsTheLease(t *testing.T) {
 	c, _, m, j := holder(t)
 	reports(c, 1, 4) // its session is known
-	j.task(0).directStartToken = c.fencingToken(m)
+	j.task(0).directStartToken = c.cluster.fencingToken(m)
 	j.cancelledElsewhere, j.stopRequiredSince = true, c.now
-	c.lease.RenewalSentAt, c.currentAsOf = c.now, c.now
+	c.storeLease.lease.RenewalSentAt, c.cache.currentAsOf = c.now, c.now
 	if a := reports(c, 2, 11); a.Status != 200 {
 		t.Fatalf("within the answer deadline the answer is %+v", a)
 	}
-	c.now += c.answerWindow() + 1
-	c.lease.RenewalSentAt, c.currentAsOf = c.now, c.now
+	c.now += c.settings.answerWindow() + 1
+	c.storeLease.lease.RenewalSentAt, c.cache.currentAsOf = c.now, c.now
 	if a := reports(c, 3, 11); a.Status != 503 {
 		t.Errorf("past the answer deadline the answer is %+v", a)
 	}
-	if m.record.MinToken, c.partitions[0].Term = 12, 12; c.fencingToken(m) != 12 {
+	if m.record.MinToken, c.cluster.partitions[0].Term = 12, 12; c.cluster.fencingToken(m) != 12 {
 		t.Fatal("the token did not rise")
 	}
 	if a := reports(c, 4, 11); a.Status != 200 {
@@ -97,13 +97,13 @@
 func TestResignedTerm(t *testing.T) {
 	c, p, _, _ := holder(t)
 	ver, rec := p.Term, mustMarshal(leadership.Claim{Node: c.settings.Node, Process: c.incarnation})
-	c.resignRole(p.RoleState, "test")
+	c.roles.resignRole(p.RoleState, "test")
 	p.Forget(c.now) // as when everything is read again
-	c.applyPut(p.key(), rec, ver)
+	c.applier.applyPut(p.key(), rec, ver)
 	if p.Leads() {
 		t.Error("held again under the term that was given up")
 	}
-	c.applyPut(p.key(), rec, ver+1)
+	c.applier.applyPut(p.key(), rec, ver+1)
 	if !p.Leads() {
 		t.Error("not held under a new term")
 	}
@@ -113,7 +113,7 @@
 // the job may have been cancelled by then, and its user told so elsewhere.
 func TestSlowAcceptance(t *testing.T) {
 	c, body, _ := watched(t)
-	delete(c.jobs, "wk-000001")
+	delete(c.cluster.jobs, "wk-000001")
 	c.now = micros.Second
 	for _, slow := range []bool{false, true} {
 		var txn StoreCall
@@ -123,7 +123,7 @@
 				txn = call
 			}
 			if call, ok := e.(StoreCall); ok && call.Op == OpWatch && call.WaitMs == 0 {
-				c.Step(c.now+1, &StoreReply{Call: call.Call, Status: 200, Watch: api.WatchResponse{Revision: c.revision}})
+				c.Step(c.now+1, &StoreReply{Call: call.Call, Status: 200, Watch: api.WatchResponse{Revision: c.cache.revision}})
 			}
 		}
 		if txn.Call == 0 {
@@ -134,14 +134,14 @@
 			at = c.now + maxReadAge + 1
 		}
 		told := false
-		for _, e := range c.Step(at, &StoreReply{Call: txn.Call, Status: 200, Transaction: api.TransactionResult{Revision: c.revision + 1}}) {
+		for _, e := range c.Step(at, &StoreReply{Call: txn.Call, Status: 200, Transaction: api.TransactionResult{Revision: c.cache.revision + 1}}) {
 			a, ok := e.(Answer)
 			told = told || ok && a.RequestID == req
 		}
 		if told == slow {
 			t.Errorf("slow %t: told at once %t", slow, told)
 		}
-		delete(c.jobs, "wk-000001")
+		delete(c.cluster.jobs, "wk-000001")
 	}
 }
 
@@ -149,10 +149,10 @@
 // cancellation was: each flush with a start of a job guards that job's key.
 func TestStartGuardsItsJob(t *testing.T) {
 	c, p, m, j := holder(t)
-	c.setTask(j, 0, taskRecord{})
+	c.cluster.setTask(j, 0, taskRecord{})
 	j.task(0).committed = taskRecord{}
-	c.changeTask(j, 0, taskRecord{taskPlaced, 2, m.name})
-	f := c.buildCommit(p, 10)
+	c.cluster.changeTask(j, 0, taskRecord{taskPlaced, 2, m.name})
+	f := c.partitionLog.buildCommit(p, 10)
 	if f == nil || !slices.Contains(f.request.Compares, api.Compare{Key: jobKey + j.id, Version: j.version}) {
 		t.Errorf("a start is committed without its job's key: %+v", f)
 	}
@@ -164,7 +164,7 @@
 func TestDoubtfulStartRaisesTheToken(t *testing.T) {
 	c, p, m, _ := holder(t)
 	reports(c, 1, 11)
-	token := c.fencingToken(m)
+	token := c.cluster.fencingToken(m)
 	c.Step(c.now, CommandReply{Machine: m.name, Token: token, Starts: true})
 	for range 3 { // a tick comes each tenth of a second
 		c.Step(c.now+micros.Second/10, Tick{})
@@ -175,9 +175,9 @@
 	}) {
 		t.Fatalf("no new token is recorded: %+v", f)
 	}
-	c.commitSucceeded(p, 40)
-	if c.fencingToken(m) != 40 {
-		t.Errorf("the token is %d, was %d", c.fencingToken(m), token)
+	c.partitionLog.commitSucceeded(p, 40)
+	if c.cluster.fencingToken(m) != 40 {
+		t.Errorf("the token is %d, was %d", c.cluster.fencingToken(m), token)
 	}
 }
 
@@ -192,10 +192,10 @@
 			t.Fatal("the task was not seen")
 		}
 		if away { // lost and taken again
-			c.loseRole(p.RoleState, "test")
-			c.applyPut(p.key(), mustMarshal(leadership.Claim{Node: c.settings.Node, Process: c.incarnation}), 20)
+			c.roles.loseRole(p.RoleState, "test")
+			c.applier.applyPut(p.key(), mustMarshal(leadership.Claim{Node: c.settings.Node, Process: c.incarnation}), 20)
 		}
-		c.observeIncarnation(m, 2)
+		c.reconciliation.observeIncarnation(m, 2)
 		if gone := len(m.taskIDs) == 0; gone == away {
 			t.Errorf("held by another meanwhile %t: taken for gone %t", away, gone)
 		}
@@ -206,17 +206,17 @@
 // often it failed.
 func TestWhyItFails(t *testing.T) {
 	c, _, _, j := holder(t)
-	c.setTask(j, 0, taskRecord{})
+	c.cluster.setTask(j, 0, taskRecord{})
 	for i := range 3 {
-		c.applyMachineRecord(machineRecord{Name: fmt.Sprintf("n-%d", 2+i), Type: "g4", Zone: "alta", Partition: 0, Epoch: 1, MinToken: 11}, recordOrigin{1, 0, 1}, 11)
-		m := c.machines[fmt.Sprintf("n-%d", 2+i)]
-		c.setTask(j, 0, taskRecord{taskPlaced, uint64(i + 1), m.name})
-		c.taskExited(j, 0, j.task(0), m, api.TaskStatus{Task: "wk-000001/0", Attempt: uint64(i + 1), State: api.TaskExited, ExitReason: api.ExitFailed})
+		c.registry.applyMachineRecord(machineRecord{Name: fmt.Sprintf("n-%d", 2+i), Type: "g4", Zone: "alta", Partition: 0, Epoch: 1, MinToken: 11}, recordOrigin{1, 0, 1}, 11)
+		m := c.cluster.machines[fmt.Sprintf("n-%d", 2+i)]
+		c.cluster.setTask(j, 0, taskRecord{taskPlaced, uint64(i + 1), m.name})
+		c.tasks.taskExited(j, 0, j.task(0), m, api.TaskStatus{Task: "wk-000001/0", Attempt: uint64(i + 1), State: api.TaskExited, ExitReason: api.ExitFailed})
 	}
 	var why string
 	for _, e := range c.Step(c.now, Explain{RequestID: 9, ID: j.id}) {
 		if call, ok := e.(StoreCall); ok && call.Op == OpWatch && call.WaitMs == 0 {
-			for _, e := range c.Step(c.now, &StoreReply{Call: call.Call, Status: 200, Watch: api.WatchResponse{Revision: c.revision}}) {
+			for _, e := range c.Step(c.now, &StoreReply{Call: call.Call, Status: 200, Watch: api.WatchResponse{Revision: c.cache.revision}}) {
 				if a, ok := e.(Answer); ok && a.RequestID == 9 {
 					why = a.Body.(api.Explanation).Reason
 				}
@@ -233,8 +233,8 @@
 // the job's key that it follows.
 func TestEndGuardsItsJob(t *testing.T) {
 	c, p, _, j := holder(t)
-	c.changeTask(j, 0, taskRecord{taskDone, 1, ""})
-	f := c.buildCommit(p, 10)
+	c.cluster.changeTask(j, 0, taskRecord{taskDone, 1, ""})
+	f := c.partitionLog.buildCommit(p, 10)
 	if f == nil || len(f.terminalJobs) != 1 || !slices.Contains(f.request.Compares, api.Compare{Key: jobKey + j.id, Version: j.version}) {
 		t.Errorf("an end is recorded without its job's key: %+v", f)
 	}
@@ -244,9 +244,9 @@
 // part was taken by another, or after a newer flush of the same term.
 func TestFlushGuardsTermAndSlot(t *testing.T) {
 	c, p, m, j := holder(t)
-	c.setTask(j, 0, taskRecord{})
-	c.changeTask(j, 0, taskRecord{taskPlaced, 2, m.name})
-	f := c.buildCommit(p, 10)
+	c.cluster.setTask(j, 0, taskRecord{})
+	c.cluster.changeTask(j, 0, taskRecord{taskPlaced, 2, m.name})
+	f := c.partitionLog.buildCommit(p, 10)
 	for _, g := range []api.Compare{{Key: p.key(), Version: p.Term}, {Key: slotKey(p.index, f.entries[0].slot), Version: f.previousSlotVersion}} {
 		if !slices.Contains(f.request.Compares, g) {
 			t.Errorf("a flush does not guard %+v: %+v", g, f.request.Compares)
--- a/internal/core/txn.go
+++ b/internal/core/transactions.go
@@ -8,6 +8,18 @@
 	"spurmoor/internal/micros"
 )
 
+// transactionSender sends conditional transactions until their outcomes are known.
+type transactionSender struct {
+	*environment
+	cache *watchCache
+
+	transactions []*transaction
+}
+
+func newTransactionSender(env *environment, cache *watchCache) *transactionSender {
+	return &transactionSender{environment: env, cache: cache}
+}
+
 // transaction is a conditional transaction that is repeated until its outcome is
 // known.
 type transaction struct {
@@ -24,29 +36,29 @@
 }
 
 // submitTransaction sends a transaction until its outcome is known.
-func (c *Controller) submitTransaction(t *transaction) {
-	c.transactions = append(c.transactions, t)
-	c.sendTransaction(t)
+func (s *transactionSender) submitTransaction(t *transaction) {
+	s.transactions = append(s.transactions, t)
+	s.sendTransaction(t)
 }
 
 // allTransactionsSettled tells whether no outcome is awaited.
-func (c *Controller) allTransactionsSettled() bool {
-	return !slices.ContainsFunc(c.transactions, func(t *transaction) bool { return !t.settled })
+func (s *transactionSender) allTransactionsSettled() bool {
+	return !slices.ContainsFunc(s.transactions, func(t *transaction) bool { return !t.settled })
 }
 
 // grantRetryInterval is when a transaction is tried again for which there was no grant.
 const grantRetryInterval = micros.Second / 8
 
 // sendTransaction sends a transaction, if it is permitted now.
-func (c *Controller) sendTransaction(t *transaction) {
+func (s *transactionSender) sendTransaction(t *transaction) {
 	grant := t.grant()
-	if grant.Check(leadership.Write, c.now) != "" {
-		t.nextSendAt = c.now + grantRetryInterval
+	if grant.Check(leadership.Write, s.now) != "" {
+		t.nextSendAt = s.now + grantRetryInterval
 		return
 	}
 	t.inFlight = true
 	t.attempts++
-	c.callStore(StoreCall{Op: OpTransaction, Transaction: leadership.NewOrder(grant, &t.request)}, func(r *StoreReply) {
+	s.callStore(StoreCall{Op: OpTransaction, Transaction: leadership.NewOrder(grant, &t.request)}, func(r *StoreReply) {
 		t.inFlight = false
 		if t.settled {
 			return
@@ -59,51 +71,51 @@
 			// An earlier copy without an answer may have been carried out:
 			// the replica tells, once it is newer than this refusal.
 			if r.Status == 400 {
-				c.logError("transaction malformed", "error", r.Transaction.Error)
+				s.logError("transaction malformed", "error", r.Transaction.Error)
 				t.malformed = true
 			}
-			c.logDebug("transaction refused", "status", r.Status, "failed", r.Transaction.FailedKeys)
+			s.logDebug("transaction refused", "status", r.Status, "failed", r.Transaction.FailedKeys)
 			t.refused = true
-			c.settleRefused(t)
+			s.settleRefused(t)
 		default:
 			// Unknown, or not carried out: the same again. Even one refused may
 			// be repeated by the network; built anew, each would be taken for
 			// the other (random days).
-			t.nextSendAt = c.now + c.jitter(min(micros.Second, micros.Second/8<<min(t.attempts, 4)))
+			t.nextSendAt = s.now + s.jitter(min(micros.Second, micros.Second/8<<min(t.attempts, 4)))
 		}
 	})
 }
 
-func (c *Controller) settleRefused(t *transaction) {
-	c.readLatest(func(ok bool) {
+func (s *transactionSender) settleRefused(t *transaction) {
+	s.cache.readLatest(func(ok bool) {
 		switch {
 		case t.settled:
 		case ok:
 			t.settled = true
 			t.onRefused()
 		default:
-			t.nextSendAt = c.now + c.jitter(micros.Second/2)
+			t.nextSendAt = s.now + s.jitter(micros.Second/2)
 		}
 	})
 }
 
 // resendTransactions repeats the transactions whose outcome is not known.
-func (c *Controller) resendTransactions() {
-	live := c.transactions[:0]
-	for _, t := range c.transactions {
+func (s *transactionSender) resendTransactions() {
+	live := s.transactions[:0]
+	for _, t := range s.transactions {
 		if t.settled {
 			continue
 		}
-		if !t.inFlight && c.now >= t.nextSendAt {
-			t.nextSendAt = c.now + micros.Second
+		if !t.inFlight && s.now >= t.nextSendAt {
+			t.nextSendAt = s.now + micros.Second
 			if t.refused {
-				c.settleRefused(t)
+				s.settleRefused(t)
 			} else {
-				c.sendTransaction(t)
+				s.sendTransaction(t)
 			}
 		}
 		live = append(live, t)
 	}
-	clear(c.transactions[len(live):])
-	c.transactions = live
+	clear(s.transactions[len(live):])
+	s.transactions = live
 }
--- a/internal/core/urgency.go
+++ b/internal/core/urgency.go
@@ -5,6 +5,21 @@
 	"spurmoor/internal/scheduler"
 )
 
+// urgencyIndex is how urgent each unfinished job is, with what others that depend on it
+// lend to it.
+type urgencyIndex struct {
+	*environment
+	catalog      *machineCatalog
+	cluster      *clusterState
+	dependencies *dependencyGraph
+
+	byJob map[string]urgency
+}
+
+func newUrgencyIndex(env *environment, catalog *machineCatalog, cluster *clusterState, dependencies *dependencyGraph) *urgencyIndex {
+	return &urgencyIndex{environment: env, catalog: catalog, cluster: cluster, dependencies: dependencies}
+}
+
 // urgency is what a job is ranked by: its own priority and deadline, or those of
 // the most urgent job that needs it.
 type urgency struct {
@@ -13,19 +28,19 @@
 }
 
 // computeUrgencies works out every job's, by the replica.
-func (c *Controller) computeUrgencies() {
-	c.urgencies = map[string]urgency{}
-	slowest := c.slowestFetchSPerGB()
+func (x *urgencyIndex) computeUrgencies() {
+	x.byJob = map[string]urgency{}
+	slowest := x.catalog.slowestFetchSPerGB()
 	var of func(j *job) urgency
 	of = func(j *job) urgency {
-		if u, ok := c.urgencies[j.id]; ok {
+		if u, ok := x.byJob[j.id]; ok {
 			return u
 		}
 		u := urgency{tier: api.Tier(j.spec.Priority)}
 		if j.spec.DeadlineS > 0 {
 			u.deadline = scheduler.Deadline{SubmittedAt: j.acceptedAt, WithinS: j.spec.DeadlineS, Class: j.spec.Class}
 		}
-		if n := c.dependencies[j.id]; n != nil {
+		if n := x.dependencies.byJob[j.id]; n != nil {
 			for _, d := range n.dependents {
 				if d.cancelled || d.terminal {
 					continue // what it lent goes with it
@@ -38,28 +53,17 @@
 				}
 			}
 		}
-		c.urgencies[j.id] = u
+		x.byJob[j.id] = u
 		return u
 	}
-	for _, j := range c.jobs {
+	for _, j := range x.cluster.jobs {
 		of(j)
 	}
 }
 
-// slowestFetchSPerGB is how many seconds the slowest type takes to fetch a gigabyte.
-func (c *Controller) slowestFetchSPerGB() float64 {
-	s := 0.0
-	for _, t := range c.machineTypes {
-		if t.FetchGBs > 0 {
-			s = max(s, 1/t.FetchGBs)
-		}
-	}
-	return s
-}
-
 // effectiveTier is the tier that a job is treated as having.
-func (c *Controller) effectiveTier(j *job) int {
-	if u, ok := c.urgencies[j.id]; ok {
+func (x *urgencyIndex) effectiveTier(j *job) int {
+	if u, ok := x.byJob[j.id]; ok {
 		return u.tier
 	}
 	return api.Tier(j.spec.Priority)
