--- a/internal/core/catalog.go
+++ b/internal/core/catalog.go
@@ -98,7 +98,7 @@
 
 // observeCatalogPage takes in a page; the catalogue is known once all its pages are.
 func (c *machineCatalog) observeCatalogPage(name string, rec catalogRecord, ver uint64) {
-	c.catalogPages[name] = storedCatalogPage{rec, ver}
+	c.catalogPages[name] = storedCatalogPage{catalogRecord: rec, version: ver}
 	first := c.catalogPages[""]
 	types := slices.Clone(first.Types)
 	for n := 1; n <= first.Pages; n++ {
--- a/internal/core/cluster.go
+++ b/internal/core/cluster.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"maps"
 	"slices"
 	"strings"
 
@@ -92,7 +93,7 @@
 	// Another controller may have told its worker 200 until now.
 	m.leaseExpiresAt = c.now + c.settings.formerLeaderLeaseBound()
 	if !c.cache.synced { // else a start is committed after its machine's record
-		for _, id := range sortedKeys(c.jobs) {
+		for _, id := range slices.Sorted(maps.Keys(c.jobs)) {
 			c.countTasksOn(c.jobs[id], m)
 		}
 	}
--- a/internal/core/commit.go
+++ b/internal/core/commit.go
@@ -2,10 +2,8 @@
 
 import (
 	"cmp"
+	"maps"
 	"slices"
-	"strconv"
-
-	"github.com/go-json-experiment/json"
 
 	"spurmoor/internal/api"
 	"spurmoor/internal/leadership"
@@ -89,23 +87,6 @@
 	carriedOverShare    = 4
 )
 
-// encodedSize is how many bytes a row takes in an entry.
-func (r machineRecord) encodedSize() int { return len(mustMarshal(r)) + 1 }
-
-// encodedSize is how many bytes a run takes in an entry.
-func (r taskRun) encodedSize() int {
-	n := len(`{"j":""},`) + len(r.Job)
-	for _, v := range []uint64{uint64(r.First), uint64(r.Tasks), uint64(r.State), r.Attempt} {
-		if v > 0 {
-			n += len(`,"f":`) + len(strconv.FormatUint(v, 10))
-		}
-	}
-	if r.Machine != "" {
-		n += len(`,"m":""`) + len(r.Machine)
-	}
-	return n
-}
-
 // commitChanges sends each held partition's next flush when there is something to
 // commit, the last one is settled and the budget allows it.
 func (l *partitionLog) commitChanges() {
@@ -144,7 +125,7 @@
 func (l *partitionLog) buildCommit(p *partition, most int) *logCommit {
 	f := &logCommit{transaction: &transaction{grant: func() leadership.Grant { return l.storeLease.grant(p.RoleState, leadership.Write) }}}
 	most = max(minCommitWrites, most>>p.sizeReductions)
-	ids := sortedKeys(p.changedJobs)
+	ids := slices.Sorted(maps.Keys(p.changedJobs))
 	ends := l.terminalJobsDue(p, ids)
 	if want := min(2*len(ends)+2, l.settings.Deployment.Store.MaxTransactionOps); most < min(want, int(l.budget.capacity)) && l.now < p.lastCommitAt+commitBatchWait {
 		return nil
@@ -156,7 +137,7 @@
 		return nil
 	}
 	for _, e := range f.entries {
-		f.request.Writes = append(f.request.Writes, api.Write{Put: slotKey(p.index, e.slot), Value: mustMarshal(logRecord{e.sequence, e.runs, e.machines})})
+		f.request.Writes = append(f.request.Writes, api.Write{Put: slotKey(p.index, e.slot), Value: mustMarshal(logRecord{Sequence: e.sequence, Runs: e.runs, Machines: e.machines})})
 	}
 	f.onCommitted = func(rev uint64) { l.commitSucceeded(p, rev) }
 	f.onRefused = func() { l.commitRefused(p) }
@@ -281,7 +262,7 @@
 	}
 	for _, e := range f.entries {
 		for _, r := range e.machines {
-			l.registry.applyMachineRecord(r, recordOrigin{r.Epoch, p.index, e.sequence}, rev)
+			l.registry.applyMachineRecord(r, recordOrigin{epoch: r.Epoch, partition: p.index, sequence: e.sequence}, rev)
 		}
 	}
 	l.recordLaunchTimes(f)
@@ -360,14 +341,6 @@
 	p.commitInFlight = nil
 }
 
-func mustMarshal(v any) []byte {
-	b, err := json.Marshal(v)
-	if err != nil {
-		panic(err) // our own plain records: cannot fail
-	}
-	return b
-}
-
 // writeRateShare is how many changes a second we may make: a fixed share, by the partitions held,
 // and what the others said they do not use. All the same may want it at once: then
 // some are refused and repeated until each has heard of the others.
--- a/internal/core/controller.go
+++ b/internal/core/controller.go
@@ -9,9 +9,7 @@
 package core
 
 import (
-	"maps"
 	"math/rand/v2"
-	"slices"
 
 	"spurmoor/internal/micros"
 	"spurmoor/internal/settings"
@@ -247,5 +245,3 @@
 		f(r)
 	}
 }
-
-func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -49,7 +49,7 @@
 
 // dependency is a job that unfinished others dependency.
 type dependency struct {
-	dependencyOutcome
+	outcome    dependencyOutcome
 	doneAt     micros.Micros // when it was done
 	dependents []*job
 }
@@ -63,7 +63,7 @@
 		n := g.byJob[id]
 		if n == nil {
 			n = &dependency{}
-			if n.dependencyOutcome, n.doneAt = g.knownOutcome(id); n.dependencyOutcome == outcomeUnknown {
+			if n.outcome, n.doneAt = g.knownOutcome(id); n.outcome == outcomeUnknown {
 				g.outcomesToRead = append(g.outcomesToRead, id)
 			}
 			g.byJob[id] = n
@@ -89,7 +89,7 @@
 // knownOutcome tells what became of a job, as far as no read is needed for it.
 func (g *dependencyGraph) knownOutcome(id string) (dependencyOutcome, micros.Micros) {
 	if rec, ok := g.terminalStates.records[id]; ok {
-		return rec.outcome(), rec.EndedAt
+		return outcomeOf(rec), rec.EndedAt
 	}
 	switch j := g.cluster.jobs[id]; {
 	case j == nil:
@@ -100,7 +100,7 @@
 	return outcomePending, 0
 }
 
-func (r terminalRecord) outcome() dependencyOutcome {
+func outcomeOf(r terminalRecord) dependencyOutcome {
 	if r.State == api.JobDone {
 		return outcomeDone
 	}
@@ -110,10 +110,10 @@
 // settleOutcome takes in what became of a job, and what follows for those that need it.
 func (g *dependencyGraph) settleOutcome(id string, o dependencyOutcome, at micros.Micros) {
 	n := g.byJob[id]
-	if n == nil || n.dependencyOutcome == o || n.dependencyOutcome >= outcomeDone {
+	if n == nil || n.outcome == o || n.outcome >= outcomeDone {
 		return
 	}
-	if n.dependencyOutcome, n.doneAt = o, at; o == outcomeUnknown {
+	if n.outcome, n.doneAt = o, at; o == outcomeUnknown {
 		g.outcomesToRead = append(g.outcomesToRead, id)
 	}
 	for _, j := range n.dependents {
@@ -124,7 +124,7 @@
 // recordTerminalState notes how a job ended, and what follows for those that need it.
 func (g *dependencyGraph) recordTerminalState(id string, rec terminalRecord) {
 	g.terminalStates.add(id, rec)
-	g.settleOutcome(id, rec.outcome(), rec.EndedAt)
+	g.settleOutcome(id, outcomeOf(rec), rec.EndedAt)
 }
 
 // resetDependencies forgets all dependencies, before everything is read again. What is
@@ -139,7 +139,7 @@
 	had := j.pendingDependencies
 	j.pendingDependencies, j.unknownDependencies, j.dependenciesDoneAt = 0, 0, 0
 	for _, id := range j.dependencies {
-		switch n := g.byJob[id]; n.dependencyOutcome {
+		switch n := g.byJob[id]; n.outcome {
 		case outcomeDone:
 			j.dependenciesDoneAt = max(j.dependenciesDoneAt, n.doneAt)
 			continue
@@ -193,7 +193,7 @@
 	for len(g.outcomesToRead) > 0 && g.outcomeReads < maxOutcomeReads/2 {
 		id := g.outcomesToRead[0]
 		g.outcomesToRead = g.outcomesToRead[1:]
-		if n := g.byJob[id]; n == nil || n.dependencyOutcome != outcomeUnknown {
+		if n := g.byJob[id]; n == nil || n.outcome != outcomeUnknown {
 			continue
 		}
 		if o, at := g.knownOutcome(id); o != outcomeUnknown {
@@ -201,7 +201,7 @@
 			continue
 		}
 		g.readOutcome(id, func(f lookupResult) {
-			if n := g.byJob[id]; f != jobKnown && n != nil && n.dependencyOutcome == outcomeUnknown {
+			if n := g.byJob[id]; f != jobKnown && n != nil && n.outcome == outcomeUnknown {
 				if f == jobNeverAccepted {
 					g.logError("no trace of a job that others need", "job", id)
 				}
@@ -333,3 +333,12 @@
 	}
 	rec.Spec.Dependencies = left
 }
+
+// lookupResult is what is known of a job.
+type lookupResult int
+
+const (
+	lookupUnknown    lookupResult = iota // could not be told
+	jobNeverAccepted                     // no such job was accepted
+	jobKnown
+)
--- a/internal/core/direct_commands.go
+++ b/internal/core/direct_commands.go
@@ -54,13 +54,7 @@
 	}
 	body := api.CommandRequest{FencingToken: k.cluster.fencingToken(m), Incarnation: max(1, m.incarnation), Commands: cmds}
 	starts := slices.ContainsFunc(cmds, func(o api.Command) bool { return o.Op == api.CommandStart })
-	k.emit(SendCommands{Machine: m.name, Addr: m.address, Starts: starts, Body: leadership.NewOrder(k.storeLease.commandGrant(k.cluster.partitions[m.record.Partition]), body)})
-}
-
-// probeCommand asks a worker whether it is there. Token 0 has nothing done.
-func probeCommand(machine, addr string, session uint64) SendCommands {
-	body := api.CommandRequest{Incarnation: session, Commands: []api.Command{}}
-	return SendCommands{Machine: machine, Addr: addr, Body: leadership.NewOrder(leadership.SharedGrant(leadership.ForProbe, leadership.Command), body)}
+	k.emit(SendCommands{Machine: m.name, Addr: m.address, Starts: starts, Body: leadership.NewOrder(k.storeLease.commandGrant(k.cluster.partitions[m.record.Partition].RoleState), body)})
 }
 
 // settleDirectStarts takes in what an answer, or its absence, says of the direct starts
@@ -80,3 +74,6 @@
 		}
 	}
 }
+
+// maxCommands keeps an answer's one line below 64 KiB.
+const maxCommands = 400
--- a/internal/core/duties_test.go
+++ b/internal/core/duties_test.go
@@ -121,8 +121,8 @@
 	}
 	c.roles.loseRole(p.RoleState, "test")
 	c.Step(c.now+micros.Second, &CloudReply{Call: sent[0].Call, Status: 200, Launched: []string{"n-7", "n-8", "n-9"}})
-	if len(p.machineBatches) != 0 || len(p.pendingMachines) != 0 {
-		t.Errorf("a former holder would record %d, counts on %v", len(p.machineBatches), p.pendingMachines)
+	if len(p.machineBatches) != 0 || len(c.provisioning.pendingMachines(p)) != 0 {
+		t.Errorf("a former holder would record %d, counts on %v", len(p.machineBatches), c.provisioning.pendingMachines(p))
 	}
 }
 
@@ -162,13 +162,13 @@
 	if at >= c.storeLease.answerDeadline() {
 		t.Fatal("the answer deadline is over")
 	}
-	if c.storeLease.mayAnswerFor(p) {
+	if c.storeLease.mayAnswerFor(p.RoleState) {
 		t.Error("it answers before it can have heard of the others")
 	}
 	for range 40 {
 		c.Step(c.now+micros.Second/10, Tick{})
 	}
-	if !c.storeLease.mayAnswerFor(p) {
+	if !c.storeLease.mayAnswerFor(p.RoleState) {
 		t.Error("it does not answer although nobody else is heard")
 	}
 }
@@ -221,7 +221,7 @@
 // the version before is there already.
 func TestSchemaIsAnnouncedAnew(t *testing.T) {
 	c, _ := recorder(t)
-	c.applier.applyPut(schemaKey+c.settings.Node, mustMarshal(schemaRecord{schemaDependencies, "1.0"}), 33)
+	c.applier.applyPut(schemaKey+c.settings.Node, mustMarshal(schemaRecord{SchemaVersion: schemaDependencies, Release: "1.0"}), 33)
 	c.effects, c.schema.nextSchemaAnnouncementAt = nil, 0
 	c.schema.announceSchema()
 	call := writesTo(c.effects, schemaKey+c.settings.Node)
--- a/internal/core/environment.go
+++ b/internal/core/environment.go
@@ -25,7 +25,7 @@
 
 func newEnvironment(set *settings.Settings, incarnation uint64, random *rand.Rand) *environment {
 	return &environment{
-		settings: parameters{set}, random: random, incarnation: incarnation,
+		settings: parameters{Settings: set}, random: random, incarnation: incarnation,
 		storeCalls: map[uint64]func(*StoreReply){}, cloudCalls: map[uint64]func(*CloudReply){},
 	}
 }
@@ -33,7 +33,7 @@
 func (env *environment) emit(e Effect) { env.effects = append(env.effects, e) }
 
 func (env *environment) log(level slog.Level, msg string, args ...any) {
-	env.emit(Log{level, msg, args})
+	env.emit(Log{Level: level, Message: msg, Args: args})
 }
 
 func (env *environment) logDebug(msg string, args ...any) { env.log(slog.LevelDebug, msg, args...) }
--- a/internal/core/explanation.go
+++ b/internal/core/explanation.go
@@ -49,7 +49,7 @@
 	case j.pendingDependencies > 0:
 		e.Reason = "waits for other jobs to be done"
 		for _, id := range j.dependencies {
-			if x.dependencies.byJob[id].dependencyOutcome != outcomeDone && len(e.WaitsFor) < maxNamedDependencies {
+			if x.dependencies.byJob[id].outcome != outcomeDone && len(e.WaitsFor) < maxNamedDependencies {
 				e.WaitsFor = append(e.WaitsFor, id)
 			}
 		}
--- a/internal/core/failover.go
+++ b/internal/core/failover.go
@@ -1,6 +1,11 @@
 package core
 
-import "spurmoor/internal/micros"
+import (
+	"maps"
+	"slices"
+
+	"spurmoor/internal/micros"
+)
 
 // failoverHandler begins and ceases to act for a partition when its leadership changes.
 type failoverHandler struct {
@@ -52,8 +57,8 @@
 	for _, n := range fresh {
 		n.onRecorded()
 	}
-	p.abandonRequests()
-	for _, id := range sortedKeys(f.cluster.jobs) {
+	f.provisioning.abandonRequests(p)
+	for _, id := range slices.Sorted(maps.Keys(f.cluster.jobs)) {
 		if j := f.cluster.jobs[id]; j.partition == p.index {
 			f.cluster.revertUncommitted(j)
 		}
--- a/internal/core/failures.go
+++ b/internal/core/failures.go
@@ -1,6 +1,9 @@
 package core
 
 import (
+	"maps"
+	"slices"
+
 	"spurmoor/internal/api"
 	"spurmoor/internal/micros"
 )
@@ -37,7 +40,7 @@
 	m.failures.machineFaults = 0
 	clear(m.failures.unattributed)
 	j.suspect = false
-	for _, name := range sortedKeys(j.failedMachines) {
+	for _, name := range slices.Sorted(maps.Keys(j.failedMachines)) {
 		if o := l.cluster.machines[name]; o != nil && o.failures.unattributed[j.id] {
 			delete(o.failures.unattributed, j.id)
 			o.failures.machineFaults++
--- a/internal/core/faults_test.go
+++ b/internal/core/faults_test.go
@@ -36,13 +36,13 @@
 		faulty   []string
 		suspect  []string
 	}{
-		{what: "several tasks of one job on one machine", failures: []failure{{"a", "m-0"}, {"a", "m-0"}, {"a", "m-0"}}},
-		{what: "a job on every machine that it meets", failures: []failure{{"a", "m-0"}, {"a", "m-0"}, {"a", "m-1"}, {"a", "m-1"}, {"a", "m-2"}}, suspect: []string{"a"}},
-		{what: "two such jobs on the same machines", failures: []failure{{"a", "m-0"}, {"a", "m-1"}, {"b", "m-1"}, {"b", "m-2"}, {"b", "m-3"}, {"a", "m-2"}}, suspect: []string{"a", "b"}},
-		{what: "two jobs that failed nowhere else", failures: []failure{{"a", "m-0"}, {"b", "m-0"}}, faulty: []string{"m-0"}},
-		{what: "two tasks of a sound job", sound: []string{"a"}, failures: []failure{{"a", "m-0"}, {"a", "m-0"}}, faulty: []string{"m-0"}},
-		{what: "three jobs that failed elsewhere too, one after the other", failures: []failure{{"a", "m-0"}, {"a", "m-1"}, {"b", "m-0"}, {"b", "m-2"}, {"c", "m-3"}, {"c", "m-0"}}, faulty: []string{"m-0"}},
-		{what: "two jobs on two machines, done elsewhere then", failures: []failure{{"a", "m-0"}, {"a", "m-1"}, {"b", "m-0"}, {"b", "m-1"}}, proven: []string{"a", "b"}, faulty: []string{"m-0", "m-1"}},
+		{what: "several tasks of one job on one machine", failures: []failure{{job: "a", machine: "m-0"}, {job: "a", machine: "m-0"}, {job: "a", machine: "m-0"}}},
+		{what: "a job on every machine that it meets", failures: []failure{{job: "a", machine: "m-0"}, {job: "a", machine: "m-0"}, {job: "a", machine: "m-1"}, {job: "a", machine: "m-1"}, {job: "a", machine: "m-2"}}, suspect: []string{"a"}},
+		{what: "two such jobs on the same machines", failures: []failure{{job: "a", machine: "m-0"}, {job: "a", machine: "m-1"}, {job: "b", machine: "m-1"}, {job: "b", machine: "m-2"}, {job: "b", machine: "m-3"}, {job: "a", machine: "m-2"}}, suspect: []string{"a", "b"}},
+		{what: "two jobs that failed nowhere else", failures: []failure{{job: "a", machine: "m-0"}, {job: "b", machine: "m-0"}}, faulty: []string{"m-0"}},
+		{what: "two tasks of a sound job", sound: []string{"a"}, failures: []failure{{job: "a", machine: "m-0"}, {job: "a", machine: "m-0"}}, faulty: []string{"m-0"}},
+		{what: "three jobs that failed elsewhere too, one after the other", failures: []failure{{job: "a", machine: "m-0"}, {job: "a", machine: "m-1"}, {job: "b", machine: "m-0"}, {job: "b", machine: "m-2"}, {job: "c", machine: "m-3"}, {job: "c", machine: "m-0"}}, faulty: []string{"m-0"}},
+		{what: "two jobs on two machines, done elsewhere then", failures: []failure{{job: "a", machine: "m-0"}, {job: "a", machine: "m-1"}, {job: "b", machine: "m-0"}, {job: "b", machine: "m-1"}}, proven: []string{"a", "b"}, faulty: []string{"m-0", "m-1"}},
 	} {
 		c := faultsOf(t)
 		for _, id := range tc.sound {
--- a/internal/core/heartbeat_reconciliation.go
+++ b/internal/core/heartbeat_reconciliation.go
@@ -1,8 +1,6 @@
 package core
 
 import (
-	"slices"
-
 	"spurmoor/internal/api"
 	"spurmoor/internal/micros"
 )
@@ -11,9 +9,6 @@
 // that they can be forgotten.
 const maxEndedTasks = 12
 
-// maxCommands keeps an answer's one line below 64 KiB.
-const maxCommands = 400
-
 // heartbeatReconciler is a worker's report while it is taken in, with the commands that bring
 // the worker to what is recorded.
 type heartbeatReconciler struct {
@@ -226,20 +221,3 @@
 		}
 	}
 }
-
-// trackRepeatedCommands notes whether a worker does what it was told: one whose reports arrive
-// while answers and commands do not reach it needs to be told the same again.
-func (m *machine) trackRepeatedCommands(now micros.Micros, cmds []api.Command) {
-	again := slices.ContainsFunc(cmds, func(o api.Command) bool {
-		return o.Op != api.CommandStop && slices.ContainsFunc(m.lastCommands, func(t api.Command) bool {
-			return t.Op == o.Op && t.Task == o.Task && t.Attempt == o.Attempt
-		})
-	})
-	switch {
-	case !again:
-		m.ignoringSince = 0
-	case m.ignoringSince == 0:
-		m.ignoringSince = now
-	}
-	m.lastCommands = cmds
-}
--- a/internal/core/instance_list.go
+++ b/internal/core/instance_list.go
@@ -1,6 +1,7 @@
 package core
 
 import (
+	"maps"
 	"slices"
 
 	"spurmoor/internal/api"
@@ -108,7 +109,7 @@
 
 // expireUnlisted drops what was listed before and is absent from several lists.
 func (i *instanceList) expireUnlisted() {
-	for _, name := range sortedKeys(i.listedInstances) {
+	for _, name := range slices.Sorted(maps.Keys(i.listedInstances)) {
 		l := i.listedInstances[name]
 		if l.listRound < i.listRound-2 && i.now > l.lastSeenAt+i.unlistedTimeout() {
 			delete(i.listedInstances, name)
--- a/internal/core/job.go
+++ b/internal/core/job.go
@@ -97,7 +97,7 @@
 func parseTaskID(s string) (taskID, bool) {
 	id, num, ok := strings.Cut(s, "/")
 	n, err := strconv.Atoi(num)
-	return taskID{id, n}, ok && err == nil && n >= 0
+	return taskID{job: id, index: n}, ok && err == nil && n >= 0
 }
 
 func (j *job) chunkIndexes() []int {
@@ -136,3 +136,49 @@
 	t := j.task(n)
 	return t == nil || !t.changed
 }
+
+// placeable lists tasks that may be placed now.
+func (j *job) placeable(now micros.Micros, most int) []int {
+	var list []int
+	for k := 0; k*chunkSize < j.spec.Tasks; k++ {
+		ch := j.chunks[k]
+		for n := k * chunkSize; n < min(j.spec.Tasks, (k+1)*chunkSize); n++ {
+			if len(list) >= most && j.spec.Kind != api.Gang {
+				return list
+			}
+			if ch == nil {
+				list = append(list, n)
+			} else if t := &ch[n%chunkSize]; t.state == taskPending && now >= t.notBefore {
+				list = append(list, n)
+			}
+		}
+	}
+	// A gang starts whole; but once one of its tasks is done all are, and what
+	// a lost machine could not report any more is only asked for again.
+	if j.spec.Kind == api.Gang && len(list)+j.doneTasks < j.spec.Tasks && !j.isReassembling() {
+		return nil
+	}
+	return list
+}
+
+func (j *job) lastAttempt() uint64 {
+	var last uint64
+	for _, ch := range j.chunks {
+		for i := range ch {
+			last = max(last, ch[i].attempt)
+		}
+	}
+	return last
+}
+
+func (j *job) status() api.JobStatus {
+	state := api.JobPending
+	switch {
+	case j.cancelled:
+		state = api.JobCancelled
+	case j.placedTasks > 0:
+		state = api.JobRunning
+	}
+	d, r := j.doneTasks, j.placedTasks
+	return api.JobStatus{ID: j.id, State: state, Done: &d, Running: &r}
+}
--- a/internal/core/limits_test.go
+++ b/internal/core/limits_test.go
@@ -87,7 +87,7 @@
 func TestAgeIsNotCompared(t *testing.T) {
 	c, _, _, _ := holder(t)
 	c.now = 20_000 * micros.Second
-	c.registry.applyMachineRecord(machineRecord{Name: "n-2", Type: "g4", Zone: "alta", Epoch: 1, MinToken: 12, LaunchedAt: c.now - 10_800*micros.Second}, recordOrigin{1, 0, 2}, 12)
+	c.registry.applyMachineRecord(machineRecord{Name: "n-2", Type: "g4", Zone: "alta", Epoch: 1, MinToken: 12, LaunchedAt: c.now - 10_800*micros.Second}, recordOrigin{epoch: 1, partition: 0, sequence: 2}, 12)
 	m := c.cluster.machines["n-2"]
 	if m.launchedAt != c.now {
 		t.Errorf("read now, it counts as %d s old", (c.now - m.launchedAt).WholeSeconds())
--- a/internal/core/list_findings.go
+++ b/internal/core/list_findings.go
@@ -36,7 +36,7 @@
 func (i *instanceList) addFinding(list *[]listFinding, stray peer.Orphan) {
 	known := slices.ContainsFunc(*list, func(f listFinding) bool { return f.instance.Machine == stray.Machine })
 	if !known && len(*list) < maxFindings {
-		*list = append(*list, listFinding{stray, i.now})
+		*list = append(*list, listFinding{instance: stray, foundAt: i.now})
 	}
 }
 
--- a/internal/core/log_entries.go
+++ b/internal/core/log_entries.go
@@ -109,7 +109,7 @@
 			if t.changed {
 				gen-- // what it became since is still to be committed
 			}
-			s := taskChange{j, n, gen, t.committed, 0}
+			s := taskChange{job: j, index: n, generation: gen, record: t.committed, sequence: 0}
 			tasks = append(tasks, s)
 			if s.extends(last) {
 				size -= last.encodedSize()
@@ -128,7 +128,7 @@
 	var rows []machineRecord
 	size := 0
 	for _, r := range old.machines {
-		here := recordOrigin{r.Epoch, b.partition.index, old.sequence}
+		here := recordOrigin{epoch: r.Epoch, partition: b.partition.index, sequence: old.sequence}
 		if m := b.log.cluster.machines[r.Name]; m != nil && m.origin == here {
 			r = m.record
 		} else if t, ok := b.log.cluster.tombstones[r.Name]; !ok || t != here || b.log.cluster.logReferences[r.Name] <= 1 {
@@ -147,7 +147,7 @@
 
 // extends tells whether a task makes a run one longer.
 func (s taskChange) extends(r taskRun) bool {
-	return r.Job == s.job.id && r.First+r.taskCount() == s.index && (taskRecord{r.State, r.Attempt, r.Machine}) == s.record
+	return r.Job == s.job.id && r.First+r.taskCount() == s.index && (taskRecord{state: r.State, attempt: r.Attempt, machine: r.Machine}) == s.record
 }
 
 // sizeOf is how many bytes a task takes at the most.
@@ -246,7 +246,7 @@
 			return
 		}
 		b.addMachine(r)
-		b.commit.recordChanges = append(b.commit.recordChanges, recordChange{m, m.pendingChange})
+		b.commit.recordChanges = append(b.commit.recordChanges, recordChange{machine: m, kind: m.pendingChange})
 	}
 }
 
@@ -272,7 +272,7 @@
 					guarded = true
 					b.compare(jobKey+id, j.version)
 				}
-				s := taskChange{j, k*chunkSize + i, t.generation, t.taskRecord, 0}
+				s := taskChange{job: j, index: k*chunkSize + i, generation: t.generation, record: t.taskRecord, sequence: 0}
 				if !b.reserveSpace(b.sizeOf(s)) {
 					return
 				}
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -1,6 +1,8 @@
 package core
 
 import (
+	"slices"
+
 	"spurmoor/internal/api"
 	"spurmoor/internal/micros"
 	"spurmoor/internal/scheduler"
@@ -86,3 +88,49 @@
 	name   string
 	sizeGB float64
 }
+
+func (m *machine) taskIDsCopy() []taskID {
+	return slices.Clone(m.taskIDs)
+}
+
+// cacheImage notes an image in the machine's cache, the latest used last.
+func (m *machine) cacheImage(name string, gb float64) {
+	m.cachedImages = slices.DeleteFunc(m.cachedImages, func(i cachedImage) bool { return i.name == name })
+	m.cachedImages = append(m.cachedImages, cachedImage{name: name, sizeGB: gb})
+	room := 0.0
+	if m.machineType != nil {
+		room = m.machineType.CacheGB
+	}
+	for i := len(m.cachedImages) - 1; i >= 0; i-- {
+		if room -= m.cachedImages[i].sizeGB; room < 0 {
+			m.cachedImages = m.cachedImages[i+1:]
+			return
+		}
+	}
+}
+
+// allTasksEnded tells whether the worker shows nothing but ended tasks.
+func (m *machine) allTasksEnded() bool {
+	return !slices.ContainsFunc(m.reportedTasks, func(r api.TaskStatus) bool { return r.State != api.TaskExited })
+}
+
+// trackRepeatedCommands notes whether a worker does what it was told: one whose reports arrive
+// while answers and commands do not reach it needs to be told the same again.
+func (m *machine) trackRepeatedCommands(now micros.Micros, cmds []api.Command) {
+	again := slices.ContainsFunc(cmds, func(o api.Command) bool {
+		return o.Op != api.CommandStop && slices.ContainsFunc(m.lastCommands, func(t api.Command) bool {
+			return t.Op == o.Op && t.Task == o.Task && t.Attempt == o.Attempt
+		})
+	})
+	switch {
+	case !again:
+		m.ignoringSince = 0
+	case m.ignoringSince == 0:
+		m.ignoringSince = now
+	}
+	m.lastCommands = cmds
+}
+
+func (m *machine) isNewer(r *api.Heartbeat) bool {
+	return r.Incarnation > m.incarnation || r.Incarnation == m.incarnation && r.Sequence > m.heartbeatSequence
+}
--- a/internal/core/machine_manager.go
+++ b/internal/core/machine_manager.go
@@ -1,12 +1,7 @@
 package core
 
 import (
-	"fmt"
-	"slices"
-
-	"spurmoor/internal/api"
 	"spurmoor/internal/micros"
-	"spurmoor/internal/scheduler"
 )
 
 // machineManager looks after the machines of the partitions that we lead: their leases,
@@ -28,31 +23,6 @@
 		reservations: reservations, storeLease: lease, tasks: tasks}
 }
 
-// allTasksEnded tells whether the worker shows nothing but ended tasks.
-func (m *machine) allTasksEnded() bool {
-	return !slices.ContainsFunc(m.reportedTasks, func(r api.TaskStatus) bool { return r.State != api.TaskExited })
-}
-
-func (m *machine) taskIDsCopy() []taskID {
-	return slices.Clone(m.taskIDs)
-}
-
-// cacheImage notes an image in the machine's cache, the latest used last.
-func (m *machine) cacheImage(name string, gb float64) {
-	m.cachedImages = slices.DeleteFunc(m.cachedImages, func(i cachedImage) bool { return i.name == name })
-	m.cachedImages = append(m.cachedImages, cachedImage{name, gb})
-	room := 0.0
-	if m.machineType != nil {
-		room = m.machineType.CacheGB
-	}
-	for i := len(m.cachedImages) - 1; i >= 0; i-- {
-		if room -= m.cachedImages[i].sizeGB; room < 0 {
-			m.cachedImages = m.cachedImages[i+1:]
-			return
-		}
-	}
-}
-
 // reconcileMachines looks after the machines of the partitions that we hold.
 func (k *machineManager) reconcileMachines() {
 	silent, up := 0, 0
@@ -68,7 +38,7 @@
 				silent++
 			}
 		}
-		if m.nextCommandAt <= k.now && !m.commandInFlight && k.storeLease.mayAnswerFor(p) {
+		if m.nextCommandAt <= k.now && !m.commandInFlight && k.storeLease.mayAnswerFor(p.RoleState) {
 			k.sendDueCommands(m)
 		}
 	}
@@ -205,10 +175,3 @@
 		m.claimedBy = ""
 	}
 }
-
-// kindName names a kind in the log.
-type kindName scheduler.InstanceKind
-
-func (k kindName) String() string {
-	return fmt.Sprintf("%s/%s/spot=%t", k.Type, k.Zone, k.Spot)
-}
--- a/internal/core/messages.go
+++ b/internal/core/messages.go
@@ -186,3 +186,9 @@
 func (Broadcast) effect()    {}
 func (Stopped) effect()      {}
 func (Log) effect()          {}
+
+// probeCommand asks a worker whether it is there. Token 0 has nothing done.
+func probeCommand(machine, addr string, session uint64) SendCommands {
+	body := api.CommandRequest{Incarnation: session, Commands: []api.Command{}}
+	return SendCommands{Machine: machine, Addr: addr, Body: leadership.NewOrder(leadership.SharedGrant(leadership.ForProbe, leadership.Command), body)}
+}
--- a/internal/core/needs_test.go
+++ b/internal/core/needs_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"maps"
 	"math/rand/v2"
 	"slices"
 	"testing"
@@ -83,7 +84,7 @@
 			want[fmt.Sprintf("wk-%0*d", c.digits, rng.Uint64N(most))] = true
 		}
 		want["wk-7"], want["wk-07"], want["wk-000000000000000000"] = true, true, true
-		rec := jobRecord{Spec: api.Job{ID: "wk-1", Dependencies: sortedKeys(want)}}
+		rec := jobRecord{Spec: api.Job{ID: "wk-1", Dependencies: slices.Sorted(maps.Keys(want))}}
 		rec.packDependencies()
 		b := mustMarshal(rec)
 		if spec := len(mustMarshal(jobRecord{Spec: api.Job{ID: "wk-1"}})); len(b)-spec > c.room+60 {
@@ -91,7 +92,7 @@
 		}
 		got := rec.dependencies()
 		slices.Sort(got)
-		if !slices.Equal(got, sortedKeys(want)) {
+		if !slices.Equal(got, slices.Sorted(maps.Keys(want))) {
 			t.Errorf("%d ids of %d digits came back as %d others", len(want), c.digits, len(got))
 		}
 	}
--- a/internal/core/order_audit.go
+++ b/internal/core/order_audit.go
@@ -55,7 +55,7 @@
 // countRefusedOrder counts a refused order.
 func (a *orderAudit) countRefusedOrder(v OrderRefused) {
 	r := a
-	k := refusedOrder{v.Role, v.Action, v.Reason}
+	k := refusedOrder{role: v.Role, action: v.Action, reason: v.Reason}
 	r.total[k]++
 	r.burst[k]++
 	if r.nextLogAt == 0 {
--- a/internal/core/peer_messenger.go
+++ b/internal/core/peer_messenger.go
@@ -42,7 +42,7 @@
 	able := m.cache.synced && !m.roles.stopping && !m.workerReach.isolatedFromWorkers && m.now >= m.workerReach.noFailoverBefore && (m.storeHealth.unavailableSince == 0 || m.now < m.storeHealth.unavailableSince+micros.Second) && m.storeLease.lease.ID != 0
 	writeRate := m.budget.measureWriteRate()
 	found := m.instances.currentFindings()
-	m.emit(Broadcast{&peer.Heartbeat{WriteRate: max(0.01, writeRate), Node: m.settings.Node, Healthy: able, IdleMachines: m.lending.idleOffers(), MachineRequests: m.scheduling.machineRequests,
+	m.emit(Broadcast{Heartbeat: &peer.Heartbeat{WriteRate: max(0.01, writeRate), Node: m.settings.Node, Healthy: able, IdleMachines: m.lending.idleOffers(), MachineRequests: m.scheduling.machineRequests,
 		CancelledJobs: m.pendingNotices(), SchemaVersion: SchemaVersion, Stopping: m.roles.stopping,
 		Failed: findingNames(found.failed), Unlisted: findingNames(found.unlisted), Orphans: findingOrphans(found.orphans)}})
 }
@@ -63,7 +63,7 @@
 
 func (m *peerMessenger) notifyCancelled(id string) {
 	if len(m.cancellationNotices) < maxTold {
-		m.cancellationNotices = append(m.cancellationNotices, cancellationNotice{id, m.now})
+		m.cancellationNotices = append(m.cancellationNotices, cancellationNotice{job: id, confirmedAt: m.now})
 	}
 	m.peers.nextHeartbeatAt = min(m.peers.nextHeartbeatAt, m.now)
 }
--- a/internal/core/provisioning.go
+++ b/internal/core/provisioning.go
@@ -23,6 +23,7 @@
 	transactions *transactionSender
 	trigger      *cycleTrigger
 
+	ledgers           []*requestLedger // by partition
 	lastRequestNumber int
 	unavailableUntil  map[scheduler.InstanceKind]micros.Micros // kinds that the cloud refused
 	recordingRequests bool                                     // requests are recorded before they are sent; said so
@@ -30,8 +31,21 @@
 
 func newProvisioner(env *environment, budget *writeBudget, cluster *clusterState, deletions *deletionLog, schema *schemaTracker,
 	lease *storeLease, transactions *transactionSender, trigger *cycleTrigger) *provisioner {
-	return &provisioner{environment: env, budget: budget, cluster: cluster, deletions: deletions, schema: schema, storeLease: lease,
+	v := &provisioner{environment: env, budget: budget, cluster: cluster, deletions: deletions, schema: schema, storeLease: lease,
 		transactions: transactions, trigger: trigger, unavailableUntil: map[scheduler.InstanceKind]micros.Micros{}}
+	for range cluster.partitions {
+		v.ledgers = append(v.ledgers, &requestLedger{})
+	}
+	return v
+}
+
+// ledger gives the requests of a partition.
+func (v *provisioner) ledger(p *partition) *requestLedger { return v.ledgers[p.index] }
+
+// pendingMachines gives how many machines of each kind a partition asked for that are not
+// recorded yet.
+func (v *provisioner) pendingMachines(p *partition) map[scheduler.InstanceKind]int {
+	return v.ledger(p).pendingMachines
 }
 
 // requestLedger are the requests for machines that a partition's holder has open.
@@ -43,10 +57,11 @@
 // same answer and rents nothing. It is struck out once its machines are recorded. One that is refused stays open, and is sent again under its name when as
 // much is wanted of its kind: a copy of it that comes late is no other request then.
 type requestLedger struct {
-	open          []*provisioningRequest
-	inFlight      int          // sent and not answered
-	mustWrite     bool         // the record is to be written
-	writeInFlight *transaction // of the record; nil: none is out
+	pendingMachines map[scheduler.InstanceKind]int // asked for and not recorded yet
+	open            []*provisioningRequest
+	inFlight        int          // sent and not answered
+	mustWrite       bool         // the record is to be written
+	writeInFlight   *transaction // of the record; nil: none is out
 	// outdated: the record should be written along with something else.
 	outdated       bool
 	writtenAt      micros.Micros
@@ -101,7 +116,7 @@
 	v.recordingRequests = now
 	v.logInfo("rentals are recorded before they are sent", "recorded", now)
 	for _, p := range v.cluster.partitions {
-		p.requests.mustWrite = p.Leads() && now
+		v.ledger(p).mustWrite = p.Leads() && now
 	}
 }
 
@@ -117,9 +132,9 @@
 // is one and as much is wanted, and by a new one for the rest. The name of a request is
 // never used for another: it has the term in it, which is global.
 func (v *provisioner) scaleOut(p *partition, k scheduler.InstanceKind, count int) {
-	if r := p.deferredRequest(k); r != nil && r.request.Count <= count {
+	if r := v.ledger(p).deferredRequest(k); r != nil && r.request.Count <= count {
 		r.deferred, r.attempts, r.nextSendAt = false, 0, v.now
-		p.countPendingMachines(k, r.request.Count)
+		v.ledger(p).countPendingMachines(k, r.request.Count)
 		count -= r.request.Count
 	} else if r != nil {
 		v.withdrawRequest(p, r)
@@ -133,38 +148,38 @@
 
 // openRequest asks for machines by a new request.
 func (v *provisioner) openRequest(p *partition, k scheduler.InstanceKind, count int) {
-	if len(p.requests.open) >= v.maxOpenRequests() && !v.withdrawDeferred(p) {
+	if len(v.ledger(p).open) >= v.maxOpenRequests() && !v.withdrawDeferred(p) {
 		return
 	}
 	v.lastRequestNumber++
 	name := "p" + strconv.Itoa(p.index) + "-" + strconv.FormatUint(p.Term, 10) + "-" + strconv.Itoa(v.lastRequestNumber)
 	r := &provisioningRequest{kind: k, request: api.LaunchRequest{Name: name, Type: k.Type, Zone: k.Zone, Spot: k.Spot, Count: min(count, maxMachinesPerRequest)}}
-	p.countPendingMachines(k, r.request.Count)
-	p.requests.open = append(p.requests.open, r)
+	v.ledger(p).countPendingMachines(k, r.request.Count)
+	v.ledger(p).open = append(v.ledger(p).open, r)
 	if v.schema.recordsRequests() {
-		p.requests.mustWrite = true
+		v.ledger(p).mustWrite = true
 		return // sent once that is committed
 	}
 	r.recorded = true
 }
 
 // deferredRequest gives the open request for a kind that was refused; nil: there is none.
-func (p *partition) deferredRequest(k scheduler.InstanceKind) *provisioningRequest {
-	at := slices.IndexFunc(p.requests.open, func(r *provisioningRequest) bool { return r.deferred && r.kind == k })
+func (l *requestLedger) deferredRequest(k scheduler.InstanceKind) *provisioningRequest {
+	at := slices.IndexFunc(l.open, func(r *provisioningRequest) bool { return r.deferred && r.kind == k })
 	if at < 0 {
 		return nil
 	}
-	return p.requests.open[at]
+	return l.open[at]
 }
 
 // countPendingMachines counts machines asked for and not recorded yet.
-func (p *partition) countPendingMachines(k scheduler.InstanceKind, n int) {
-	if p.pendingMachines == nil {
-		p.pendingMachines = map[scheduler.InstanceKind]int{}
+func (l *requestLedger) countPendingMachines(k scheduler.InstanceKind, n int) {
+	if l.pendingMachines == nil {
+		l.pendingMachines = map[scheduler.InstanceKind]int{}
 	}
-	p.pendingMachines[k] += n
-	if p.pendingMachines[k] <= 0 {
-		delete(p.pendingMachines, k)
+	l.pendingMachines[k] += n
+	if l.pendingMachines[k] <= 0 {
+		delete(l.pendingMachines, k)
 	}
 }
 
@@ -175,8 +190,8 @@
 // sendDueRequests sends what is due of the open requests.
 func (v *provisioner) sendDueRequests(p *partition) {
 	most := max(1, int(requestLookaheadS*v.settings.Deployment.Cloud.RPS/2))
-	for _, r := range slices.Clone(p.requests.open) {
-		if p.requests.inFlight >= most {
+	for _, r := range slices.Clone(v.ledger(p).open) {
+		if v.ledger(p).inFlight >= most {
 			return
 		}
 		if r.recorded && !r.inFlight && r.unrecordedBatches == 0 && !r.deferred && v.now >= r.nextSendAt {
@@ -194,13 +209,13 @@
 	}
 	r.inFlight = true
 	r.attempts++
-	p.requests.inFlight++
+	v.ledger(p).inFlight++
 	v.callCloud(CloudCall{Op: OpLaunch, Launch: leadership.NewOrder(grant, &r.request)}, func(reply *CloudReply) {
 		r.inFlight = false
 		if r.abandoned {
 			return
 		}
-		p.requests.inFlight--
+		v.ledger(p).inFlight--
 		v.handleRequestReply(p, r, reply)
 		v.sendDueRequests(p)
 	})
@@ -227,7 +242,7 @@
 
 // requestRefused takes in that no machines are to be had by a request now.
 func (v *provisioner) requestRefused(p *partition, r *provisioningRequest, status int) {
-	p.countPendingMachines(r.kind, -r.request.Count)
+	v.ledger(p).countPendingMachines(r.kind, -r.request.Count)
 	v.trigger.requestPlanWithin(micros.Second)
 	if v.schema.recordsRequests() {
 		v.deferRequest(p, r)
@@ -238,13 +253,13 @@
 		return // our budget, not the cloud's room
 	}
 	v.unavailableUntil[r.kind] = v.now + v.jitter(micros.FromSeconds(v.settings.Operators.RefusalMemoryS))
-	v.logInfo("rental refused", "partition", p.index, "kind", kindName(r.kind).String(), "status", status)
+	v.logInfo("rental refused", "partition", p.index, "kind", r.kind.String(), "status", status)
 }
 
 // deferRequest keeps a refused request, to be sent again under its name: one for each kind,
 // rather one that may still be carried out.
 func (v *provisioner) deferRequest(p *partition, r *provisioningRequest) {
-	other := p.deferredRequest(r.kind)
+	other := v.ledger(p).deferredRequest(r.kind)
 	if other != nil && other.outcomeUnknown && !r.outcomeUnknown {
 		v.withdrawRequest(p, r)
 		return
@@ -253,16 +268,16 @@
 		v.withdrawRequest(p, other)
 	}
 	r.deferred = true
-	p.requests.outdated = true
+	v.ledger(p).outdated = true
 }
 
 // recordLaunched has the machines recorded that a request got.
 func (v *provisioner) recordLaunched(p *partition, r *provisioningRequest, machines []string) {
 	k := r.kind
-	v.logInfo("machines rented", "partition", p.index, "kind", kindName(k).String(), "request", r.request.Name, "asked", r.request.Count, "got", len(machines))
+	v.logInfo("machines rented", "partition", p.index, "kind", k.String(), "request", r.request.Name, "asked", r.request.Count, "got", len(machines))
 	if len(machines) < r.request.Count {
 		v.unavailableUntil[k] = v.now + micros.FromSeconds(v.settings.Operators.RefusalMemoryS)
-		p.countPendingMachines(k, len(machines)-r.request.Count)
+		v.ledger(p).countPendingMachines(k, len(machines)-r.request.Count)
 		v.trigger.requestPlanWithin(micros.Second / 5)
 	}
 	// As many at a time as leave room in an entry of the log.
@@ -276,7 +291,7 @@
 		}
 		r.unrecordedBatches++
 		p.machineBatches = append(p.machineBatches, &machineBatch{records: rows, onRecorded: func() {
-			p.countPendingMachines(k, -len(batch))
+			v.ledger(p).countPendingMachines(k, -len(batch))
 			if r.unrecordedBatches--; r.unrecordedBatches == 0 {
 				v.withdrawRequest(p, r)
 			}
@@ -289,30 +304,30 @@
 
 // withdrawRequest forgets a request that is settled.
 func (v *provisioner) withdrawRequest(p *partition, r *provisioningRequest) {
-	p.requests.open = slices.DeleteFunc(p.requests.open, func(o *provisioningRequest) bool { return o == r })
-	p.requests.outdated = true
+	v.ledger(p).open = slices.DeleteFunc(v.ledger(p).open, func(o *provisioningRequest) bool { return o == r })
+	v.ledger(p).outdated = true
 }
 
 // withdrawDeferred makes room for a request, if any open one was refused.
 func (v *provisioner) withdrawDeferred(p *partition) bool {
-	at := slices.IndexFunc(p.requests.open, func(r *provisioningRequest) bool { return r.deferred })
+	at := slices.IndexFunc(v.ledger(p).open, func(r *provisioningRequest) bool { return r.deferred })
 	if at >= 0 {
-		v.withdrawRequest(p, p.requests.open[at])
+		v.withdrawRequest(p, v.ledger(p).open[at])
 	}
 	return at >= 0
 }
 
-// abandonRequests forgets the requests of a partition that was lost: its next holder
+// abandonRequests forgets the requests of a partition that was lost: its next leader
 // repeats them.
-func (p *partition) abandonRequests() {
-	for _, r := range p.requests.open {
+func (v *provisioner) abandonRequests(p *partition) {
+	ledger := v.ledger(p)
+	for _, r := range ledger.open {
 		r.abandoned = true
 	}
-	if t := p.requests.writeInFlight; t != nil {
+	if t := ledger.writeInFlight; t != nil {
 		t.settled = true // it was carried out before the partition went, or never
 	}
-	p.requests = requestLedger{version: p.requests.version, storedRequests: p.requests.storedRequests}
-	p.pendingMachines = nil
+	*ledger = requestLedger{version: ledger.version, storedRequests: ledger.storedRequests}
 }
 
 // adoptOpenRequests repeats the requests that the holder before had open.
@@ -320,16 +335,16 @@
 	if !v.schema.recordsRequests() {
 		return
 	}
-	for _, rec := range p.requests.storedRequests {
+	for _, rec := range v.ledger(p).storedRequests {
 		k := scheduler.InstanceKind{Type: rec.Type, Zone: rec.Zone, Spot: rec.Spot}
 		r := &provisioningRequest{kind: k, recorded: true, deferred: rec.Deferred, outcomeUnknown: true, nextSendAt: v.now,
 			request: api.LaunchRequest{Name: rec.Request, Type: rec.Type, Zone: rec.Zone, Spot: rec.Spot, Count: rec.Count}}
 		if !r.deferred {
-			p.countPendingMachines(k, rec.Count)
+			v.ledger(p).countPendingMachines(k, rec.Count)
 		}
-		p.requests.open = append(p.requests.open, r)
+		v.ledger(p).open = append(v.ledger(p).open, r)
 	}
-	if n := len(p.requests.storedRequests); n > 0 {
+	if n := len(v.ledger(p).storedRequests); n > 0 {
 		v.logInfo("rentals of the holder before are repeated", "partition", p.index, "requests", n)
 	}
 }
@@ -337,13 +352,13 @@
 // applyRequests takes in a partition's record of open requests.
 func (v *provisioner) applyRequests(name string, value []byte, version uint64) error {
 	i, err := strconv.Atoi(name)
-	if err != nil || i < 0 || i >= len(v.cluster.partitions) || v.cluster.partitions[i].requests.version >= version {
+	if err != nil || i < 0 || i >= len(v.cluster.partitions) || v.ledgers[i].version >= version {
 		return nil // not one of ours, or older than what is known
 	}
-	rentals := &v.cluster.partitions[i].requests
+	ledger := v.ledgers[i]
 	var rec requestsRecord
 	err = json.Unmarshal(value, &rec)
-	rentals.version, rentals.storedRequests = version, rec.Open
+	ledger.version, ledger.storedRequests = version, rec.Open
 	return err
 }
 
@@ -380,7 +395,7 @@
 // machines, which are known or lately deleted. It guards the record's version besides
 // the term: a late copy would else bring back requests that are settled.
 func (v *provisioner) writeRequests(p *partition) {
-	s := &p.requests
+	s := v.ledger(p)
 	outdated := s.outdated && v.now > s.writtenAt+requestsWriteInterval
 	if s.writeInFlight != nil || !s.mustWrite && !outdated || !v.schema.recordsRequests() {
 		return
@@ -388,7 +403,7 @@
 	rec := requestsRecord{}
 	open := slices.Clone(s.open)
 	for _, r := range open {
-		rec.Open = append(rec.Open, requestRecord{r.request.Name, r.kind.Type, r.kind.Zone, r.kind.Spot, r.request.Count, r.deferred})
+		rec.Open = append(rec.Open, requestRecord{Request: r.request.Name, Type: r.kind.Type, Zone: r.kind.Zone, Spot: r.kind.Spot, Count: r.request.Count, Deferred: r.deferred})
 	}
 	t := &transaction{grant: func() leadership.Grant { return v.storeLease.grant(p.RoleState, leadership.Write) }}
 	t.request.Compares = []api.Compare{{Key: p.key(), Version: p.Term}, {Key: requestsKeyOf(p), Version: s.version}}
--- a/internal/core/record_applier.go
+++ b/internal/core/record_applier.go
@@ -1,7 +1,6 @@
 package core
 
 import (
-	"fmt"
 	"strconv"
 	"strings"
 
@@ -34,8 +33,6 @@
 		partitionLog: partitionLog, provisioning: provisioning, registry: registry, roles: roles, schema: schema, trigger: trigger}
 }
 
-func slotKey(part, slot int) string { return fmt.Sprintf("%s%d/%04d", logKey, part, slot) }
-
 // parseSlotKey reads a log slot's key.
 func (a *recordApplier) parseSlotKey(key string) (*partition, int) {
 	partitionText, slotText, found := strings.Cut(key[len(logKey):], "/")
@@ -206,7 +203,7 @@
 func (a *recordApplier) applyLogEntry(p *partition, e logEntry) {
 	a.cluster.recordLogEntry(p, e)
 	for _, r := range e.machines {
-		a.registry.applyMachineRecord(r, recordOrigin{r.Epoch, p.index, e.sequence}, e.version)
+		a.registry.applyMachineRecord(r, recordOrigin{epoch: r.Epoch, partition: p.index, sequence: e.sequence}, e.version)
 	}
 	for _, r := range e.runs {
 		j := a.cluster.jobs[r.Job]
@@ -218,7 +215,7 @@
 			if t.loggedIn > e.sequence {
 				continue
 			}
-			a.cluster.setTask(j, n, taskRecord{r.State, r.Attempt, r.Machine})
+			a.cluster.setTask(j, n, taskRecord{state: r.State, attempt: r.Attempt, machine: r.Machine})
 			t.committed, t.loggedIn = t.taskRecord, e.sequence
 		}
 	}
--- a/internal/core/records.go
+++ b/internal/core/records.go
@@ -1,6 +1,11 @@
 package core
 
 import (
+	"fmt"
+	"strconv"
+
+	"github.com/go-json-experiment/json"
+
 	"spurmoor/internal/api"
 	"spurmoor/internal/micros"
 )
@@ -76,3 +81,54 @@
 }
 
 func (r taskRun) taskCount() int { return max(1, r.Tasks) }
+
+// SchemaVersion is the newest form of records that this version reads and writes in
+// the state service. Nothing of a form is written before every controller is known
+// to read it.
+const SchemaVersion = schemaRoles
+
+// Forms of the records.
+const (
+	// schemaDependencies knows jobs that wait for jobs, and catalogues of several pages.
+	// The first versions, of form 0, drop what a job needs when they accept it.
+	schemaDependencies = 1
+	// schemaRoles knows the keys of the fleet's duties and of open rentals.
+	schemaRoles = 2
+)
+
+// Version is the release, as the log and the state service name it.
+const Version = "2.1"
+
+// schemaRecord says what a controller's versions read. A controller goes from
+// one version to a later one only, so what was written once holds on.
+type schemaRecord struct {
+	SchemaVersion int    `json:"f"`
+	Release       string `json:"v,omitzero"`
+}
+
+func mustMarshal(v any) []byte {
+	b, err := json.Marshal(v)
+	if err != nil {
+		panic(err) // our own plain records: cannot fail
+	}
+	return b
+}
+
+func slotKey(part, slot int) string { return fmt.Sprintf("%s%d/%04d", logKey, part, slot) }
+
+// encodedSize is how many bytes a row takes in an entry.
+func (r machineRecord) encodedSize() int { return len(mustMarshal(r)) + 1 }
+
+// encodedSize is how many bytes a run takes in an entry.
+func (r taskRun) encodedSize() int {
+	n := len(`{"j":""},`) + len(r.Job)
+	for _, v := range []uint64{uint64(r.First), uint64(r.Tasks), uint64(r.State), r.Attempt} {
+		if v > 0 {
+			n += len(`,"f":`) + len(strconv.FormatUint(v, 10))
+		}
+	}
+	if r.Machine != "" {
+		n += len(`,"m":""`) + len(r.Machine)
+	}
+	return n
+}
--- a/internal/core/reservation.go
+++ b/internal/core/reservation.go
@@ -1,6 +1,9 @@
 package core
 
 import (
+	"maps"
+	"slices"
+
 	"spurmoor/internal/api"
 	"spurmoor/internal/micros"
 	"spurmoor/internal/scheduler"
@@ -51,7 +54,7 @@
 // gangsToReserveFor lists the gangs that machines are to be promised to.
 func (r *reservationPlanner) gangsToReserveFor() []*scheduler.Job {
 	var due []*scheduler.Job
-	for _, id := range sortedKeys(r.cluster.jobs) {
+	for _, id := range slices.Sorted(maps.Keys(r.cluster.jobs)) {
 		j := r.cluster.jobs[id]
 		if !r.hasWaitedLong(j) {
 			continue
--- a/internal/core/safety_test.go
+++ b/internal/core/safety_test.go
@@ -22,9 +22,9 @@
 	c.storeLease.lease.ID, c.storeLease.lease.RenewalSentAt, c.cache.currentAsOf = 7, c.now, c.now
 	p := c.cluster.partitions[0]
 	c.applier.applyPut(p.key(), mustMarshal(leadership.Claim{Node: c.settings.Node, Process: c.incarnation}), 10)
-	c.registry.applyMachineRecord(machineRecord{Name: "n-1", Type: "g4", Zone: "alta", Partition: 0, Epoch: 1, MinToken: 11}, recordOrigin{1, 0, 1}, 11)
+	c.registry.applyMachineRecord(machineRecord{Name: "n-1", Type: "g4", Zone: "alta", Partition: 0, Epoch: 1, MinToken: 11}, recordOrigin{epoch: 1, partition: 0, sequence: 1}, 11)
 	m, j := c.cluster.machines["n-1"], c.cluster.jobs["wk-000001"]
-	c.cluster.setTask(j, 0, taskRecord{taskPlaced, 1, "n-1"})
+	c.cluster.setTask(j, 0, taskRecord{state: taskPlaced, attempt: 1, machine: "n-1"})
 	j.task(0).committed = j.task(0).taskRecord
 	if !p.Leads() || m == nil || len(m.taskIDs) != 1 {
 		t.Fatalf("held %t, machine %v", p.Leads(), m)
@@ -151,7 +151,7 @@
 	c, p, m, j := holder(t)
 	c.cluster.setTask(j, 0, taskRecord{})
 	j.task(0).committed = taskRecord{}
-	c.cluster.changeTask(j, 0, taskRecord{taskPlaced, 2, m.name})
+	c.cluster.changeTask(j, 0, taskRecord{state: taskPlaced, attempt: 2, machine: m.name})
 	f := c.partitionLog.buildCommit(p, 10)
 	if f == nil || !slices.Contains(f.request.Compares, api.Compare{Key: jobKey + j.id, Version: j.version}) {
 		t.Errorf("a start is committed without its job's key: %+v", f)
@@ -208,9 +208,9 @@
 	c, _, _, j := holder(t)
 	c.cluster.setTask(j, 0, taskRecord{})
 	for i := range 3 {
-		c.registry.applyMachineRecord(machineRecord{Name: fmt.Sprintf("n-%d", 2+i), Type: "g4", Zone: "alta", Partition: 0, Epoch: 1, MinToken: 11}, recordOrigin{1, 0, 1}, 11)
+		c.registry.applyMachineRecord(machineRecord{Name: fmt.Sprintf("n-%d", 2+i), Type: "g4", Zone: "alta", Partition: 0, Epoch: 1, MinToken: 11}, recordOrigin{epoch: 1, partition: 0, sequence: 1}, 11)
 		m := c.cluster.machines[fmt.Sprintf("n-%d", 2+i)]
-		c.cluster.setTask(j, 0, taskRecord{taskPlaced, uint64(i + 1), m.name})
+		c.cluster.setTask(j, 0, taskRecord{state: taskPlaced, attempt: uint64(i + 1), machine: m.name})
 		c.tasks.taskExited(j, 0, j.task(0), m, api.TaskStatus{Task: "wk-000001/0", Attempt: uint64(i + 1), State: api.TaskExited, ExitReason: api.ExitFailed})
 	}
 	var why string
@@ -233,7 +233,7 @@
 // the job's key that it follows.
 func TestEndGuardsItsJob(t *testing.T) {
 	c, p, _, j := holder(t)
-	c.cluster.changeTask(j, 0, taskRecord{taskDone, 1, ""})
+	c.cluster.changeTask(j, 0, taskRecord{state: taskDone, attempt: 1, machine: ""})
 	f := c.partitionLog.buildCommit(p, 10)
 	if f == nil || len(f.terminalJobs) != 1 || !slices.Contains(f.request.Compares, api.Compare{Key: jobKey + j.id, Version: j.version}) {
 		t.Errorf("an end is recorded without its job's key: %+v", f)
@@ -245,7 +245,7 @@
 func TestFlushGuardsTermAndSlot(t *testing.T) {
 	c, p, m, j := holder(t)
 	c.cluster.setTask(j, 0, taskRecord{})
-	c.cluster.changeTask(j, 0, taskRecord{taskPlaced, 2, m.name})
+	c.cluster.changeTask(j, 0, taskRecord{state: taskPlaced, attempt: 2, machine: m.name})
 	f := c.partitionLog.buildCommit(p, 10)
 	for _, g := range []api.Compare{{Key: p.key(), Version: p.Term}, {Key: slotKey(p.index, f.entries[0].slot), Version: f.previousSlotVersion}} {
 		if !slices.Contains(f.request.Compares, g) {
--- a/internal/core/scheduling_cycle.go
+++ b/internal/core/scheduling_cycle.go
@@ -114,7 +114,7 @@
 		if j.spec.Kind == api.Gang {
 			attempt = gangAttempt[j.id]
 		}
-		y.cluster.changeTask(j, n, taskRecord{taskPlaced, attempt, s.Machine.Name})
+		y.cluster.changeTask(j, n, taskRecord{state: taskPlaced, attempt: attempt, machine: s.Machine.Name})
 		y.logDebug("task placed", "job", j.id, "task", n, "attempt", attempt, "machine", s.Machine.Name, "waited_s", (y.now - j.eligibleAt()).WholeSeconds())
 		if m := y.cluster.machines[s.Machine.Name]; m.claimedBy == j.id {
 			m.claimedBy = ""
@@ -174,13 +174,3 @@
 		y.lending.handleMachineRequests(y.machineRequests)
 	}
 }
-
-func (j *job) lastAttempt() uint64 {
-	var last uint64
-	for _, ch := range j.chunks {
-		for i := range ch {
-			last = max(last, ch[i].attempt)
-		}
-	}
-	return last
-}
--- a/internal/core/schema.go
+++ b/internal/core/schema.go
@@ -24,30 +24,6 @@
 	return &schemaTracker{environment: env, budget: budget, cache: cache, peers: peers, schemaVersions: map[string]int{}}
 }
 
-// SchemaVersion is the newest form of records that this version reads and writes in
-// the state service. Nothing of a form is written before every controller is known
-// to read it.
-const SchemaVersion = schemaRoles
-
-// Forms of the records.
-const (
-	// schemaDependencies knows jobs that wait for jobs, and catalogues of several pages.
-	// The first versions, of form 0, drop what a job needs when they accept it.
-	schemaDependencies = 1
-	// schemaRoles knows the keys of the fleet's duties and of open rentals.
-	schemaRoles = 2
-)
-
-// Version is the release, as the log and the state service name it.
-const Version = "2.1"
-
-// schemaRecord says what a controller's versions read. A controller goes from
-// one version to a later one only, so what was written once holds on.
-type schemaRecord struct {
-	SchemaVersion int    `json:"f"`
-	Release       string `json:"v,omitzero"`
-}
-
 func (s *schemaTracker) observeSchema(node string, form int) {
 	s.schemaVersions[node] = max(s.schemaVersions[node], form)
 }
@@ -93,7 +69,7 @@
 		return
 	}
 	s.nextSchemaAnnouncementAt = s.now + schemaRetryInterval
-	key, rec := schemaKey+s.settings.Node, mustMarshal(schemaRecord{SchemaVersion, Version})
+	key, rec := schemaKey+s.settings.Node, mustMarshal(schemaRecord{SchemaVersion: SchemaVersion, Release: Version})
 	s.budget.chargeWrites(1)
 	req := &api.Transaction{Compares: []api.Compare{{Key: key, Version: s.schemaKeyVersion}}, Writes: []api.Write{{Put: key, Value: rec}}}
 	s.callStore(StoreCall{Op: OpTransaction, Transaction: leadership.NewOrder(leadership.SharedGrant(leadership.ForSchema, leadership.Write), req)}, func(r *StoreReply) {
--- a/internal/core/snapshot.go
+++ b/internal/core/snapshot.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"maps"
 	"slices"
 
 	"spurmoor/internal/api"
@@ -53,7 +54,7 @@
 
 // addJobs shows the partition's jobs that may run.
 func (v *snapshotBuilder) addJobs() {
-	for _, id := range sortedKeys(v.schedulingCycle.cluster.jobs) {
+	for _, id := range slices.Sorted(maps.Keys(v.schedulingCycle.cluster.jobs)) {
 		j := v.schedulingCycle.cluster.jobs[id]
 		if j.partition != v.partition.index || j.terminal || j.mustNotRun() || j.pendingDependencies > 0 {
 			continue
@@ -150,43 +151,20 @@
 
 // addPendingMachines shows the machines that were asked for and are not recorded yet.
 func (v *snapshotBuilder) addPendingMachines() {
-	kinds := make([]scheduler.InstanceKind, 0, len(v.partition.pendingMachines))
-	for k := range v.partition.pendingMachines {
+	pending := v.provisioning.pendingMachines(v.partition)
+	kinds := make([]scheduler.InstanceKind, 0, len(pending))
+	for k := range pending {
 		kinds = append(kinds, k)
 	}
-	slices.SortFunc(kinds, func(a, b scheduler.InstanceKind) int { return cmp.Compare(kindName(a).String(), kindName(b).String()) })
+	slices.SortFunc(kinds, func(a, b scheduler.InstanceKind) int { return cmp.Compare(a.String(), b.String()) })
 	for _, k := range kinds {
 		t := v.catalog.machineTypeByName[k.Type]
 		if t == nil {
 			continue
 		}
 		total := scheduler.ResourcesOf(t.CPUs, t.GPUs, t.MemoryGB)
-		for range v.partition.pendingMachines[k] {
+		for range pending[k] {
 			v.snapshot.Machines = append(v.snapshot.Machines, &scheduler.Machine{Type: t, Zone: k.Zone, Spot: k.Spot, Total: total, Free: total, ReadyAt: v.now + micros.FromSeconds(t.BootS)})
 		}
 	}
 }
-
-// placeable lists tasks that may be placed now.
-func (j *job) placeable(now micros.Micros, most int) []int {
-	var list []int
-	for k := 0; k*chunkSize < j.spec.Tasks; k++ {
-		ch := j.chunks[k]
-		for n := k * chunkSize; n < min(j.spec.Tasks, (k+1)*chunkSize); n++ {
-			if len(list) >= most && j.spec.Kind != api.Gang {
-				return list
-			}
-			if ch == nil {
-				list = append(list, n)
-			} else if t := &ch[n%chunkSize]; t.state == taskPending && now >= t.notBefore {
-				list = append(list, n)
-			}
-		}
-	}
-	// A gang starts whole; but once one of its tasks is done all are, and what
-	// a lost machine could not report any more is only asked for again.
-	if j.spec.Kind == api.Gang && len(list)+j.doneTasks < j.spec.Tasks && !j.isReassembling() {
-		return nil
-	}
-	return list
-}
--- a/internal/core/spare_machine.go
+++ b/internal/core/spare_machine.go
@@ -1,6 +1,9 @@
 package core
 
 import (
+	"maps"
+	"slices"
+
 	"spurmoor/internal/api"
 	"spurmoor/internal/micros"
 	"spurmoor/internal/scheduler"
@@ -51,7 +54,7 @@
 // machine would help, and for which nothing can be rented.
 func (y *schedulingCycle) oldestWithoutScaleOut(jobs map[string]*job, why map[string]string) *job {
 	var first *job
-	for _, id := range sortedKeys(jobs) {
+	for _, id := range slices.Sorted(maps.Keys(jobs)) {
 		j := jobs[id]
 		single := j.spec.Kind == api.Array || j.spec.Tasks == 1
 		if why[id] != scheduler.ReasonNothingToLaunch || !single || j.hasStarted() || y.tasks.deprioritized(j) {
--- a/internal/core/store_lease.go
+++ b/internal/core/store_lease.go
@@ -55,7 +55,9 @@
 // mayAnswerFor tells whether we may answer reports for a partition. Past our lease we do
 // so only while the state service may be away for everyone: where another
 // controller has it, the workers move on to that one at once.
-func (l *storeLease) mayAnswerFor(p *partition) bool { return p.Leads() && l.mayAnswerHeartbeats() }
+func (l *storeLease) mayAnswerFor(role *leadership.RoleState) bool {
+	return role.Leads() && l.mayAnswerHeartbeats()
+}
 
 // mayAnswerHeartbeats tells whether a holder may answer reports now.
 func (l *storeLease) mayAnswerHeartbeats() bool {
@@ -106,8 +108,8 @@
 }
 
 // commandGrant gives the permission to command workers: until the answer deadline.
-func (l *storeLease) commandGrant(p *partition) leadership.Grant {
-	return p.Grant(leadership.Command, l.now, l.answerDeadline())
+func (l *storeLease) commandGrant(role *leadership.RoleState) leadership.Grant {
+	return role.Grant(leadership.Command, l.now, l.answerDeadline())
 }
 
 // pauseThreshold is the gap between two inputs that counts as a pause of the
--- a/internal/core/summary.go
+++ b/internal/core/summary.go
@@ -1,6 +1,11 @@
 package core
 
-import "spurmoor/internal/micros"
+import (
+	"maps"
+	"slices"
+
+	"spurmoor/internal/micros"
+)
 
 // summaryLogger says now and then in the log how things stand.
 type summaryLogger struct {
@@ -42,7 +47,7 @@
 	waiting, held := s.countWaiting()
 	s.logInfo("summary", "partitions", parts, "machines_up", up, "machines_idle", idle, "tasks_on", on, "jobs", len(s.cluster.jobs), "jobs_waiting", waiting, "jobs_waiting_for_jobs", held, "revision", s.cache.revision)
 	named := map[string]int{}
-	for _, id := range sortedKeys(s.scheduling.blockedReasons) {
+	for _, id := range slices.Sorted(maps.Keys(s.scheduling.blockedReasons)) {
 		j := s.cluster.jobs[id]
 		if j == nil || named[j.spec.Team] >= maxNamedBlockedJobs {
 			continue
--- a/internal/core/task_accounting.go
+++ b/internal/core/task_accounting.go
@@ -69,7 +69,7 @@
 func (c *clusterState) countOnMachine(j *job, n int, m *machine, by int) {
 	m.allocated = m.allocated.Add(j.request, int64(by))
 	j.tasksPerZone[m.record.Zone] += by
-	id := taskID{j.id, n}
+	id := taskID{job: j.id, index: n}
 	at, found := slices.BinarySearchFunc(m.taskIDs, id, taskID.compare)
 	switch {
 	case by > 0 && !found:
--- a/internal/core/task_lifecycle.go
+++ b/internal/core/task_lifecycle.go
@@ -1,6 +1,9 @@
 package core
 
 import (
+	"maps"
+	"slices"
+
 	"spurmoor/internal/api"
 	"spurmoor/internal/micros"
 )
@@ -73,11 +76,11 @@
 	if tr.ExitReason == api.JobDone && !j.cancelled {
 		m.cacheImage(j.spec.Image, j.spec.ImageGB)
 		l.taskSucceeded(j, m)
-		l.cluster.changeTask(j, n, taskRecord{taskDone, attempt, ""})
+		l.cluster.changeTask(j, n, taskRecord{state: taskDone, attempt: attempt, machine: ""})
 		l.trigger.requestPlanWithin(0)
 		return
 	}
-	l.cluster.changeTask(j, n, taskRecord{taskPending, attempt, ""})
+	l.cluster.changeTask(j, n, taskRecord{state: taskPending, attempt: attempt, machine: ""})
 	t = j.task(n)
 	// Its worker still holds this attempt, so it must not be used again.
 	j.attemptSpoiled = j.placedTasks > 0
@@ -95,7 +98,7 @@
 func (l *taskLifecycle) taskGone(j *job, n int, why string) {
 	t := j.task(n)
 	l.logDebug("task gone", "job", j.id, "task", n, "machine", t.machine, "why", why)
-	l.cluster.changeTask(j, n, taskRecord{taskPending, t.attempt, ""})
+	l.cluster.changeTask(j, n, taskRecord{state: taskPending, attempt: t.attempt, machine: ""})
 	l.trigger.requestPlanWithin(0)
 }
 
@@ -136,7 +139,7 @@
 // releaseTasksWithoutMachine takes tasks off machines that have no record: a record goes only
 // once all on the machine is proven gone.
 func (l *taskLifecycle) releaseTasksWithoutMachine() {
-	for _, id := range sortedKeys(l.cluster.jobs) {
+	for _, id := range slices.Sorted(maps.Keys(l.cluster.jobs)) {
 		j := l.cluster.jobs[id]
 		if !l.cluster.partitions[j.partition].Leads() || j.placedTasks == 0 {
 			continue
--- a/internal/core/user_requests.go
+++ b/internal/core/user_requests.go
@@ -36,15 +36,6 @@
 		condition: condition, dependencies: dependencies, messenger: messenger, peers: peers, roles: roles, schema: schema, storeHealth: health}
 }
 
-// lookupResult is what is known of a job.
-type lookupResult int
-
-const (
-	lookupUnknown    lookupResult = iota // could not be told
-	jobNeverAccepted                     // no such job was accepted
-	jobKnown
-)
-
 // applyOwnWrite takes in what we wrote, unless the replica is past it already: the
 // key may have been deleted since.
 func (h *requestHandler) applyOwnWrite(key string, value []byte, rev uint64) {
@@ -91,18 +82,6 @@
 	})
 }
 
-func (j *job) status() api.JobStatus {
-	state := api.JobPending
-	switch {
-	case j.cancelled:
-		state = api.JobCancelled
-	case j.placedTasks > 0:
-		state = api.JobRunning
-	}
-	d, r := j.doneTasks, j.placedTasks
-	return api.JobStatus{ID: j.id, State: state, Done: &d, Running: &r}
-}
-
 // refusal is why a submission is not accepted, and when to try again.
 type refusal struct {
 	status      int
@@ -120,7 +99,7 @@
 func (h *requestHandler) handleSubmit(v Submit) {
 	spec, err := api.ParseJob(v.Body)
 	if err != nil {
-		h.answerDuplicateOrRefuse(v.RequestID, api.JobID(v.Body), refusal{400, err.Error(), 0})
+		h.answerDuplicateOrRefuse(v.RequestID, api.JobID(v.Body), refusal{status: 400, reason: err.Error(), retryAfterS: 0})
 		return
 	}
 	if !h.cache.synced {
@@ -146,21 +125,21 @@
 // answers; nil if it may be.
 func (h *requestHandler) admissionRefusal(spec *api.Job) *refusal {
 	if len(h.catalog.machineTypes) == 0 {
-		return &refusal{503, "the machine types are not known yet", 2}
+		return &refusal{status: 503, reason: "the machine types are not known yet", retryAfterS: 2}
 	}
 	if why := h.neverSchedulable(spec); why != "" {
-		return &refusal{422, why, 0}
+		return &refusal{status: 422, reason: why, retryAfterS: 0}
 	}
 	if len(mustMarshal(jobRecord{Spec: withoutDependencies(*spec), AcceptedAt: h.now})) > h.settings.maxValueBytes() {
-		return &refusal{400, "the job's description is too long", 0}
+		return &refusal{status: 400, reason: "the job's description is too long", retryAfterS: 0}
 	}
 	if o, _ := h.dependencies.knownOutcome(spec.ID); o != outcomeUnknown {
 		// Known by the replica: a transaction that is sure to fail would count
 		// as a change all the same.
-		return &refusal{503, "the state service is busy", 1}
+		return &refusal{status: 503, reason: "the state service is busy", retryAfterS: 1}
 	}
 	if len(h.cluster.jobs) >= h.settings.MaxUnfinishedJobs() || h.acceptsInFlight >= maxAcceptsInFlight {
-		return &refusal{429, "too many unfinished jobs", 5}
+		return &refusal{status: 429, reason: "too many unfinished jobs", retryAfterS: 5}
 	}
 	return nil
 }
@@ -169,11 +148,11 @@
 // to have been accepted.
 func (h *requestHandler) submitWithDependencies(reqID uint64, spec *api.Job) {
 	if slices.Contains(spec.Dependencies, spec.ID) {
-		h.answerDuplicateOrRefuse(reqID, spec.ID, refusal{422, "the job waits for itself", 0})
+		h.answerDuplicateOrRefuse(reqID, spec.ID, refusal{status: 422, reason: "the job waits for itself", retryAfterS: 0})
 		return
 	}
 	if !h.schema.allReadSchema(schemaDependencies) {
-		h.answerDuplicateOrRefuse(reqID, spec.ID, refusal{503, "not all controllers know jobs that wait for jobs yet", 2})
+		h.answerDuplicateOrRefuse(reqID, spec.ID, refusal{status: 503, reason: "not all controllers know jobs that wait for jobs yet", retryAfterS: 2})
 		return
 	}
 	at := h.now
@@ -181,7 +160,7 @@
 	h.dependencies.verifyDependencies(spec, func(status int, why string) {
 		h.acceptsInFlight--
 		if status != 0 {
-			h.answerDuplicateOrRefuse(reqID, spec.ID, refusal{status, why, 1})
+			h.answerDuplicateOrRefuse(reqID, spec.ID, refusal{status: status, reason: why, retryAfterS: 1})
 			return
 		}
 		rec := jobRecord{Spec: *spec, AcceptedAt: at}
@@ -192,7 +171,7 @@
 			value = mustMarshal(rec)
 		}
 		if len(value) > h.settings.maxValueBytes() {
-			h.answerDuplicateOrRefuse(reqID, spec.ID, refusal{503, "it waits for more unfinished jobs than can be recorded", 5})
+			h.answerDuplicateOrRefuse(reqID, spec.ID, refusal{status: 503, reason: "it waits for more unfinished jobs than can be recorded", retryAfterS: 5})
 			return
 		}
 		h.recordJob(reqID, value, spec)
@@ -230,7 +209,7 @@
 				h.answer(reqID, 201, api.JobStatus{ID: spec.ID, State: s.State})
 			})
 		case 409:
-			h.answerDuplicateOrRefuse(reqID, spec.ID, refusal{503, "the state service is busy", 1})
+			h.answerDuplicateOrRefuse(reqID, spec.ID, refusal{status: 503, reason: "the state service is busy", retryAfterS: 1})
 		default:
 			h.refuse(reqID, 503, "the state service did not answer", 1)
 		}
--- a/internal/core/worker_heartbeat.go
+++ b/internal/core/worker_heartbeat.go
@@ -50,7 +50,7 @@
 	if m.address == "" || m.isNewer(r) {
 		m.address = r.Address
 	}
-	if p := c.cluster.ledPartition(m); p == nil || !c.storeLease.mayAnswerFor(p) {
+	if p := c.cluster.ledPartition(m); p == nil || !c.storeLease.mayAnswerFor(p.RoleState) {
 		c.answer(v.RequestID, 421, api.Redirect{To: c.otherLeader(m)})
 		return
 	}
@@ -62,7 +62,7 @@
 	commands := c.reconcileHeartbeat(m, r, true)
 	m.leaseExpiresAt = max(m.leaseExpiresAt, c.now+c.settings.workerLease()+micros.Second/2)
 	body := api.HeartbeatResponse{FencingToken: c.cluster.fencingToken(m), Commands: commands}
-	c.answer(v.RequestID, 200, leadership.NewOrder(c.storeLease.commandGrant(c.cluster.partitions[m.record.Partition]), body))
+	c.answer(v.RequestID, 200, leadership.NewOrder(c.storeLease.commandGrant(c.cluster.partitions[m.record.Partition].RoleState), body))
 }
 
 // otherLeader names the other controller that holds a machine's partition; "" if
@@ -110,10 +110,6 @@
 	return false
 }
 
-func (m *machine) isNewer(r *api.Heartbeat) bool {
-	return r.Incarnation > m.incarnation || r.Incarnation == m.incarnation && r.Sequence > m.heartbeatSequence
-}
-
 // handleCommandReply takes in the answer to commands sent directly.
 func (c *reconciler) handleCommandReply(v CommandReply) {
 	if v.Status != 0 {
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -4,6 +4,7 @@
 package scheduler
 
 import (
+	"fmt"
 	"math"
 	"slices"
 
@@ -121,6 +122,11 @@
 	Spot bool
 }
 
+// String names a kind in the log.
+func (k InstanceKind) String() string {
+	return fmt.Sprintf("%s/%s/spot=%t", k.Type, k.Zone, k.Spot)
+}
+
 // Snapshot is what a plan is made from.
 type Snapshot struct {
 	Now              micros.Micros
