--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -2,7 +2,7 @@
 
 import (
 	"spurmoor/internal/api"
-	"spurmoor/internal/core"
+	"spurmoor/internal/message"
 	"spurmoor/internal/micros"
 )
 
@@ -54,7 +54,7 @@
 
 // through sends a request to some node that is up; f gets nil when no answer
 // came in time.
-func (u *user) through(in func(req uint64) core.Input, f func(*core.Answer)) {
+func (u *user) through(in func(req uint64) message.Input, f func(*message.Answer)) {
 	w := u.w
 	n := w.nodes[w.rng.IntN(3)]
 	answered := false
@@ -69,7 +69,7 @@
 	}
 	w.after(w.latency(), func() {
 		if n.up {
-			w.request(n, in, func(a core.Answer) {
+			w.request(n, in, func(a message.Answer) {
 				w.after(w.latency(), func() {
 					if !answered {
 						answered = true
@@ -83,7 +83,7 @@
 
 func (u *user) submit() {
 	final := u.final // an answer to a repetition that overlaps the news may be older
-	u.through(func(req uint64) core.Input { return core.Submit{RequestID: req, Body: u.body} }, func(a *core.Answer) {
+	u.through(func(req uint64) message.Input { return message.Submit{RequestID: req, Body: u.body} }, func(a *message.Answer) {
 		u.w.check.submitted(u, a, final)
 		if a == nil || a.Status != 200 && a.Status != 201 {
 			if a == nil || a.Status >= 429 {
@@ -102,7 +102,7 @@
 
 func (u *user) poll() {
 	final := u.final // an answer to a poll that overlaps the news may be older
-	u.through(func(req uint64) core.Input { return core.GetStatus{RequestID: req, ID: u.id} }, func(a *core.Answer) {
+	u.through(func(req uint64) message.Input { return message.GetStatus{RequestID: req, ID: u.id} }, func(a *message.Answer) {
 		if u.w.muted == u.id {
 			a = nil
 		}
@@ -125,7 +125,7 @@
 func (u *user) cancel() {
 	u.asked = true
 	accepted := u.accepted // when it asks: an acceptance that overlaps may be newer
-	u.through(func(req uint64) core.Input { return core.Cancel{RequestID: req, ID: u.id} }, func(a *core.Answer) {
+	u.through(func(req uint64) message.Input { return message.Cancel{RequestID: req, ID: u.id} }, func(a *message.Answer) {
 		if a != nil && a.Status == 200 {
 			u.w.check.cancelled(u, a.Body.(api.JobStatus).State)
 			u.w.again(u.cancel)
--- a/internal/simulation/versions_test.go
+++ b/internal/simulation/versions_test.go
@@ -7,11 +7,13 @@
 	"strings"
 	"testing"
 
+	"spurmoor/internal/message"
+	"spurmoor/internal/records"
+
 	"github.com/go-json-experiment/json"
 	"github.com/vmihailenco/msgpack/v5"
 
 	"spurmoor/internal/api"
-	"spurmoor/internal/core"
 	"spurmoor/internal/micros"
 	"spurmoor/internal/peer"
 )
@@ -112,14 +114,14 @@
 	}
 	w.every(micros.Second/10, func() {
 		for _, n := range w.nodes {
-			w.step(n, core.Tick{})
+			w.step(n, message.Tick{})
 		}
 	})
 	w.run(w.now + 300*micros.Second)
 	for id, want := range map[string]string{"wk-000001": api.JobDone, "wk-000002": api.JobDone, "wk-000003": api.JobDone,
 		"wk-000004": api.JobCancelled, "wk-000005": api.JobCancelled} {
 		got := ""
-		w.request(w.nodes[1], func(req uint64) core.Input { return core.GetStatus{RequestID: req, ID: id} }, func(a core.Answer) {
+		w.request(w.nodes[1], func(req uint64) message.Input { return message.GetStatus{RequestID: req, ID: id} }, func(a message.Answer) {
 			if s, ok := a.Body.(api.JobStatus); ok {
 				got = s.State
 			}
@@ -268,7 +270,7 @@
 // productionReadsMessage checks that a message of ours means the same to production.
 func productionReadsMessage(t *testing.T) {
 	t.Helper()
-	b, err := peer.Encode(&peer.Heartbeat{Node: "nodo-2", Healthy: true, IdleMachines: []peer.IdleMachine{{Machine: "n-1"}}, MachineRequests: []peer.MachineRequest{{Machine: "n-2", Tier: 4}}, SchemaVersion: core.SchemaVersion})
+	b, err := peer.Encode(&peer.Heartbeat{Node: "nodo-2", Healthy: true, IdleMachines: []peer.IdleMachine{{Machine: "n-1"}}, MachineRequests: []peer.MachineRequest{{Machine: "n-2", Tier: 4}}, SchemaVersion: records.SchemaVersion})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -5,8 +5,9 @@
 	"strconv"
 	"strings"
 
+	"spurmoor/internal/message"
+
 	"spurmoor/internal/api"
-	"spurmoor/internal/core"
 	"spurmoor/internal/micros"
 )
 
@@ -196,7 +197,7 @@
 		if !s.node.up {
 			return
 		}
-		w.request(s.node, func(req uint64) core.Input { return core.WorkerHeartbeat{RequestID: req, Heartbeat: r} }, func(a core.Answer) {
+		w.request(s.node, func(req uint64) message.Input { return message.WorkerHeartbeat{RequestID: req, Heartbeat: r} }, func(a message.Answer) {
 			w.between(s.node, wk, func() { s.answered(a) })
 		})
 	})
@@ -211,7 +212,7 @@
 	late := *r
 	w.after(micros.Second+micros.Random(w.rng, micros.FromSeconds(2*w.sc.LeaseS)), func() {
 		if n := w.nodes[w.rng.IntN(3)]; n.up && !n.cut["workers"] && !n.cut["all"] {
-			w.request(n, func(req uint64) core.Input { return core.WorkerHeartbeat{RequestID: req, Heartbeat: &late} }, func(core.Answer) {})
+			w.request(n, func(req uint64) message.Input { return message.WorkerHeartbeat{RequestID: req, Heartbeat: &late} }, func(message.Answer) {})
 		}
 	})
 }
@@ -227,7 +228,7 @@
 }
 
 // answered takes in an answer, unless the worker does not hear it.
-func (s *sending) answered(a core.Answer) {
+func (s *sending) answered(a message.Answer) {
 	wk := s.wk
 	if wk.deaf {
 		wk.w.happened("answers to deaf machines")
@@ -253,7 +254,7 @@
 }
 
 // refused has the worker turn to another node: the one that is named, or the next.
-func (s *sending) refused(a core.Answer) {
+func (s *sending) refused(a message.Answer) {
 	wk, w := s.wk, s.wk.w
 	other := (wk.node + 1) % 3
 	wait := micros.Second
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -6,6 +6,8 @@
 	"math/rand/v2"
 	"strings"
 
+	"spurmoor/internal/message"
+
 	"spurmoor/internal/api"
 	"spurmoor/internal/core"
 	"spurmoor/internal/micros"
@@ -48,15 +50,15 @@
 	cut        map[string]bool
 	hold       bool
 	held       []func()
-	reqs       map[uint64]func(core.Answer)
+	reqs       map[uint64]func(message.Answer)
 	nextReq    uint64
-	pushing    int          // direct commands out
-	pushes     int          // that may be out at a time
-	announced  bool         // its settings name the next limits
-	frozen     bool         // stands still while clocks run
-	watchHangs bool         // its watch's connection does
-	queued     []core.Input // inputs that came meanwhile
-	asleep     []func()     // what was about to leave it meanwhile
+	pushing    int             // direct commands out
+	pushes     int             // that may be out at a time
+	announced  bool            // its settings name the next limits
+	frozen     bool            // stands still while clocks run
+	watchHangs bool            // its watch's connection does
+	queued     []message.Input // inputs that came meanwhile
+	asleep     []func()        // what was about to leave it meanwhile
 	// connectUntil: until then its orders wait for a connection.
 	connectUntil micros.Micros
 	begun        micros.Micros
@@ -107,7 +109,7 @@
 	forNext     []func() // reports kept for the next leader
 	leader      map[string]string
 	seen        map[string]int
-	observe     func(at micros.Micros, node string, effect core.Effect) // of every effect; may be nil
+	observe     func(at micros.Micros, node string, effect message.Effect) // of every effect; may be nil
 	Log         []string
 	orders      []order           // as they arrived at the stand-ins
 	terms       map[string]uint64 // highest under which an order took effect, by duty
@@ -115,7 +117,7 @@
 
 // live carries what the workers say over real sockets; nil in simulated time.
 type live interface {
-	report(node int, r *api.Heartbeat, f func(core.Answer))
+	report(node int, r *api.Heartbeat, f func(message.Answer))
 	listen(wk *worker) string
 }
 
@@ -151,7 +153,7 @@
 func Play(sc *Scenario) (*World, []string, error) { return playObserved(sc, nil) }
 
 // playObserved is Play with every effect of the cores shown to observe as well.
-func playObserved(sc *Scenario, observe func(at micros.Micros, node string, effect core.Effect)) (*World, []string, error) {
+func playObserved(sc *Scenario, observe func(at micros.Micros, node string, effect message.Effect)) (*World, []string, error) {
 	w := newWorld(sc, nil)
 	w.observe = observe
 	start := w.now
@@ -162,7 +164,7 @@
 	}
 	w.every(micros.Second/10, func() {
 		for _, n := range w.nodes {
-			w.step(n, core.Tick{})
+			w.step(n, message.Tick{})
 		}
 	})
 	w.every(micros.Second, func() {
@@ -216,19 +218,19 @@
 		return err
 	}
 	n.epoch++
-	n.up, n.reqs = true, map[uint64]func(core.Answer){}
+	n.up, n.reqs = true, map[uint64]func(message.Answer){}
 	n.frozen, n.queued, n.asleep = false, nil, nil
 	n.pushes = set.Sockets.DirectCommands
 	n.core = core.New(set, w.rng.Uint64()>>12, rand.New(rand.NewPCG(w.sc.Seed, uint64(100+n.i))))
 	return nil
 }
 
-func (w *World) step(n *node, in core.Input) {
+func (w *World) step(n *node, in message.Input) {
 	if !n.up {
 		return
 	}
 	if n.frozen {
-		if _, ok := in.(core.Tick); !ok {
+		if _, ok := in.(message.Tick); !ok {
 			n.queued = append(n.queued, in)
 		}
 		return
@@ -242,7 +244,7 @@
 }
 
 // request hands a request to a node; f gets its answer unless the node ends.
-func (w *World) request(n *node, in func(req uint64) core.Input, f func(core.Answer)) {
+func (w *World) request(n *node, in func(req uint64) message.Input, f func(message.Answer)) {
 	n.nextReq++
 	req := n.nextReq
 	n.reqs[req] = f
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -9,12 +9,14 @@
 	"strconv"
 	"time"
 
+	"spurmoor/internal/message"
+	"spurmoor/internal/records"
+
 	"github.com/go-json-experiment/json"
 	"github.com/valyala/fasthttp"
 	"golang.org/x/time/rate"
 
 	"spurmoor/internal/api"
-	"spurmoor/internal/core"
 	"spurmoor/internal/jsonhttp"
 	"spurmoor/internal/leadership"
 	"spurmoor/internal/settings"
@@ -56,7 +58,7 @@
 // refused.
 const patience = 1500 * time.Millisecond
 
-func (c *Client) admit(call core.StoreCall) bool {
+func (c *Client) admit(call message.StoreCall) bool {
 	if call.Urgent {
 		c.reqs.Allow()
 		return true
@@ -66,12 +68,12 @@
 	if c.reqs.Wait(ctx) != nil {
 		return false
 	}
-	return call.Op != core.OpTransaction || c.writes.WaitN(ctx, len(call.Transaction.Body().Writes)) == nil
+	return call.Op != message.OpTransaction || c.writes.WaitN(ctx, len(call.Transaction.Body().Writes)) == nil
 }
 
 // Do carries out a call and gives the answer; status 0: none came.
-func (c *Client) Do(call core.StoreCall) *core.StoreReply {
-	r := &core.StoreReply{Call: call.Call}
+func (c *Client) Do(call message.StoreCall) *message.StoreReply {
+	r := &message.StoreReply{Call: call.Call}
 	if !c.admit(call) {
 		r.Status = fasthttp.StatusTooManyRequests
 		return r
@@ -81,7 +83,7 @@
 		client = c.urgent
 	}
 	req := request(call)
-	if call.Op == core.OpTransaction {
+	if call.Op == message.OpTransaction {
 		req.Before = func() error { return c.gate(call.Transaction.Grant(), leadership.Write) }
 	}
 	err := jsonhttp.Do(client, req, func(status int, body []byte) error { return decode(call, status, body, r) })
@@ -91,7 +93,7 @@
 	switch {
 	case errors.Is(err, fasthttp.ErrBodyTooLarge):
 		c.bad("state service", err)
-		if call.Op == core.OpWatch {
+		if call.Op == message.OpWatch {
 			r.Status = fasthttp.StatusGone // asked again it would be larger still: read by pages instead
 		}
 	case err != nil && !errors.As(err, &none):
@@ -110,26 +112,26 @@
 const pageSize = "500"
 
 // request gives the request of a call.
-func request(call core.StoreCall) jsonhttp.Request {
+func request(call message.StoreCall) jsonhttp.Request {
 	r := jsonhttp.Request{Wait: answerWait}
 	switch call.Op {
-	case core.OpGet:
+	case message.OpGet:
 		r.URI = "/store/" + call.Key
-	case core.OpList:
-		query := url.Values{"Under": {core.LivePrefix}, "Most": {pageSize}}
+	case message.OpList:
+		query := url.Values{"Under": {records.LivePrefix}, "Most": {pageSize}}
 		if call.Key != "" {
 			query.Set("Since", call.Key)
 		}
 		r.URI = "/store?" + query.Encode()
-	case core.OpTransaction:
+	case message.OpTransaction:
 		r.URI, r.Body = "/txn", call.Transaction.Body()
-	case core.OpGrantLease:
+	case message.OpGrantLease:
 		r.URI, r.Body = "/holds", api.LeaseRequest{TTLMs: call.TTLMs}
-	case core.OpRenewLease:
+	case message.OpRenewLease:
 		r.URI, r.Body = "/holds/"+strconv.FormatUint(call.Lease, 10)+"/extend", struct{}{}
 		r.Wait = renewalWait
-	case core.OpWatch:
-		query := url.Values{"Under": {core.LivePrefix}, "Since": {strconv.FormatUint(call.Since, 10)}, "BlockMs": {strconv.Itoa(call.WaitMs)}}
+	case message.OpWatch:
+		query := url.Values{"Under": {records.LivePrefix}, "Since": {strconv.FormatUint(call.Since, 10)}, "BlockMs": {strconv.Itoa(call.WaitMs)}}
 		r.URI = "/follow?" + query.Encode()
 		r.Wait += time.Duration(call.WaitMs) * time.Millisecond
 	}
@@ -137,7 +139,7 @@
 }
 
 // decode reads an answer. One that can't be read counts as none.
-func decode(call core.StoreCall, status int, body []byte, r *core.StoreReply) error {
+func decode(call message.StoreCall, status int, body []byte, r *message.StoreReply) error {
 	var hold api.LeaseResponse
 	if to := target(call.Op, status, r, &hold); to != nil {
 		if err := json.Unmarshal(body, to); err != nil {
@@ -145,7 +147,7 @@
 		}
 	}
 	r.Lease = hold.Lease
-	unnumbered := call.Op == core.OpTransaction && r.Transaction.Revision == 0 || call.Op == core.OpGrantLease && r.Lease == 0
+	unnumbered := call.Op == message.OpTransaction && r.Transaction.Revision == 0 || call.Op == message.OpGrantLease && r.Lease == 0
 	if status == fasthttp.StatusOK && unnumbered {
 		return errors.New("an answer of 200 without its number")
 	}
@@ -154,23 +156,23 @@
 }
 
 // target is what an answer's body is read into; nil: it is not looked at.
-func target(op core.StoreOp, status int, r *core.StoreReply, hold *api.LeaseResponse) any {
-	if op == core.OpTransaction && (status == fasthttp.StatusConflict || status == fasthttp.StatusBadRequest) {
+func target(op message.StoreOp, status int, r *message.StoreReply, hold *api.LeaseResponse) any {
+	if op == message.OpTransaction && (status == fasthttp.StatusConflict || status == fasthttp.StatusBadRequest) {
 		return &r.Transaction
 	}
 	if status != fasthttp.StatusOK {
 		return nil
 	}
 	switch op {
-	case core.OpTransaction:
+	case message.OpTransaction:
 		return &r.Transaction
-	case core.OpGet:
+	case message.OpGet:
 		return &r.Item
-	case core.OpList:
+	case message.OpList:
 		return &r.Page
-	case core.OpGrantLease:
+	case message.OpGrantLease:
 		return hold
-	case core.OpWatch:
+	case message.OpWatch:
 		return &r.Watch
 	}
 	return nil
