--- a/cmd/spurmoor/main.go
+++ b/cmd/spurmoor/main.go
@@ -12,6 +12,8 @@
 	"runtime/debug"
 	"syscall"
 
+	"spurmoor/internal/logkey"
+
 	"spurmoor/internal/records"
 
 	"github.com/spf13/cobra"
@@ -130,7 +132,7 @@
 			return exitError{exitSettings, fmt.Errorf("--orders: %w", err)}
 		}
 		defer func() { _ = file.Close() }()
-		kept, err = history.NewWriter(file, func(err error) { log.Error("orders are kept no more", "error", err) })
+		kept, err = history.NewWriter(file, func(err error) { log.Error("order history stopped", logkey.Error, err) })
 		if err != nil {
 			return err
 		}
--- a/internal/cluster/catalog.go
+++ b/internal/cluster/catalog.go
@@ -4,6 +4,8 @@
 	"slices"
 	"strconv"
 
+	"spurmoor/internal/logkey"
+
 	"spurmoor/internal/coordination"
 	"spurmoor/internal/message"
 	"spurmoor/internal/records"
@@ -115,7 +117,7 @@
 	}
 	c.catalogVersion, c.storedCatalogShape = first.version, catalogShape(types)
 	if len(c.MachineTypes) == 0 {
-		c.LogInfo("catalogue read", "types", len(types))
+		c.LogInfo("machine catalog read", logkey.Types, len(types))
 		c.setMachineTypes(types)
 	}
 }
--- a/internal/cluster/commit.go
+++ b/internal/cluster/commit.go
@@ -5,6 +5,8 @@
 	"maps"
 	"slices"
 
+	"spurmoor/internal/logkey"
+
 	"spurmoor/internal/coordination"
 	"spurmoor/internal/records"
 
@@ -324,8 +326,8 @@
 	j.Terminal = true
 	delete(p.ChangedJobs, j.ID)
 	l.dependencies.RecordTerminalState(j.ID, rec)
-	l.LogInfo("job over", "job", j.ID, "team", j.Spec.Team, "class", j.Spec.Class, "state", rec.State,
-		"after_s", (l.Now - j.AcceptedAt).WholeSeconds(), "deadline_s", j.Spec.DeadlineS)
+	l.LogInfo("job ended", logkey.Job, j.ID, logkey.Team, j.Spec.Team, logkey.Class, j.Spec.Class, logkey.State, rec.State,
+		logkey.AfterS, (l.Now - j.AcceptedAt).WholeSeconds(), logkey.DeadlineS, j.Spec.DeadlineS)
 }
 
 // commitRefused takes in that a partition's flush was refused for good: a job was
--- a/internal/cluster/dependencies.go
+++ b/internal/cluster/dependencies.go
@@ -3,6 +3,8 @@
 import (
 	"slices"
 
+	"spurmoor/internal/logkey"
+
 	"spurmoor/internal/coordination"
 	"spurmoor/internal/message"
 	"spurmoor/internal/records"
@@ -157,12 +159,12 @@
 		j.PendingDependencies++
 	}
 	if had > 0 && j.PendingDependencies == 0 {
-		g.LogDebug("all that the job needs is done", "job", j.ID, "after_s", (g.Now - j.AcceptedAt).WholeSeconds())
+		g.LogDebug("job dependencies done", logkey.Job, j.ID, logkey.AfterS, (g.Now - j.AcceptedAt).WholeSeconds())
 		g.trigger.RequestPlanWithin(0)
 	}
 	if j.DependencyCancelled && !j.Cancelled {
 		j.Cancelled = true
-		g.LogDebug("job withdrawn with one that it needs", "job", j.ID)
+		g.LogDebug("job cancelled with a dependency", logkey.Job, j.ID)
 		g.cluster.MarkChanged(j)
 		g.SettleOutcome(j.ID, OutcomeCancelled, 0)
 	}
@@ -209,7 +211,7 @@
 		g.readOutcome(id, func(f LookupResult) {
 			if n := g.ByJob[id]; f != JobKnown && n != nil && n.Outcome == OutcomeUnknown {
 				if f == JobNeverAccepted {
-					g.LogError("no trace of a job that others need", "job", id)
+					g.LogError("no record of a dependency", logkey.Job, id)
 				}
 				g.outcomesToRead, g.nextOutcomeReadAt = append(g.outcomesToRead, id), g.Now+g.Jitter(micros.Second/2)
 			}
--- a/internal/cluster/failures.go
+++ b/internal/cluster/failures.go
@@ -4,6 +4,8 @@
 	"maps"
 	"slices"
 
+	"spurmoor/internal/logkey"
+
 	"spurmoor/internal/api"
 	"spurmoor/internal/micros"
 )
@@ -62,7 +64,7 @@
 	} else {
 		m.Failures.Unattributed[j.ID] = true
 	}
-	l.LogInfo("task failed", "task", task, "machine", m.Name, "job_failed_on", len(j.FailedMachines))
+	l.LogInfo("task failed", logkey.Task, task, logkey.Machine, m.Name, logkey.MachinesFailedOn, len(j.FailedMachines))
 	l.quarantine(m)
 	if l.failsAnywhere(j) {
 		l.suspectJob(j)
@@ -95,12 +97,12 @@
 		return
 	}
 	m.Quarantined = true
-	l.LogInfo("machine quarantined", "machine", m.Name, "failures", own, "jobs_failed_elsewhere_too", shared)
+	l.LogInfo("machine quarantined", logkey.Machine, m.Name, logkey.Failures, own, logkey.JobsFailedElsewhere, shared)
 }
 
 // suspectJob has a job that fails wherever it runs tried again ever more rarely.
 func (l *TaskLifecycle) suspectJob(j *Job) {
-	l.LogInfo("job fails wherever it runs", "job", j.ID, "machines", len(j.FailedMachines))
+	l.LogInfo("job fails on every machine", logkey.Job, j.ID, logkey.Machines, len(j.FailedMachines))
 	j.Suspect = true
 	j.backoff = min(maxBackoff, max(minBackoff, 2*j.backoff))
 	j.NotBefore = l.Now + l.Jitter(j.backoff)
--- a/internal/cluster/machine_registry.go
+++ b/internal/cluster/machine_registry.go
@@ -2,6 +2,7 @@
 
 import (
 	"spurmoor/internal/coordination"
+	"spurmoor/internal/logkey"
 	"spurmoor/internal/micros"
 	"spurmoor/internal/records"
 )
@@ -78,7 +79,7 @@
 	if m.RecordChangePending() || m.Record.Condemned {
 		return
 	}
-	g.LogInfo("machine returned", "machine", m.Name, "type", m.Record.Type, "why", why, "tasks", len(m.TaskIDs), "age_s", (g.Now - m.LaunchedAt).WholeSeconds())
+	g.LogInfo("machine scaled in", logkey.Machine, m.Name, logkey.Type, m.Record.Type, logkey.Reason, why, logkey.Tasks, len(m.TaskIDs), logkey.AgeS, (g.Now - m.LaunchedAt).WholeSeconds())
 	g.cluster.RequestRecordChange(m, condemnRecord)
 }
 
@@ -87,7 +88,7 @@
 	if m.RecordChangePending() || m.Record.Condemned || !g.cluster.IsEmptyAndCommitted(m) || to == m.Record.Partition || to < 0 || to >= len(g.cluster.Partitions) {
 		return
 	}
-	g.LogInfo("machine lent", "machine", m.Name, "from", m.Record.Partition, "to", to, "home", m.Record.HomePartition)
+	g.LogInfo("machine transferred", logkey.Machine, m.Name, logkey.FromPartition, m.Record.Partition, logkey.ToPartition, to, logkey.HomePartition, m.Record.HomePartition)
 	m.transferTo = to
 	g.cluster.RequestRecordChange(m, transferRecord)
 }
--- a/internal/cluster/task_lifecycle.go
+++ b/internal/cluster/task_lifecycle.go
@@ -4,6 +4,8 @@
 	"maps"
 	"slices"
 
+	"spurmoor/internal/logkey"
+
 	"spurmoor/internal/coordination"
 
 	"spurmoor/internal/api"
@@ -93,7 +95,7 @@
 		l.TaskFailed(j, m, tr.Task)
 	case api.ExitNoRoom, api.ExitBusy, api.ExitNoSuch:
 		t.notBefore = l.Now + 3*micros.Second
-		l.LogInfo("start refused", "task", tr.Task, "machine", m.Name, "why", tr.ExitReason)
+		l.LogInfo("task start refused", logkey.Task, tr.Task, logkey.Machine, m.Name, logkey.Reason, tr.ExitReason)
 	}
 	l.trigger.RequestPlanWithin(0)
 }
@@ -101,7 +103,7 @@
 // TaskGone takes in that a task is proven to be on its machine no more.
 func (l *TaskLifecycle) TaskGone(j *Job, n int, why string) {
 	t := j.Task(n)
-	l.LogDebug("task gone", "job", j.ID, "task", n, "machine", t.Machine, "why", why)
+	l.LogDebug("task gone", logkey.Job, j.ID, logkey.Task, n, logkey.Machine, t.Machine, logkey.Reason, why)
 	l.cluster.ChangeTask(j, n, TaskRecord{State: taskPending, Attempt: t.Attempt, Machine: ""})
 	l.trigger.RequestPlanWithin(0)
 }
@@ -115,7 +117,7 @@
 	if j.Spec.CheckpointIntervalS > 0 {
 		t.GraceS = j.Spec.CheckpointSaveS + 1
 	}
-	l.LogInfo("task told to stop", "job", j.ID, "machine", t.Machine, "why", why)
+	l.LogInfo("task stop requested", logkey.Job, j.ID, logkey.Machine, t.Machine, logkey.Reason, why)
 	if j.Spec.Kind == api.Gang {
 		// An orderly stop reaches all of a gang at once.
 		for _, n := range j.ChunkIndexes() {
--- a/internal/coordination/election.go
+++ b/internal/coordination/election.go
@@ -4,6 +4,8 @@
 	"slices"
 	"strconv"
 
+	"spurmoor/internal/logkey"
+
 	"spurmoor/internal/records"
 
 	"spurmoor/internal/api"
@@ -55,7 +57,7 @@
 		m.Observer.PartitionAcquired(h.Role.Index)
 		return
 	}
-	m.LogInfo("duty taken over", "duty", h.Role.String(), "term", h.Term)
+	m.LogInfo("role acquired", logkey.Role, h.Role.String(), logkey.Term, h.Term)
 }
 
 // LoseRole stops acting under a duty.
@@ -65,7 +67,7 @@
 		m.Observer.PartitionLost(h.Role.Index, why)
 		return
 	}
-	m.LogInfo("duty lost", "duty", h.Role.String(), "why", why)
+	m.LogInfo("role lost", logkey.Role, h.Role.String(), logkey.Reason, why)
 }
 
 // defaultLeader is the controller that a duty belongs to by default, by its place among all.
@@ -154,7 +156,7 @@
 	if owner == m.Settings.Node || m.Now < d.AcquiredAt+15*micros.Second || h == nil || !h.healthy || h.stopping || m.Now > h.LastHeartbeatAt+3*micros.Second || m.Now < h.healthySince+8*micros.Second {
 		return
 	}
-	m.ResignRole(d, "handed back to "+owner)
+	m.ResignRole(d, "returned to its default leader "+owner)
 }
 
 // ResignRole gives a duty up. We stop acting under it before the key goes.
@@ -173,7 +175,7 @@
 func (m *RoleManager) leaseLost() {
 	for _, h := range m.All {
 		if h.Leads() {
-			m.LoseRole(h, "our lease ended")
+			m.LoseRole(h, "our lease expired")
 		}
 	}
 }
--- a/internal/coordination/roles.go
+++ b/internal/coordination/roles.go
@@ -3,6 +3,8 @@
 import (
 	"slices"
 
+	"spurmoor/internal/logkey"
+
 	"spurmoor/internal/message"
 	"spurmoor/internal/records"
 
@@ -95,9 +97,9 @@
 	case m.Stopping:
 		return "this controller stops"
 	case m.IsExclusive(h.Role.Kind):
-		return "this controller holds no partition"
+		return "this controller leads no partition"
 	}
-	return "a controller does not know the fleet's duties"
+	return "a controller does not know the fleet's roles"
 }
 
 // LeadsAnyPartition tells whether we hold any partition.
@@ -135,7 +137,7 @@
 func (m *RoleManager) ForgetFleetRoles() {
 	for _, h := range m.fleetRoles {
 		if h.Leads() {
-			m.LoseRole(h, "everything is read again")
+			m.LoseRole(h, "everything is listed again")
 		}
 		h.Forget(m.Now)
 	}
@@ -146,7 +148,7 @@
 	now := len(m.Settings.Operators.Roles.Exclusive) > 0 && m.schema.AllReadSchema(records.SchemaRoles)
 	if now != m.Exclusive {
 		m.Exclusive = now
-		m.LogInfo("the fleet's duties have one holder each", "exclusive", now, "duties", m.Settings.Operators.Roles.Exclusive)
+		m.LogInfo("fleet roles are exclusive", logkey.Exclusive, now, logkey.Roles, m.Settings.Operators.Roles.Exclusive)
 	}
 }
 
@@ -157,7 +159,7 @@
 // BeginStop has no role wanted any more.
 func (m *RoleManager) BeginStop() {
 	m.Stopping = true
-	m.LogInfo("controller stops")
+	m.LogInfo("controller stopping")
 }
 
 // CompleteStop tells when everything is given up.
--- a/internal/coordination/schema.go
+++ b/internal/coordination/schema.go
@@ -3,6 +3,7 @@
 import (
 	"spurmoor/internal/api"
 	"spurmoor/internal/leadership"
+	"spurmoor/internal/logkey"
 	"spurmoor/internal/message"
 	"spurmoor/internal/micros"
 	"spurmoor/internal/records"
@@ -67,7 +68,7 @@
 	}
 	if all := s.AllReadSchema(records.SchemaVersion); all != s.schemaAgreed {
 		s.schemaAgreed = all
-		s.LogInfo("all controllers have this version's form", "form", records.SchemaVersion, "all", all)
+		s.LogInfo("schema agreed by all controllers", logkey.Schema, records.SchemaVersion, logkey.All, all)
 	}
 	if s.schemaVersions[s.Settings.Node] >= records.SchemaVersion || s.Now < s.NextSchemaAnnouncementAt {
 		return
--- a/internal/coordination/store_lease.go
+++ b/internal/coordination/store_lease.go
@@ -2,6 +2,7 @@
 
 import (
 	"spurmoor/internal/leadership"
+	"spurmoor/internal/logkey"
 	"spurmoor/internal/message"
 	"spurmoor/internal/micros"
 )
@@ -90,7 +91,7 @@
 			}
 			l.Lease.RenewalSentAt = sent
 		case 404:
-			l.LogInfo("lease lost", "lease", l.Lease.ID)
+			l.LogInfo("store lease lost", logkey.Lease, l.Lease.ID)
 			l.Lease.ID, l.Lease.RenewalSentAt = 0, 0
 			l.NextRenewalAt = l.Now
 			l.Observer.leaseLost()
@@ -130,7 +131,7 @@
 	}
 	l.answeringSince = 0
 	l.resumedAt = l.Now
-	l.LogWarn("process was paused", "for_s", (l.Now - previous).WholeSeconds(), "lease_valid", l.LeaseValid())
+	l.LogWarn("process was paused", logkey.ForS, (l.Now - previous).WholeSeconds(), logkey.LeaseValid, l.LeaseValid())
 }
 
 // justResumed tells whether the process stood still so lately that it can't have
--- a/internal/coordination/transactions.go
+++ b/internal/coordination/transactions.go
@@ -3,6 +3,8 @@
 import (
 	"slices"
 
+	"spurmoor/internal/logkey"
+
 	"spurmoor/internal/message"
 
 	"spurmoor/internal/api"
@@ -74,10 +76,10 @@
 			// An earlier copy without an answer may have been carried out:
 			// the replica tells, once it is newer than this refusal.
 			if r.Status == 400 {
-				s.LogError("transaction malformed", "error", r.Transaction.Error)
+				s.LogError("transaction malformed", logkey.Error, r.Transaction.Error)
 				t.Malformed = true
 			}
-			s.LogDebug("transaction refused", "status", r.Status, "failed", r.Transaction.FailedKeys)
+			s.LogDebug("transaction refused", logkey.Status, r.Status, logkey.FailedKeys, r.Transaction.FailedKeys)
 			t.refused = true
 			s.settleRefused(t)
 		default:
--- a/internal/core/condition.go
+++ b/internal/core/condition.go
@@ -3,6 +3,7 @@
 import (
 	"spurmoor/internal/cluster"
 	"spurmoor/internal/coordination"
+	"spurmoor/internal/logkey"
 	"spurmoor/internal/micros"
 	"spurmoor/internal/planning"
 )
@@ -86,7 +87,7 @@
 		return // one that passes is not said
 	}
 	if t.reported != "" {
-		t.LogWarn("condition", "now", string(now), "before", string(t.reported), "for_s", (t.Now - t.reportedSince).WholeSeconds())
+		t.LogWarn("condition changed", logkey.Condition, string(now), logkey.PreviousCondition, string(t.reported), logkey.ForS, (t.Now - t.reportedSince).WholeSeconds())
 	}
 	t.reported, t.reportedSince = now, t.Now
 }
--- a/internal/core/failover.go
+++ b/internal/core/failover.go
@@ -4,6 +4,8 @@
 	"maps"
 	"slices"
 
+	"spurmoor/internal/logkey"
+
 	"spurmoor/internal/cluster"
 	"spurmoor/internal/coordination"
 	"spurmoor/internal/provisioning"
@@ -27,7 +29,7 @@
 // PartitionAcquired begins to act for a partition.
 func (f *failoverHandler) PartitionAcquired(index int) {
 	p := f.cluster.Partitions[index]
-	f.LogInfo("partition taken over", "partition", p.Index, "term", p.Term)
+	f.LogInfo("partition acquired", logkey.Partition, p.Index, logkey.Term, p.Term)
 	for _, m := range f.cluster.MachinesByName {
 		if m.Record.Partition == p.Index {
 			f.cluster.ResetObservations(m)
@@ -47,7 +49,7 @@
 // more.
 func (f *failoverHandler) PartitionLost(index int, why string) {
 	p := f.cluster.Partitions[index]
-	f.LogInfo("partition lost", "partition", p.Index, "why", why)
+	f.LogInfo("partition lost", logkey.Partition, p.Index, logkey.Reason, why)
 	if p.CommitInFlight != nil {
 		p.CommitInFlight.Settled = true // it was carried out before the partition went, or never
 		p.CommitInFlight = nil
--- a/internal/core/heartbeat_reconciliation.go
+++ b/internal/core/heartbeat_reconciliation.go
@@ -3,6 +3,7 @@
 import (
 	"spurmoor/internal/api"
 	"spurmoor/internal/cluster"
+	"spurmoor/internal/logkey"
 	"spurmoor/internal/micros"
 	"spurmoor/internal/planning"
 )
@@ -93,7 +94,7 @@
 	if m.FirstHeartbeatAt == 0 {
 		m.FirstHeartbeatAt, m.IdleSince = c.Now, c.Now
 		c.boots.RecordBoot(m)
-		c.LogInfo("machine up", "machine", m.Name, "type", m.Record.Type, "zone", m.Record.Zone, "spot", m.Record.Spot, "after_s", (c.Now - m.LaunchedAt).WholeSeconds())
+		c.LogInfo("machine up", logkey.Machine, m.Name, logkey.Type, m.Record.Type, logkey.Zone, m.Record.Zone, logkey.Spot, m.Record.Spot, logkey.AfterS, (c.Now - m.LaunchedAt).WholeSeconds())
 		c.trigger.RequestPlanWithin(0)
 	}
 	if !m.TokenConfirmed {
@@ -102,7 +103,7 @@
 	}
 	if r.InterruptionNoticeS != nil && m.InterruptionAt == 0 {
 		m.InterruptionAt = c.Now + micros.FromSeconds(*r.InterruptionNoticeS)
-		c.LogInfo("machine will be taken", "machine", m.Name, "in_s", *r.InterruptionNoticeS, "tasks", len(m.TaskIDs))
+		c.LogInfo("machine interruption notice", logkey.Machine, m.Name, logkey.InS, *r.InterruptionNoticeS, logkey.Tasks, len(m.TaskIDs))
 		c.trigger.RequestPlanWithin(0)
 	}
 }
@@ -174,7 +175,7 @@
 		m.CacheImage(j.Spec.Image, j.Spec.ImageGB)
 		if tr.State == api.TaskRunning {
 			t.RunningSince = c.Now
-			c.LogDebug("task running", "task", tr.Task, "machine", m.Name, "after_s", (c.Now - t.PlacedAt).WholeSeconds())
+			c.LogDebug("task running", logkey.Task, tr.Task, logkey.Machine, m.Name, logkey.AfterS, (c.Now - t.PlacedAt).WholeSeconds())
 		}
 	}
 	t.ReportedState = tr.State
@@ -219,7 +220,7 @@
 		t := j.Task(id.Index)
 		t.DirectStartToken = 0 // direct starts name the session
 		if t.Observed && c.cluster.LedPartition(m) != nil && j.Partition == m.Record.Partition {
-			c.tasks.TaskGone(j, id.Index, "its worker's session ended")
+			c.tasks.TaskGone(j, id.Index, "its worker's incarnation ended")
 		}
 	}
 }
--- a/internal/core/peer_messenger.go
+++ b/internal/core/peer_messenger.go
@@ -3,6 +3,8 @@
 import (
 	"slices"
 
+	"spurmoor/internal/logkey"
+
 	"spurmoor/internal/cluster"
 	"spurmoor/internal/coordination"
 	"spurmoor/internal/message"
@@ -93,7 +95,7 @@
 	m.schema.ObserveSchema(h.Node, h.SchemaVersion)
 	for _, id := range h.CancelledJobs {
 		if j := m.cluster.Jobs[id]; j != nil && !j.Terminal && !j.MustNotRun() {
-			m.LogInfo("cancelled, says another controller", "job", id, "by", h.Node)
+			m.LogInfo("job cancelled, notified by a peer", logkey.Job, id, logkey.Peer, h.Node)
 			j.CancelledElsewhere = true
 			m.cluster.RequestJobStop(j)
 		}
--- a/internal/core/record_applier.go
+++ b/internal/core/record_applier.go
@@ -4,6 +4,8 @@
 	"strconv"
 	"strings"
 
+	"spurmoor/internal/logkey"
+
 	"spurmoor/internal/cluster"
 	"spurmoor/internal/coordination"
 	"spurmoor/internal/provisioning"
@@ -53,7 +55,7 @@
 func (a *recordApplier) resetReplica() {
 	for _, p := range a.cluster.Partitions {
 		if p.Leads() {
-			a.roles.LoseRole(p.RoleState, "everything is read again")
+			a.roles.LoseRole(p.RoleState, "everything is listed again")
 			// Under a term of its own then: a copy of a flush that we forget
 			// here may still be carried out under this one.
 			a.Incarnation++
@@ -82,7 +84,7 @@
 
 // Synchronized logs that the replica is complete.
 func (a *recordApplier) Synchronized(revision uint64, keys int) {
-	a.LogInfo("replica read", "revision", revision, "keys", keys, "jobs", len(a.cluster.Jobs), "machines", len(a.cluster.Machines))
+	a.LogInfo("watch cache synchronized", logkey.Revision, revision, logkey.Keys, keys, logkey.Jobs, len(a.cluster.Jobs), logkey.Machines, len(a.cluster.Machines))
 }
 
 // ApplyPut takes in one key's value unless a newer one is known. A value that
@@ -108,7 +110,7 @@
 		err = a.provisioning.ApplyRequests(key[len(records.RequestsKey):], value, ver)
 	}
 	if err != nil {
-		a.LogError("unreadable value in the state service", "key", key, "error", err)
+		a.LogError("unreadable value in the store", logkey.Key, key, logkey.Error, err)
 	}
 }
 
@@ -155,7 +157,7 @@
 	}
 	if j == nil {
 		j = a.cluster.AddJob(id, rec.Spec)
-		a.LogDebug("job seen", "job", id, "kind", rec.Spec.Kind, "team", rec.Spec.Team, "tasks", rec.Spec.Tasks, "partition", j.Partition)
+		a.LogDebug("job observed", logkey.Job, id, logkey.Kind, rec.Spec.Kind, logkey.Team, rec.Spec.Team, logkey.Tasks, rec.Spec.Tasks, logkey.Partition, j.Partition)
 	}
 	was := j.Cancelled
 	j.Spec, j.AcceptedAt, j.Cancelled, j.Version = rec.Spec, rec.AcceptedAt, rec.Cancelled || j.DependencyCancelled, ver
--- a/internal/core/summary.go
+++ b/internal/core/summary.go
@@ -4,6 +4,8 @@
 	"maps"
 	"slices"
 
+	"spurmoor/internal/logkey"
+
 	"spurmoor/internal/cluster"
 	"spurmoor/internal/coordination"
 	"spurmoor/internal/planning"
@@ -49,7 +51,7 @@
 	}
 	up, idle, on := s.countMachines()
 	waiting, held := s.countWaiting()
-	s.LogInfo("summary", "partitions", parts, "machines_up", up, "machines_idle", idle, "tasks_on", on, "jobs", len(s.cluster.Jobs), "jobs_waiting", waiting, "jobs_waiting_for_jobs", held, "revision", s.cache.Revision)
+	s.LogInfo("summary", logkey.Partitions, parts, logkey.MachinesUp, up, logkey.MachinesIdle, idle, logkey.Tasks, on, logkey.Jobs, len(s.cluster.Jobs), logkey.JobsWaiting, waiting, logkey.JobsWaitingForDependencies, held, logkey.Revision, s.cache.Revision)
 	named := map[string]int{}
 	for _, id := range slices.Sorted(maps.Keys(s.scheduling.BlockedReasons)) {
 		j := s.cluster.Jobs[id]
@@ -57,7 +59,7 @@
 			continue
 		}
 		named[j.Spec.Team]++
-		s.LogInfo("job waits", "job", id, "team", j.Spec.Team, "for_s", (s.Now - j.EligibleAt()).WholeSeconds(), "why", s.scheduling.BlockedReasons[id])
+		s.LogInfo("job waits", logkey.Job, id, logkey.Team, j.Spec.Team, logkey.ForS, (s.Now - j.EligibleAt()).WholeSeconds(), logkey.Reason, s.scheduling.BlockedReasons[id])
 	}
 }
 
--- a/internal/planning/lending.go
+++ b/internal/planning/lending.go
@@ -4,6 +4,7 @@
 	"spurmoor/internal/api"
 	"spurmoor/internal/cluster"
 	"spurmoor/internal/coordination"
+	"spurmoor/internal/logkey"
 	"spurmoor/internal/micros"
 	"spurmoor/internal/peer"
 	"spurmoor/internal/scheduler"
@@ -140,13 +141,13 @@
 func (l *MachineLending) promiseMachine(m *cluster.Machine, a peer.MachineRequest) {
 	switch {
 	case a.Spare:
-		l.LogInfo("spare machine is given once it is empty", "machine", m.Name, "to", a.Partition, "tasks", len(m.TaskIDs))
+		l.LogInfo("spare machine promised", logkey.Machine, m.Name, logkey.ToPartition, a.Partition, logkey.Tasks, len(m.TaskIDs))
 		m.MoveToPartition, m.PreemptForMove = a.Partition, false
 	case a.Reclaim && m.Record.HomePartition == a.Partition:
-		l.LogInfo("lent machine reclaimed", "machine", m.Name, "home", a.Partition)
+		l.LogInfo("lent machine reclaimed", logkey.Machine, m.Name, logkey.HomePartition, a.Partition)
 		m.MoveToPartition, m.PreemptForMove = a.Partition, false
 	case a.Tier > 0 && l.mayPreemptAll(m, a):
-		l.LogInfo("machine yielded", "machine", m.Name, "to", a.Partition, "tasks", len(m.TaskIDs), "tier", a.Tier, "guaranteed", a.Guaranteed)
+		l.LogInfo("machine promised", logkey.Machine, m.Name, logkey.ToPartition, a.Partition, logkey.Tasks, len(m.TaskIDs), logkey.Tier, a.Tier, logkey.Guaranteed, a.Guaranteed)
 		m.MoveToPartition, m.PreemptForMove = a.Partition, true
 	}
 }
--- a/internal/planning/machine_manager.go
+++ b/internal/planning/machine_manager.go
@@ -3,6 +3,7 @@
 import (
 	"spurmoor/internal/cluster"
 	"spurmoor/internal/coordination"
+	"spurmoor/internal/logkey"
 	"spurmoor/internal/micros"
 )
 
@@ -61,8 +62,8 @@
 func (k *MachineManager) reconcileMachine(m *cluster.Machine, cut bool) {
 	judges := k.storeLease.LeaseValid()
 	if judges && k.Now > m.LeaseExpiresAt && len(m.TaskIDs) > 0 {
-		k.LogInfo("machine's lease ran out", "machine", m.Name, "tasks", len(m.TaskIDs))
-		k.tasks.ReleaseTasks(m, "its lease ran out")
+		k.LogInfo("machine lease expired", logkey.Machine, m.Name, logkey.Tasks, len(m.TaskIDs))
+		k.tasks.ReleaseTasks(m, "its lease expired")
 	}
 	if m.Record.Condemned {
 		k.dropDeletedRecord(m)
@@ -115,7 +116,7 @@
 	case m.FirstHeartbeatAt > 0 && !cut && k.Now > k.storeLease.SilenceCountsFrom(m.LastSeenAt)+k.Settings.SilenceTimeout():
 		return "silent"
 	case m.IgnoringSince > 0 && k.Now > k.storeLease.SilenceCountsFrom(m.IgnoringSince)+k.Settings.SilenceTimeout()+micros.FromSeconds(k.Settings.Deployment.Workers.ReportS):
-		return "does nothing that it is told"
+		return "ignores its commands"
 	}
 	return ""
 }
@@ -146,7 +147,7 @@
 	for _, id := range m.TaskIDsCopy() {
 		j := k.cluster.Jobs[id.Job]
 		if t := j.Task(id.Index); !m.Quarantined && j.Spec.CheckpointIntervalS > 0 && t.StopRequestedAt == 0 {
-			k.tasks.RequestTaskStop(j, t, "the machine will be taken")
+			k.tasks.RequestTaskStop(j, t, "the machine is about to be interrupted")
 		}
 	}
 	if len(m.TaskIDs) == 0 && m.AllTasksEnded() {
--- a/internal/planning/reservation.go
+++ b/internal/planning/reservation.go
@@ -136,7 +136,7 @@
 	for _, id := range m.TaskIDsCopy() {
 		j := r.cluster.Jobs[id.Job]
 		if r.urgencies.effectiveTier(j) < pr.Job.Spec.Priority.Tier() {
-			r.tasks.RequestTaskStop(j, j.Task(id.Index), "the machine is kept for "+pr.Job.ID)
+			r.tasks.RequestTaskStop(j, j.Task(id.Index), "the machine is reserved for "+pr.Job.ID)
 		}
 	}
 }
--- a/internal/planning/scheduling_cycle.go
+++ b/internal/planning/scheduling_cycle.go
@@ -8,6 +8,7 @@
 	"spurmoor/internal/api"
 	"spurmoor/internal/cluster"
 	"spurmoor/internal/coordination"
+	"spurmoor/internal/logkey"
 	"spurmoor/internal/micros"
 	"spurmoor/internal/peer"
 	"spurmoor/internal/provisioning"
@@ -124,7 +125,7 @@
 			attempt = gangAttempt[j.ID]
 		}
 		y.cluster.ChangeTask(j, n, cluster.TaskRecord{State: cluster.TaskPlaced, Attempt: attempt, Machine: s.Machine.Name})
-		y.LogDebug("task placed", "job", j.ID, "task", n, "attempt", attempt, "machine", s.Machine.Name, "waited_s", (y.Now - j.EligibleAt()).WholeSeconds())
+		y.LogDebug("task placed", logkey.Job, j.ID, logkey.Task, n, logkey.Attempt, attempt, logkey.Machine, s.Machine.Name, logkey.WaitedS, (y.Now - j.EligibleAt()).WholeSeconds())
 		if m := y.cluster.Machines[s.Machine.Name]; m.ClaimedBy == j.ID {
 			m.ClaimedBy = ""
 		}
@@ -145,13 +146,13 @@
 			continue
 		}
 		if e.Machine.OtherPartition {
-			y.LogInfo("machine asked for", "for", e.For.ID, "machine", m.Name, "partition", m.Record.Partition, "tasks", len(e.Victims))
+			y.LogInfo("machine requested", logkey.ForJob, e.For.ID, logkey.Machine, m.Name, logkey.Partition, m.Record.Partition, logkey.Tasks, len(e.Victims))
 			continue
 		}
-		y.LogInfo("room made", "for", e.For.ID, "machine", m.Name, "tasks", len(e.Victims))
+		y.LogInfo("tasks preempted", logkey.ForJob, e.For.ID, logkey.Machine, m.Name, logkey.Tasks, len(e.Victims))
 		for _, u := range e.Victims {
 			j := y.cluster.Jobs[u.Job.ID]
-			y.tasks.RequestTaskStop(j, j.Task(u.TaskIndex), "room for "+e.For.ID)
+			y.tasks.RequestTaskStop(j, j.Task(u.TaskIndex), "preempted for "+e.For.ID)
 		}
 	}
 }
--- a/internal/planning/spare_machine.go
+++ b/internal/planning/spare_machine.go
@@ -4,6 +4,8 @@
 	"maps"
 	"slices"
 
+	"spurmoor/internal/logkey"
+
 	"spurmoor/internal/cluster"
 
 	"spurmoor/internal/api"
@@ -47,7 +49,7 @@
 	p.RequestedSpare = ""
 	if best != nil {
 		p.RequestedSpare = best.Name
-		y.LogInfo("spare machine asked for", "for", first.ID, "machine", best.Name, "partition", best.Record.Partition, "tasks", len(best.TaskIDs))
+		y.LogInfo("spare machine requested", logkey.ForJob, first.ID, logkey.Machine, best.Name, logkey.Partition, best.Record.Partition, logkey.Tasks, len(best.TaskIDs))
 	}
 	return best
 }
--- a/internal/provisioning/instance_list.go
+++ b/internal/provisioning/instance_list.go
@@ -4,6 +4,8 @@
 	"maps"
 	"slices"
 
+	"spurmoor/internal/logkey"
+
 	"spurmoor/internal/cluster"
 	"spurmoor/internal/coordination"
 	"spurmoor/internal/message"
@@ -181,7 +183,7 @@
 		if !p.Leads() {
 			continue
 		}
-		i.LogInfo("stray machine adopted", "machine", stray.Machine, "type", stray.Type, "how", how)
+		i.LogInfo("orphaned machine adopted", logkey.Machine, stray.Machine, logkey.Type, stray.Type, logkey.Source, how)
 		row := records.MachineRecord{Name: stray.Machine, Type: stray.Type, Zone: stray.Zone, Spot: stray.Spot, HomePartition: p.Index, Partition: p.Index, LaunchedAt: i.Now}
 		p.MachineBatches = append(p.MachineBatches, &cluster.MachineBatch{Records: []records.MachineRecord{row}, Adopt: true, OnRecorded: func() {}})
 		break
--- a/internal/provisioning/provisioning.go
+++ b/internal/provisioning/provisioning.go
@@ -8,6 +8,8 @@
 	"slices"
 	"strconv"
 
+	"spurmoor/internal/logkey"
+
 	"spurmoor/internal/cluster"
 	"spurmoor/internal/coordination"
 	"spurmoor/internal/message"
@@ -124,7 +126,7 @@
 		return
 	}
 	v.RecordingRequests = now
-	v.LogInfo("rentals are recorded before they are sent", "recorded", now)
+	v.LogInfo("scale-out requests are recorded before they are sent", logkey.Recorded, now)
 	for _, p := range v.cluster.Partitions {
 		v.ledger(p).mustWrite = p.Leads() && now
 	}
@@ -263,7 +265,7 @@
 		return // our budget, not the cloud's room
 	}
 	v.unavailableUntil[r.kind] = v.Now + v.Jitter(micros.FromSeconds(v.Settings.Operators.RefusalMemoryS))
-	v.LogInfo("rental refused", "partition", p.Index, "kind", r.kind.String(), "status", status)
+	v.LogInfo("scale-out refused", logkey.Partition, p.Index, logkey.Kind, r.kind.String(), logkey.Status, status)
 }
 
 // deferRequest keeps a refused request, to be sent again under its name: one for each kind,
@@ -284,7 +286,7 @@
 // recordLaunched has the machines recorded that a request got.
 func (v *Provisioner) recordLaunched(p *cluster.Partition, r *provisioningRequest, machines []string) {
 	k := r.kind
-	v.LogInfo("machines rented", "partition", p.Index, "kind", k.String(), "request", r.request.Name, "asked", r.request.Count, "got", len(machines))
+	v.LogInfo("machines launched", logkey.Partition, p.Index, logkey.Kind, k.String(), logkey.Request, r.request.Name, logkey.Requested, r.request.Count, logkey.Launched, len(machines))
 	if len(machines) < r.request.Count {
 		v.unavailableUntil[k] = v.Now + micros.FromSeconds(v.Settings.Operators.RefusalMemoryS)
 		v.ledger(p).countPendingMachines(k, len(machines)-r.request.Count)
@@ -355,7 +357,7 @@
 		v.ledger(p).open = append(v.ledger(p).open, r)
 	}
 	if n := len(v.ledger(p).storedRequests); n > 0 {
-		v.LogInfo("rentals of the holder before are repeated", "partition", p.Index, "requests", n)
+		v.LogInfo("scale-out requests of the former leader repeated", logkey.Partition, p.Index, logkey.Requests, n)
 	}
 }
 
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -18,6 +18,8 @@
 	"sync/atomic"
 	"time"
 
+	"spurmoor/internal/logkey"
+
 	"spurmoor/internal/message"
 	"spurmoor/internal/records"
 
@@ -125,7 +127,7 @@
 // Run serves until ctx ends or a listener fails.
 func (s *Server) Run(ctx context.Context) error {
 	for _, w := range s.set.Warnings() {
-		s.log.Warn("settings", "warning", w)
+		s.log.Warn("settings", logkey.Warning, w)
 	}
 	serving, end := context.WithCancel(context.WithoutCancel(ctx))
 	defer end()
@@ -143,7 +145,7 @@
 		defer end()
 		return s.awaitStop(ctx, serving)
 	})
-	s.log.Info("controller started", "node", s.set.Node, "version", records.Version, "form", records.SchemaVersion, "parts", s.set.Operators.Partitions, "public", s.set.PublicAddr)
+	s.log.Info("controller started", logkey.Node, s.set.Node, logkey.Version, records.Version, logkey.Schema, records.SchemaVersion, logkey.Partitions, s.set.Operators.Partitions, logkey.PublicAddr, s.set.PublicAddr)
 	return g.Wait()
 }
 
@@ -162,9 +164,9 @@
 	s.hasten(message.Stop{})
 	select {
 	case <-s.stopped:
-		s.log.Info("controller stopped, its duties are given up")
+		s.log.Info("controller stopped, its roles are resigned")
 	case <-time.After(stopWait):
-		s.log.Warn("controller stopped, its duties end with its lease")
+		s.log.Warn("controller stopped, its roles end with its lease")
 	}
 	return nil
 }
@@ -322,13 +324,13 @@
 }
 
 func (s *Server) unreadable(who string, err error) {
-	s.log.Debug("unreadable message", "from", who, "error", err, "so_far", s.garbage.Add(1))
+	s.log.Debug("unreadable message", logkey.Sender, who, logkey.Error, err, logkey.SoFar, s.garbage.Add(1))
 }
 
 func (s *Server) tell(h *peer.Heartbeat) {
 	b, err := peer.Encode(h)
 	if err != nil {
-		s.log.Error("peer message", "error", err)
+		s.log.Error("peer message", logkey.Error, err)
 		return
 	}
 	for i, p := range s.peers {
@@ -344,7 +346,7 @@
 			req.Header.SetMethod("POST")
 			req.SetBody(b)
 			if err := p.DoTimeout(req, resp, 2*time.Second); err != nil {
-				s.log.Debug("peer does not answer", "peer", p.Addr, "error", err)
+				s.log.Debug("peer does not answer", logkey.Peer, p.Addr, logkey.Error, err)
 			}
 		}()
 	}
@@ -451,7 +453,7 @@
 		// must more workers than there are sockets.
 		ctx.SetConnectionClose()
 		if !s.crowded.Swap(true) {
-			s.log.Warn("sockets are short: workers' connections last for one report", "open", s.open(), "max_connections", s.set.Deployment.Process.MaxConnections)
+			s.log.Warn("sockets are short: workers' connections last for one heartbeat", logkey.OpenConnections, s.open(), logkey.MaxConnections, s.set.Deployment.Process.MaxConnections)
 		}
 	}
 	s.ask(ctx, s.inputs, func(req uint64) message.Input { return message.WorkerHeartbeat{RequestID: req, Heartbeat: r} })
--- a/internal/simulation/loopback_test.go
+++ b/internal/simulation/loopback_test.go
@@ -561,7 +561,8 @@
 }
 
 func (l *lines) Write(b []byte) (int, error) {
-	l.l.lent.Add(int32(bytes.Count(b, []byte("machine lent"))))
+	// The versions before said "machine lent".
+	l.l.lent.Add(int32(bytes.Count(b, []byte("machine lent")) + bytes.Count(b, []byte("machine transferred"))))
 	if os.Getenv("SIMULATION_LOG") != "" {
 		l.l.t.Logf("%s %s", l.name, bytes.TrimSpace(b))
 	}
