--- a/internal/coordination/election.go
+++ b/internal/coordination/election.go
@@ -37,7 +37,7 @@
 
 // LeaderClaim is what this process writes under the key of a duty that it takes.
 func (m *RoleManager) LeaderClaim() leadership.Claim {
-	return leadership.Claim{Node: m.Settings.Node, Process: m.Incarnation}
+	return leadership.Claim{Node: m.Settings.Node, Incarnation: m.Incarnation}
 }
 
 // ObserveRole takes in a duty's key; version 0: it has none.
@@ -102,7 +102,7 @@
 	if !m.cache.Synced {
 		return
 	}
-	for _, h := range m.All {
+	for _, h := range m.Roles {
 		switch wanted := m.wantsRole(h); {
 		case h.Leads() && !wanted:
 			m.ResignRole(h, m.resignReason(h))
@@ -173,7 +173,7 @@
 
 // leaseLost stops acting under all roles.
 func (m *RoleManager) leaseLost() {
-	for _, h := range m.All {
+	for _, h := range m.Roles {
 		if h.Leads() {
 			m.LoseRole(h, "our lease expired")
 		}
--- a/internal/coordination/parameters.go
+++ b/internal/coordination/parameters.go
@@ -31,14 +31,14 @@
 	return micros.FromSeconds(p.Deployment.Workers.LeaseS * 1.002)
 }
 
-// SilenceTimeout is how long a machine may say nothing: a report may be lost, given
+// HeartbeatTimeout is how long a machine may say nothing: a report may be lost, given
 // up on after 4 s and be sent again elsewhere a second later.
-func (p parameters) SilenceTimeout() micros.Micros {
+func (p parameters) HeartbeatTimeout() micros.Micros {
 	return micros.FromSeconds(max(p.Operators.SilenceS, 1.25*p.Deployment.Workers.ReportS+6))
 }
 
-// HeartbeatDue is the longest time between two reports of a worker that is well.
-func (p parameters) HeartbeatDue() micros.Micros {
+// MaxHeartbeatInterval is the longest time between two reports of a worker that is well.
+func (p parameters) MaxHeartbeatInterval() micros.Micros {
 	return micros.FromSeconds(1.25*p.Deployment.Workers.ReportS) + micros.Second
 }
 
--- a/internal/coordination/peer_tracker.go
+++ b/internal/coordination/peer_tracker.go
@@ -61,9 +61,9 @@
 	return false
 }
 
-// HearsAnyPeer tells whether another controller was heard of late; one without others
+// AnyPeerAlive tells whether another controller was heard of late; one without others
 // hears all that there are.
-func (p *PeerTracker) HearsAnyPeer() bool {
+func (p *PeerTracker) AnyPeerAlive() bool {
 	for _, h := range p.ByNode {
 		if p.Now < h.LastHeartbeatAt+4*micros.Second {
 			return true
--- a/internal/coordination/role_status.go
+++ b/internal/coordination/role_status.go
@@ -12,7 +12,7 @@
 // HandleListRoles answers who holds which duty.
 func (m *RoleManager) HandleListRoles(v message.ListRoles) {
 	list := api.Roles{Node: m.Settings.Node, Exclusive: m.Exclusive, RecordsRequests: m.schema.RecordsRequests(), RefusedOrders: m.refusedOrdersUnder("")}
-	for _, h := range m.All {
+	for _, h := range m.Roles {
 		list.Roles = append(list.Roles, m.roleStatus(h))
 	}
 	m.Answer(v.RequestID, 200, list)
@@ -36,7 +36,7 @@
 func (m *RoleManager) refusedOrdersUnder(name string) map[string]int {
 	counts := map[string]int{}
 	for k, n := range m.audit.total {
-		owned := slices.ContainsFunc(m.All, func(h *leadership.RoleState) bool { return h.Role.String() == k.role })
+		owned := slices.ContainsFunc(m.Roles, func(h *leadership.RoleState) bool { return h.Role.String() == k.role })
 		if k.role == name || name == "" && !owned {
 			counts[k.action.String()+", "+string(k.reason)] += n
 		}
--- a/internal/coordination/roles.go
+++ b/internal/coordination/roles.go
@@ -26,7 +26,7 @@
 	workerReach  *WorkerReach
 	Observer     partitionObserver // set once the observer, which reads from here, is made
 
-	All        []*leadership.RoleState // the partitions' first
+	Roles        []*leadership.RoleState // the partitions' first
 	fleetRoles []*leadership.RoleState // of all, those that exist once for the whole fleet
 	Exclusive  bool                    // the fleet's have one leader each; said so
 	Stopping   bool
@@ -39,17 +39,17 @@
 	m := &RoleManager{Environment: env, audit: audit, cache: cache, peers: peers, schema: schema, storeLease: lease,
 		transactions: transactions, workerReach: reach}
 	for i := range env.Settings.Operators.Partitions {
-		m.All = append(m.All, &leadership.RoleState{Role: leadership.PartitionRole(i)})
+		m.Roles = append(m.Roles, &leadership.RoleState{Role: leadership.PartitionRole(i)})
 	}
 	for _, role := range leadership.FleetRoles() {
 		m.fleetRoles = append(m.fleetRoles, &leadership.RoleState{Role: role})
 	}
-	m.All = append(m.All, m.fleetRoles...)
+	m.Roles = append(m.Roles, m.fleetRoles...)
 	return m
 }
 
 // PartitionRole gives the role of leading a partition.
-func (m *RoleManager) PartitionRole(index int) *leadership.RoleState { return m.All[index] }
+func (m *RoleManager) PartitionRole(index int) *leadership.RoleState { return m.Roles[index] }
 
 // FleetRole gives one of the fleet's duties.
 func (m *RoleManager) FleetRole(kind leadership.RoleKind) *leadership.RoleState {
@@ -104,7 +104,7 @@
 
 // LeadsAnyPartition tells whether we hold any partition.
 func (m *RoleManager) LeadsAnyPartition() bool {
-	return slices.ContainsFunc(m.All, func(r *leadership.RoleState) bool { return r.Role.Kind == leadership.PartitionLeader && r.Leads() })
+	return slices.ContainsFunc(m.Roles, func(r *leadership.RoleState) bool { return r.Role.Kind == leadership.PartitionLeader && r.Leads() })
 }
 
 // ApplyFleetRole takes in the key of one of the fleet's duties. One that can't be read
--- a/internal/coordination/store_lease.go
+++ b/internal/coordination/store_lease.go
@@ -158,9 +158,9 @@
 	}
 }
 
-// SilenceCountsFrom gives a time from which a machine's silence may be counted: none that was
+// MissedHeartbeatsCountFrom gives a time from which a machine's silence may be counted: none that was
 // ours. After an outage of 70 s in which no report could be answered, 77 of some 390
 // machines were returned as silent before their reports came again.
-func (l *StoreLease) SilenceCountsFrom(at micros.Micros) micros.Micros {
+func (l *StoreLease) MissedHeartbeatsCountFrom(at micros.Micros) micros.Micros {
 	return max(at, l.answeringSince)
 }
--- a/internal/coordination/worker_reach.go
+++ b/internal/coordination/worker_reach.go
@@ -17,11 +17,11 @@
 // isolationDuration is how long a controller that no worker reaches takes no role.
 const isolationDuration = 20 * micros.Second
 
-// WorkerContact notes that a worker reached us, of whatever partition.
-func (r *WorkerReach) WorkerContact() { r.LastWorkerContactAt = r.Now }
+// ObserveWorkerContact notes that a worker reached us, of whatever partition.
+func (r *WorkerReach) ObserveWorkerContact() { r.LastWorkerContactAt = r.Now }
 
-// WorkerAnswered notes that a worker answered a direct command.
-func (r *WorkerReach) WorkerAnswered() {
+// ObserveWorkerReply notes that a worker answered a direct command.
+func (r *WorkerReach) ObserveWorkerReply() {
 	r.LastWorkerContactAt, r.IsolatedFromWorkers = r.Now, false
 }
 
--- a/internal/core/condition.go
+++ b/internal/core/condition.go
@@ -63,13 +63,13 @@
 // does not answer.
 func (t *conditionTracker) conditionWithoutStore() condition {
 	// Without machines none can be heard.
-	silent := len(t.cluster.Machines) >= 2 && t.Now > t.workerReach.LastWorkerContactAt+t.Settings.SilenceTimeout()
+	silent := len(t.cluster.Machines) >= 2 && t.Now > t.workerReach.LastWorkerContactAt+t.Settings.HeartbeatTimeout()
 	switch {
 	case t.peers.HealthyPeerKnown() && t.storeHealth.Refusing:
 		return conditionRefusedAlone
 	case t.peers.HealthyPeerKnown():
 		return conditionUnansweredAlone
-	case t.peers.HearsAnyPeer():
+	case t.peers.AnyPeerAlive():
 		return conditionStoreUnavailable
 	case silent:
 		return conditionIsolated
--- a/internal/core/safety_test.go
+++ b/internal/core/safety_test.go
@@ -26,7 +26,7 @@
 	c.Now = 100 * micros.Second
 	c.storeLease.Lease.ID, c.storeLease.Lease.RenewalSentAt, c.cache.CurrentAsOf = 7, c.Now, c.Now
 	p := c.cluster.Partitions[0]
-	c.applier.ApplyPut(p.Key(), records.MustMarshal(leadership.Claim{Node: c.Settings.Node, Process: c.Incarnation}), 10)
+	c.applier.ApplyPut(p.Key(), records.MustMarshal(leadership.Claim{Node: c.Settings.Node, Incarnation: c.Incarnation}), 10)
 	c.registry.ApplyMachineRecord(records.MachineRecord{Name: "n-1", Type: "g4", Zone: "alta", Partition: 0, Epoch: 1, MinToken: 11}, cluster.RecordOrigin{Epoch: 1, Partition: 0, Sequence: 1}, 11)
 	m, j := c.cluster.Machines["n-1"], c.cluster.Jobs["wk-000001"]
 	c.cluster.SetTask(j, 0, cluster.TaskRecord{State: cluster.TaskPlaced, Attempt: 1, Machine: "n-1"})
@@ -101,7 +101,7 @@
 // counts on the silence that was promised.
 func TestResignedTerm(t *testing.T) {
 	c, p, _, _ := holder(t)
-	ver, rec := p.Term, records.MustMarshal(leadership.Claim{Node: c.Settings.Node, Process: c.Incarnation})
+	ver, rec := p.Term, records.MustMarshal(leadership.Claim{Node: c.Settings.Node, Incarnation: c.Incarnation})
 	c.roles.ResignRole(p.RoleState, "test")
 	p.Forget(c.Now) // as when everything is read again
 	c.applier.ApplyPut(p.Key(), rec, ver)
@@ -170,7 +170,7 @@
 	c, p, m, _ := holder(t)
 	reports(c, 1, 11)
 	token := c.cluster.FencingToken(m)
-	c.Step(c.Now, message.CommandReply{Machine: m.Name, Token: token, Starts: true})
+	c.Step(c.Now, message.CommandReply{Machine: m.Name, FencingToken: token, StartsTasks: true})
 	for range 3 { // a tick comes each tenth of a second
 		c.Step(c.Now+micros.Second/10, message.Tick{})
 	}
@@ -198,7 +198,7 @@
 		}
 		if away { // lost and taken again
 			c.roles.LoseRole(p.RoleState, "test")
-			c.applier.ApplyPut(p.Key(), records.MustMarshal(leadership.Claim{Node: c.Settings.Node, Process: c.Incarnation}), 20)
+			c.applier.ApplyPut(p.Key(), records.MustMarshal(leadership.Claim{Node: c.Settings.Node, Incarnation: c.Incarnation}), 20)
 		}
 		c.reconciliation.observeIncarnation(m, 2)
 		if gone := len(m.TaskIDs) == 0; gone == away {
--- a/internal/core/worker_heartbeat.go
+++ b/internal/core/worker_heartbeat.go
@@ -37,7 +37,7 @@
 // answer deadline, answers 200: that keeps the worker's tasks alive.
 func (c *reconciler) handleWorkerHeartbeat(v message.WorkerHeartbeat) {
 	r := v.Heartbeat
-	c.workerReach.WorkerContact()
+	c.workerReach.ObserveWorkerContact()
 	if !c.cache.Synced {
 		c.Refuse(v.RequestID, 503, "the state service has not been read yet", 1)
 		return
@@ -118,7 +118,7 @@
 // handleCommandReply takes in the answer to commands sent directly.
 func (c *reconciler) handleCommandReply(v message.CommandReply) {
 	if v.Status != 0 {
-		c.workerReach.WorkerAnswered()
+		c.workerReach.ObserveWorkerReply()
 	}
 	answered := v.Status == 200 || v.Status == 409
 	m := c.cluster.Machines[v.Machine]
--- a/internal/leadership/role_test.go
+++ b/internal/leadership/role_test.go
@@ -10,8 +10,8 @@
 const second = 1_000_000
 
 var (
-	own   = Claim{Node: "ctl-a", Process: 7}
-	other = Claim{Node: "ctl-b", Process: 9}
+	own   = Claim{Node: "ctl-a", Incarnation: 7}
+	other = Claim{Node: "ctl-b", Incarnation: 9}
 )
 
 // held gives a holding that own holds under term 10.
--- a/internal/leadership/state.go
+++ b/internal/leadership/state.go
@@ -6,7 +6,7 @@
 // all that ever bore its name.
 type Claim struct {
 	Node    string `json:"n"`
-	Process uint64 `json:"i"`
+	Incarnation uint64 `json:"i"`
 }
 
 // RoleState is what one controller knows of a duty: who holds it, and whether that is
--- a/internal/message/messages.go
+++ b/internal/message/messages.go
@@ -49,8 +49,8 @@
 	// CommandReply answers SendCommands.
 	CommandReply struct {
 		Machine   string
-		Token     uint64
-		Starts    bool
+		FencingToken     uint64
+		StartsTasks    bool
 		Unsent    bool // too many were out: nothing left this process
 		Status    int
 		Heartbeat *api.Heartbeat
@@ -127,7 +127,7 @@
 	SendCommands struct {
 		Machine string
 		Addr    string
-		Starts  bool // it starts tasks
+		StartsTasks  bool // it starts tasks
 		Body    leadership.Order[api.CommandRequest]
 	}
 	// Broadcast sends a message to every other controller.
--- a/internal/planning/direct_commands.go
+++ b/internal/planning/direct_commands.go
@@ -23,7 +23,7 @@
 	if m.Address == "" || m.RecordChangePending() {
 		return
 	}
-	late := m.FirstHeartbeatAt > 0 && k.Now > m.LastSeenAt+k.Settings.HeartbeatDue()
+	late := m.FirstHeartbeatAt > 0 && k.Now > m.LastSeenAt+k.Settings.MaxHeartbeatInterval()
 	if cmds := k.directCommands(m); !m.TokenConfirmed || late || cmds != nil {
 		k.sendCommands(m, cmds)
 	}
@@ -57,13 +57,13 @@
 	}
 	body := api.CommandRequest{FencingToken: k.cluster.FencingToken(m), Incarnation: max(1, m.Incarnation), Commands: cmds}
 	starts := slices.ContainsFunc(cmds, func(o api.Command) bool { return o.Op == api.CommandStart })
-	k.Emit(message.SendCommands{Machine: m.Name, Addr: m.Address, Starts: starts, Body: leadership.NewOrder(k.storeLease.CommandGrant(k.cluster.Partitions[m.Record.Partition].RoleState), body)})
+	k.Emit(message.SendCommands{Machine: m.Name, Addr: m.Address, StartsTasks: starts, Body: leadership.NewOrder(k.storeLease.CommandGrant(k.cluster.Partitions[m.Record.Partition].RoleState), body)})
 }
 
 // SettleDirectStarts takes in what an answer, or its absence, says of the direct starts
 // that were sent with it.
 func (k *MachineManager) SettleDirectStarts(m *cluster.Machine, v message.CommandReply) {
-	if v.Status == 0 && v.Starts && !v.Unsent {
+	if v.Status == 0 && v.StartsTasks && !v.Unsent {
 		// The start may be carried out minutes late. A higher token, once
 		// the worker has seen it, makes that impossible.
 		m.StartOutcomeUnknown = true
@@ -72,7 +72,7 @@
 		return
 	}
 	for _, id := range m.TaskIDsCopy() { // nothing was carried out
-		if t := k.cluster.Jobs[id.Job].Task(id.Index); t.DirectStartToken == v.Token {
+		if t := k.cluster.Jobs[id.Job].Task(id.Index); t.DirectStartToken == v.FencingToken {
 			t.DirectStartToken = 0
 		}
 	}
--- a/internal/planning/isolation.go
+++ b/internal/planning/isolation.go
@@ -38,7 +38,7 @@
 			quiet = min(quiet, g.Now-max(g.workerReach.LastWorkerContactAt, p.AcquiredAt))
 		}
 	}
-	enough := g.Settings.SilenceTimeout() * 2 / 3
+	enough := g.Settings.HeartbeatTimeout() * 2 / 3
 	if up >= 2 {
 		enough = min(enough, max(5*micros.Second, 20*micros.FromSeconds(g.Settings.Deployment.Workers.ReportS)/micros.Micros(up)))
 	}
@@ -54,7 +54,7 @@
 	}
 	g.UnreachedSince = 0
 	g.workerReach.Isolate()
-	for _, h := range g.roles.All {
+	for _, h := range g.roles.Roles {
 		if h.Leads() {
 			g.roles.ResignRole(h, "no worker reaches this controller")
 		}
--- a/internal/planning/machine_manager.go
+++ b/internal/planning/machine_manager.go
@@ -30,7 +30,7 @@
 // ReconcileMachines looks after the machines of the partitions that we hold.
 func (k *MachineManager) ReconcileMachines() {
 	silent, up := 0, 0
-	silence := k.Settings.SilenceTimeout()
+	silence := k.Settings.HeartbeatTimeout()
 	for _, m := range k.cluster.MachinesByName {
 		p := k.cluster.LedPartition(m)
 		if p == nil {
@@ -38,7 +38,7 @@
 		}
 		if m.FirstHeartbeatAt > 0 {
 			up++
-			if k.Now > k.storeLease.SilenceCountsFrom(m.LastSeenAt)+silence*2/3 {
+			if k.Now > k.storeLease.MissedHeartbeatsCountFrom(m.LastSeenAt)+silence*2/3 {
 				silent++
 			}
 		}
@@ -107,15 +107,15 @@
 	if m.MachineType != nil {
 		boot = m.MachineType.BootS
 	}
-	waited := k.Now > k.storeLease.SilenceCountsFrom(m.AwaitedSince)+k.Settings.SilenceTimeout()+8*micros.Second
+	waited := k.Now > k.storeLease.MissedHeartbeatsCountFrom(m.AwaitedSince)+k.Settings.HeartbeatTimeout()+8*micros.Second
 	switch overdue := waited && k.boots.BootOverdue(m); {
 	case overdue && k.Now > m.LaunchedAt+micros.FromSeconds(boot*3+20):
 		return "never came up"
 	case overdue && !k.cluster.Partitions[m.Record.Partition].HasBlockedJobs:
 		return "overdue, and nothing waits for it"
-	case m.FirstHeartbeatAt > 0 && !cut && k.Now > k.storeLease.SilenceCountsFrom(m.LastSeenAt)+k.Settings.SilenceTimeout():
+	case m.FirstHeartbeatAt > 0 && !cut && k.Now > k.storeLease.MissedHeartbeatsCountFrom(m.LastSeenAt)+k.Settings.HeartbeatTimeout():
 		return "silent"
-	case m.IgnoringSince > 0 && k.Now > k.storeLease.SilenceCountsFrom(m.IgnoringSince)+k.Settings.SilenceTimeout()+micros.FromSeconds(k.Settings.Deployment.Workers.ReportS):
+	case m.IgnoringSince > 0 && k.Now > k.storeLease.MissedHeartbeatsCountFrom(m.IgnoringSince)+k.Settings.HeartbeatTimeout()+micros.FromSeconds(k.Settings.Deployment.Workers.ReportS):
 		return "ignores its commands"
 	}
 	return ""
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -278,7 +278,7 @@
 
 // push sends direct commands; a worker that hangs holds one of few places.
 func (s *Server) push(p message.SendCommands, decidedAt micros.Micros) {
-	out := message.CommandReply{Machine: p.Machine, Token: p.Body.Body().FencingToken, Starts: p.Starts}
+	out := message.CommandReply{Machine: p.Machine, FencingToken: p.Body.Body().FencingToken, StartsTasks: p.StartsTasks}
 	defer func() { s.feed(out) }()
 	select {
 	case s.pushes <- struct{}{}:
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -158,7 +158,7 @@
 			t.Errorf("an answer decided %d us ago leaves as %d, not %d", c.after, got, c.status)
 		}
 		body := leadership.NewOrder(leadership.SharedGrant(leadership.ForProbe, leadership.Command), api.CommandRequest{})
-		s.push(message.SendCommands{Machine: "n-1", Addr: worker.Addr().String(), Starts: true, Body: body}, 0)
+		s.push(message.SendCommands{Machine: "n-1", Addr: worker.Addr().String(), StartsTasks: true, Body: body}, 0)
 		out := (<-s.inputs).in.(message.CommandReply)
 		select {
 		case <-reached:
--- a/internal/simulation/digest_test.go
+++ b/internal/simulation/digest_test.go
@@ -136,7 +136,7 @@
 	case message.CloudCall:
 		add("cloud", v.Call, v.Op, v.Launch.Body(), v.Delete.Body(), v.After)
 	case message.SendCommands:
-		add("commands", v.Machine, v.Addr, v.Starts, v.Body.Body())
+		add("commands", v.Machine, v.Addr, v.StartsTasks, v.Body.Body())
 	case message.Broadcast:
 		// As on the wire: what a controller sends another is named by the tags of
 		// its fields, not by their names in Go.
--- a/internal/simulation/effects.go
+++ b/internal/simulation/effects.go
@@ -130,7 +130,7 @@
 // push carries commands to a worker.
 func (w *World) push(n *node, v message.SendCommands) {
 	back := w.once(n)
-	answer := message.CommandReply{Machine: v.Machine, Token: v.Body.Body().FencingToken, Starts: v.Starts}
+	answer := message.CommandReply{Machine: v.Machine, FencingToken: v.Body.Body().FencingToken, StartsTasks: v.StartsTasks}
 	unsent := answer
 	unsent.Unsent = true
 	w.depart(n, v.Body.Grant(), leadership.Command, func() { w.pushNow(n, v, answer, back) }, func() { back(unsent) })
