--- a/internal/leadership/grant.go
+++ b/internal/leadership/grant.go
@@ -6,86 +6,98 @@
 	"spurmoor/internal/micros"
 )
 
-// Action is what a grant permits.
+// Action is a kind of order that a grant permits.
 type Action uint8
 
-// Actions.
+// Actions. Their names are part of what operators read, see String.
 const (
-	// Write is a write of the holder's records to the state service.
+	// Write is a write of a leader's records to the key-value store.
 	Write Action = iota + 1
-	// Launch and Delete are requests to the cloud.
+	// Launch is a request to the cloud for machines.
 	Launch
+	// Delete is a request to the cloud to delete machines.
 	Delete
-	// Command sends commands to a worker, or answers its report.
+	// Command sends commands to a worker, or answers its heartbeat.
 	Command
 )
 
-var actionNames = map[Action]string{Write: "write", Launch: "rent", Delete: "delete", Command: "command"}
+var actionNames = map[Action]string{
+	Write:   "write",
+	Launch:  "rent",
+	Delete:  "delete",
+	Command: "command",
+}
 
-// String gives the action's name.
+// String returns the action's name as operators read it.
 func (a Action) String() string { return actionNames[a] }
 
-// Reason says why an order must not leave; empty: it may.
+// Reason says why an order must not leave this process; empty: it may.
 type Reason string
 
-// Reasons for refusing an order.
+// Reasons for refusing an order. Operators read them.
 const (
-	// NoGrant: the order was made without a grant.
+	// NoGrant means that the order was made without a grant.
 	NoGrant Reason = "no grant"
-	// WrongAction: the grant permits something else.
+	// WrongAction means that the grant permits another action.
 	WrongAction Reason = "grant for another action"
-	// GrantExpired: the time of the grant has run out.
+	// GrantExpired means that the grant's time has run out.
 	GrantExpired Reason = "expired"
-	// RoleEnded: the duty was given up or lost since.
+	// RoleEnded means that the role was resigned or lost since.
 	RoleEnded Reason = "duty ended"
 )
 
 // Purpose is what a shared grant is for.
 type Purpose uint8
 
-// Purposes for which every controller may act without holding a duty, and why that
-// is safe.
+// Purposes for which every controller may act without leading a role, and why that is
+// safe.
 const (
-	// ForUser: accepting or cancelling a job; guarded by the job's key.
+	// ForUser accepts or cancels a job; the write compares the job's key.
 	ForUser Purpose = iota + 1
-	// ForElection: taking a duty or giving it up; guarded by the duty's key.
+	// ForElection acquires or resigns a role; the write compares the role's key.
 	ForElection
-	// ForSchema: announcing which form this controller reads, under its own key.
+	// ForSchema announces which schema version this controller reads, under its own key.
 	ForSchema
-	// ForProbe: an empty direct command without a token, which no worker acts on.
+	// ForProbe sends an empty command without a fencing token, on which no worker acts.
 	ForProbe
-	// ForFleet: a duty of the fleet while it has no single holder, because the
-	// operators' settings or another controller's version do not know it. Such
-	// writes guard the keys that they change.
+	// ForFleet acts under a fleet role that has no single leader yet, because the
+	// operators' settings or another controller's version do not know it. Such writes
+	// compare the keys that they change.
 	ForFleet
 )
 
-var purposeNames = map[Purpose]string{ForUser: "users", ForElection: "elections", ForSchema: "schema", ForProbe: "probes", ForFleet: "fleet"}
+var purposeNames = map[Purpose]string{
+	ForUser:     "users",
+	ForElection: "elections",
+	ForSchema:   "schema",
+	ForProbe:    "probes",
+	ForFleet:    "fleet",
+}
 
-// leaderTerm is one holder's time in a duty, under one term. Ended is set by the state
-// machine and read by whoever sends orders.
+// leaderTerm is one controller's leadership of a role under one term. The state machine
+// sets ended; whoever sends orders reads it, in other goroutines.
 type leaderTerm struct {
 	role  Role
 	term  uint64
 	ended atomic.Bool
 }
 
-// Grant is the permission to do one thing until a time. Only a Holding gives one,
-// or Shared; the zero Grant permits nothing.
+// Grant is the permission for one action until a time. It comes from RoleState.Grant or
+// SharedGrant; the zero Grant permits nothing.
 type Grant struct {
-	leaderTerm *leaderTerm
+	leaderTerm *leaderTerm // nil: a shared grant, or the zero one
 	action     Action
 	grantedAt  micros.Micros
 	expiresAt  micros.Micros
-	purpose    Purpose
+	purpose    Purpose // of a shared grant
 }
 
-// SharedGrant gives the grant for what every controller may do.
+// SharedGrant returns the grant for what every controller may do. It does not expire.
 func SharedGrant(purpose Purpose, action Action) Grant {
 	return Grant{action: action, purpose: purpose}
 }
 
-// RoleName names the duty, or what the grant is shared for.
+// RoleName returns the name of the role, or of a shared grant's purpose.
 func (g Grant) RoleName() string {
 	if g.leaderTerm == nil {
 		return purposeNames[g.purpose]
@@ -93,7 +105,7 @@
 	return g.leaderTerm.role.String()
 }
 
-// Term is the term under which the duty is held; 0 for a shared grant.
+// Term returns the term under which the role is led; 0 for a shared grant.
 func (g Grant) Term() uint64 {
 	if g.leaderTerm == nil {
 		return 0
@@ -101,16 +113,16 @@
 	return g.leaderTerm.term
 }
 
-// Action is what the grant permits.
+// Action returns what the grant permits.
 func (g Grant) Action() Action { return g.action }
 
-// GrantedAt is when the grant was given; 0: a shared one, which has no time.
+// GrantedAt returns when the grant was given; 0 for a shared grant.
 func (g Grant) GrantedAt() micros.Micros { return g.grantedAt }
 
-// ExpiresAt is when the grant ends; 0: a shared one, which does not.
+// ExpiresAt returns when the grant ends; 0 for a shared grant, which does not.
 func (g Grant) ExpiresAt() micros.Micros { return g.expiresAt }
 
-// Check tells why something must not be done under the grant now; empty: it may be.
+// Check returns why an action must not be done under the grant now; empty if it may be.
 func (g Grant) Check(action Action, now micros.Micros) Reason {
 	switch {
 	case g.leaderTerm == nil && g.purpose == 0:
@@ -126,22 +138,3 @@
 	}
 	return ""
 }
-
-// Gate tells whether an order may leave now. It is asked right before the bytes do.
-type Gate func(grant Grant, action Action) error
-
-// Order is a request to the outside together with the grant that it is made under.
-// There is no other way to form one.
-type Order[T any] struct {
-	grant Grant
-	body  T
-}
-
-// NewOrder makes an order.
-func NewOrder[T any](grant Grant, body T) Order[T] { return Order[T]{grant, body} }
-
-// Grant is what the order was made under.
-func (o Order[T]) Grant() Grant { return o.grant }
-
-// Body is what is ordered.
-func (o Order[T]) Body() T { return o.body }
--- /dev/null
+++ b/internal/message/status_test.go
@@ -0,0 +1,31 @@
+package message
+
+import (
+	"net/http"
+	"testing"
+)
+
+// TestStatusesAreHTTPs guards the copies of HTTP's statuses against slips.
+func TestStatusesAreHTTPs(t *testing.T) {
+	t.Parallel()
+	for _, tc := range []struct {
+		name      string
+		got, want int
+	}{
+		{"OK", StatusOK, http.StatusOK},
+		{"Created", StatusCreated, http.StatusCreated},
+		{"BadRequest", StatusBadRequest, http.StatusBadRequest},
+		{"NotFound", StatusNotFound, http.StatusNotFound},
+		{"Conflict", StatusConflict, http.StatusConflict},
+		{"Gone", StatusGone, http.StatusGone},
+		{"MisdirectedRequest", StatusMisdirectedRequest, http.StatusMisdirectedRequest},
+		{"UnprocessableEntity", StatusUnprocessableEntity, http.StatusUnprocessableEntity},
+		{"TooManyRequests", StatusTooManyRequests, http.StatusTooManyRequests},
+		{"InternalServerError", StatusInternalServerError, http.StatusInternalServerError},
+		{"ServiceUnavailable", StatusServiceUnavailable, http.StatusServiceUnavailable},
+	} {
+		if tc.got != tc.want {
+			t.Errorf("Status%s is %d, want %d", tc.name, tc.got, tc.want)
+		}
+	}
+}
