--- a/internal/logkey/logkey.go
+++ b/internal/logkey/logkey.go
@@ -1,4 +1,5 @@
-// Package logkey is the vocabulary of the keys of log lines.
+// Package logkey has the keys of log lines, so that a thing has the same key in every
+// line.
 package logkey
 
 // Keys of log lines. Those that end in _s are in seconds.
--- a/internal/micros/micros.go
+++ b/internal/micros/micros.go
@@ -1,7 +1,7 @@
-// Package micros gives the one unit that all times are in: whole microseconds. A Micros
-// is an instant, counted from the start of 1970 by a controller's own steady clock, or
-// a span between two instants; as with integers, the difference of two instants is a
-// span.
+// Package micros has the one unit of all times in this program: whole microseconds. A
+// Micros is an instant, counted from the start of 1970 by a controller's own steady
+// clock, or a span between two instants. As with integers, the difference of two
+// instants is a span.
 package micros
 
 import "math/rand/v2"
@@ -9,27 +9,29 @@
 // Micros is an instant or a span in whole microseconds.
 type Micros int64
 
-// Spans.
+// Common spans.
 const (
 	Microsecond Micros = 1
 	Millisecond        = 1000 * Microsecond
 	Second             = 1000 * Millisecond
 )
 
-// FromSeconds gives a span of so many seconds, rounded towards zero.
+// FromSeconds returns a span of so many seconds, rounded towards zero.
 func FromSeconds(seconds float64) Micros { return Micros(seconds * float64(Second)) }
 
-// FromMilliseconds gives a span of so many milliseconds.
+// FromMilliseconds returns a span of so many milliseconds.
 func FromMilliseconds(milliseconds int) Micros { return Micros(milliseconds) * Millisecond }
 
-// Seconds gives a span in seconds.
+// Seconds returns a span in seconds.
 func (m Micros) Seconds() float64 { return float64(m) / float64(Second) }
 
-// WholeSeconds gives how many whole seconds a span holds.
+// WholeSeconds returns how many whole seconds a span holds, rounded towards zero.
 func (m Micros) WholeSeconds() int64 { return int64(m / Second) }
 
-// Milliseconds gives how many whole milliseconds a span holds.
+// Milliseconds returns how many whole milliseconds a span holds, rounded towards zero.
 func (m Micros) Milliseconds() int64 { return int64(m / Millisecond) }
 
-// Random gives a span from zero to just below limit, which must be positive.
-func Random(random *rand.Rand, limit Micros) Micros { return Micros(random.Int64N(int64(limit))) }
+// Random returns a span from zero to just below limit, which must be positive.
+func Random(random *rand.Rand, limit Micros) Micros {
+	return Micros(random.Int64N(int64(limit)))
+}
--- a/internal/micros/micros_test.go
+++ b/internal/micros/micros_test.go
@@ -5,18 +5,23 @@
 	"testing"
 )
 
+// TestConversions guards the roundings, which are towards zero.
 func TestConversions(t *testing.T) {
 	t.Parallel()
-	for _, c := range []struct {
+	for _, tc := range []struct {
 		seconds float64
 		want    Micros
 		whole   int64
 	}{
-		{0, 0, 0}, {1.5, 1_500_000, 1}, {-1.5, -1_500_000, -1}, {0.000_000_9, 0, 0}, {60, 60 * Second, 60},
+		{0, 0, 0},
+		{1.5, 1_500_000, 1},
+		{-1.5, -1_500_000, -1},
+		{0.000_000_9, 0, 0},
+		{60, 60 * Second, 60},
 	} {
-		got := FromSeconds(c.seconds)
-		if got != c.want || got.WholeSeconds() != c.whole {
-			t.Errorf("%v s: %d, %d whole seconds", c.seconds, got, got.WholeSeconds())
+		got := FromSeconds(tc.seconds)
+		if got != tc.want || got.WholeSeconds() != tc.whole {
+			t.Errorf("%v s: %d, %d whole seconds", tc.seconds, got, got.WholeSeconds())
 		}
 	}
 	if span := FromMilliseconds(2500); span.Seconds() != 2.5 || span.Milliseconds() != 2500 {
@@ -24,6 +29,7 @@
 	}
 }
 
+// TestRandomStaysBelowItsLimit guards against a span as long as its limit.
 func TestRandomStaysBelowItsLimit(t *testing.T) {
 	t.Parallel()
 	random := rand.New(rand.NewPCG(1, 2))
