--- a/internal/coordination/order_audit.go
+++ b/internal/coordination/order_audit.go
@@ -1,17 +1,20 @@
 package coordination
 
 import (
+	"cmp"
 	"maps"
 	"slices"
 
-	"spurmoor/internal/message"
-
 	"spurmoor/internal/leadership"
+	"spurmoor/internal/message"
 	"spurmoor/internal/micros"
 )
 
-// OrderAudit counts the orders that did not leave this process because their grants did
-// not permit them any more.
+// refusalLogInterval is how long refusals are gathered for one line in the log.
+const refusalLogInterval = micros.Second
+
+// OrderAudit counts the orders that did not leave this process because their grants no
+// longer permitted them.
 type OrderAudit struct {
 	*Environment
 
@@ -22,7 +25,11 @@
 
 // NewOrderAudit makes an order audit.
 func NewOrderAudit(env *Environment) *OrderAudit {
-	return &OrderAudit{Environment: env, total: map[refusedOrder]int{}, burst: map[refusedOrder]int{}}
+	return &OrderAudit{
+		Environment: env,
+		total:       map[refusedOrder]int{},
+		burst:       map[refusedOrder]int{},
+	}
 }
 
 // refusedOrder is what refused orders are counted by.
@@ -32,51 +39,37 @@
 	reason leadership.Reason
 }
 
-func compareRefusedOrders(a, b refusedOrder) int {
-	if a.role != b.role {
-		return compareStrings(a.role, b.role)
-	}
-	if a.action != b.action {
-		return int(a.action) - int(b.action)
-	}
-	return compareStrings(string(a.reason), string(b.reason))
-}
+// label names the action and the reason, as operators read them.
+func (o refusedOrder) label() string { return o.action.String() + ", " + string(o.reason) }
 
-func compareStrings(a, b string) int {
-	switch {
-	case a < b:
-		return -1
-	case a > b:
-		return 1
-	}
-	return 0
+func compareRefusedOrders(left, right refusedOrder) int {
+	return cmp.Or(
+		cmp.Compare(left.role, right.role),
+		cmp.Compare(left.action, right.action),
+		cmp.Compare(left.reason, right.reason),
+	)
 }
 
-// refusalLogInterval is how long refusals are gathered for one line in the log.
-const refusalLogInterval = micros.Second
-
 // CountRefusedOrder counts a refused order.
-func (a *OrderAudit) CountRefusedOrder(v message.OrderRefused) {
-	r := a
-	k := refusedOrder{role: v.Role, action: v.Action, reason: v.Reason}
-	r.total[k]++
-	r.burst[k]++
-	if r.nextLogAt == 0 {
-		r.nextLogAt = a.Now + refusalLogInterval
+func (a *OrderAudit) CountRefusedOrder(refused message.OrderRefused) {
+	order := refusedOrder{role: refused.Role, action: refused.Action, reason: refused.Reason}
+	a.total[order]++
+	a.burst[order]++
+	if a.nextLogAt == 0 {
+		a.nextLogAt = a.Now + refusalLogInterval
 	}
 }
 
-// LogRefusedOrders logs a burst of refusals in one line.
+// LogRefusedOrders logs a burst of refusals in one line, once it is due.
 func (a *OrderAudit) LogRefusedOrders() {
-	r := a
-	if r.nextLogAt == 0 || a.Now < r.nextLogAt {
+	if a.nextLogAt == 0 || a.Now < a.nextLogAt {
 		return
 	}
-	r.nextLogAt = 0
+	a.nextLogAt = 0
 	var args []any
-	for _, k := range slices.SortedFunc(maps.Keys(r.burst), compareRefusedOrders) {
-		args = append(args, k.role+" "+k.action.String()+", "+string(k.reason), r.burst[k])
+	for _, order := range slices.SortedFunc(maps.Keys(a.burst), compareRefusedOrders) {
+		args = append(args, order.role+" "+order.label(), a.burst[order])
 	}
-	clear(r.burst)
+	clear(a.burst)
 	a.LogWarn("orders refused", args...)
 }
--- a/internal/coordination/store_health.go
+++ b/internal/coordination/store_health.go
@@ -9,10 +9,8 @@
 type StoreHealth struct {
 	*Environment
 
-	lastReplyAt      micros.Micros
-	UnavailableSince micros.Micros // when it last began not to answer; 0: it answers
-	// Refusing: since it began to fail some of it were answers, not silence.
-	Refusing bool
+	UnavailableSince micros.Micros // when it stopped answering; 0: it answers
+	Refusing         bool          // since then some calls failed by an answer, not for want of one
 }
 
 // NewStoreHealth makes a store health.
@@ -20,15 +18,15 @@
 
 // ObserveStoreReply takes in what a reply, or its absence, says of whether the store
 // answers.
-func (h *StoreHealth) ObserveStoreReply(r *message.StoreReply) {
+func (h *StoreHealth) ObserveStoreReply(reply *message.StoreReply) {
 	switch {
-	case r.Unsent: // says nothing of the store
-	case r.Status == 0 || r.Status >= 500:
-		h.Refusing = h.Refusing || r.Status != 0
+	case reply.Unsent: // says nothing of the store
+	case reply.Status == message.StatusNoReply || reply.Status >= message.StatusInternalServerError:
+		h.Refusing = h.Refusing || reply.Status != message.StatusNoReply
 		if h.UnavailableSince == 0 {
 			h.UnavailableSince = h.Now
 		}
-	case r.Status != 429:
-		h.lastReplyAt, h.UnavailableSince, h.Refusing = h.Now, 0, false
+	case reply.Status != message.StatusTooManyRequests:
+		h.UnavailableSince, h.Refusing = 0, false
 	}
 }
--- a/internal/coordination/watch_cache.go
+++ b/internal/coordination/watch_cache.go
@@ -6,162 +6,167 @@
 	"spurmoor/internal/micros"
 )
 
+const (
+	// MaxReadAge is how old a read may be when a user is answered from it.
+	MaxReadAge = micros.Second
+
+	// watchRetryInterval is how long after a failed list or watch the next is sent,
+	// before jitter.
+	watchRetryInterval = micros.Second / 2
+
+	// readIntervalsPerWatch is how many read intervals lie between the reply to a watch
+	// and the next watch.
+	readIntervalsPerWatch = 2
+)
+
 // WatchCache follows the live keys of the key-value store: it lists them once, watches
-// their changes and hands both to a sink, and reads at once for those who must not be
-// told anything older than their question.
+// their changes and hands both to a sink. It also reads at once for those who must not
+// be given anything older than their question.
 type WatchCache struct {
 	*Environment
 	Sink recordSink // set once the sink, which reads from here, is made
 
-	Synced      bool
-	Revision    uint64
-	CurrentAsOf micros.Micros // all that was committed before then was taken in
+	Synced      bool          // all keys are listed, and the changes since are known
+	Revision    uint64        // up to which changes were applied
+	CurrentAsOf micros.Micros // all that was committed before then was applied
 
-	pendingReads  []func(ok bool) // wait for a read begun after they asked
+	pendingReads  []func(ok bool) // wait for a read sent after they asked
 	readInFlight  bool
 	watchInFlight bool
-	nextWatchAt   micros.Micros
+	nextWatchAt   micros.Micros // of the next list too
 	nextReadAt    micros.Micros
-	relist        *relist // nil: the keys are not being listed
+	listing       *listing // nil: the keys are not being listed
 }
 
 // NewWatchCache makes a watch cache.
 func NewWatchCache(env *Environment) *WatchCache { return &WatchCache{Environment: env} }
 
-// recordSink takes in what the watch cache reads, in the order of its revisions.
+// recordSink is given what the watch cache reads, in the order of its revisions.
 type recordSink interface {
-	// ReplaceAll takes in all live keys in place of what was known before.
+	// ReplaceAll gives all live keys, in place of what was known before.
 	ReplaceAll(pairs []api.KeyValue)
+	// ApplyPut gives a key's new value, and its version.
 	ApplyPut(key string, value []byte, version uint64)
+	// ApplyDelete reports that a key was deleted, at a version.
 	ApplyDelete(key string, version uint64)
-	// Synchronized tells that all keys and the changes since were taken in.
+	// Synchronized reports that all keys and the changes since were given.
 	Synchronized(revision uint64, keys int)
 }
 
-// relist is a reading of all keys, after the start or when the log of
-// changes no longer reaches back.
-type relist struct {
-	revision uint64
-	items    []api.KeyValue
+// ReadLatest calls done after a read of the store that was sent after now. done is
+// given false if there was no such read, or its reply came too late to be told to a
+// user; it may be called before ReadLatest returns.
+func (w *WatchCache) ReadLatest(done func(ok bool)) {
+	if !w.Synced {
+		done(false)
+		return
+	}
+	w.pendingReads = append(w.pendingReads, done)
 }
 
-// MaintainWatch keeps one watch open, and reads at once for those who wait.
+// MaintainWatch keeps one watch open and sends the reads that are waited for. Until all
+// keys are listed it lists them instead.
 func (w *WatchCache) MaintainWatch() {
 	if !w.Synced {
-		// Who waits for a read is told at once that there is none: reading
-		// everything again may take as long as an outage lasts.
-		waiting := w.pendingReads
-		w.pendingReads = nil
-		for _, f := range waiting {
-			f(false)
-		}
-		if w.relist == nil && w.Now >= w.nextWatchAt {
-			w.relist = &relist{}
-			w.listNextPage("")
-		}
+		w.failPendingReads()
+		w.startListing()
 		return
 	}
-	if len(w.pendingReads) > 0 && !w.readInFlight && w.Now >= w.nextReadAt {
-		w.readInFlight = true
-		waiting := w.pendingReads
-		w.pendingReads = nil
-		w.nextReadAt = w.Now + w.Settings.readInterval()
-		began := w.Now
-		w.CallStore(message.StoreCall{Op: message.OpWatch, Since: w.Revision, Urgent: true}, func(r *message.StoreReply) {
-			w.readInFlight = false
-			// An answer held back by the network says how things were: its
-			// asker may have been told of a cancellation elsewhere since.
-			ok := w.ApplyWatchReply(r, began) && w.Now < began+MaxReadAge
-			for _, f := range waiting {
-				f(ok)
-			}
-		})
+	w.startRead()
+	w.startWatch()
+}
+
+// failPendingReads tells at once those who wait for a read that there is none: listing
+// all keys again may take as long as an outage lasts.
+func (w *WatchCache) failPendingReads() {
+	for _, done := range w.takePendingReads() {
+		done(false)
 	}
-	if !w.watchInFlight && w.Now >= w.nextWatchAt {
-		w.watchInFlight = true
-		began := w.Now
-		w.CallStore(message.StoreCall{Op: message.OpWatch, Since: w.Revision, WaitMs: int(w.Settings.watchTimeout().Milliseconds())}, func(r *message.StoreReply) {
-			w.watchInFlight = false
-			w.nextWatchAt = w.Now + 2*w.Settings.readInterval()
-			if !w.ApplyWatchReply(r, began) && w.Synced {
-				w.nextWatchAt = w.Now + w.Jitter(micros.Second/2)
-			}
-		})
+}
+
+// takePendingReads returns those who wait for a read. Whoever asks from now on waits
+// for the next one.
+func (w *WatchCache) takePendingReads() []func(ok bool) {
+	waiting := w.pendingReads
+	w.pendingReads = nil
+	return waiting
+}
+
+// startRead reads for those who wait, if the time between two reads has passed.
+func (w *WatchCache) startRead() {
+	if len(w.pendingReads) == 0 || w.readInFlight || w.Now < w.nextReadAt {
+		return
 	}
+	w.readInFlight = true
+	w.nextReadAt = w.Now + w.Settings.readInterval()
+	waiting, sentAt := w.takePendingReads(), w.Now
+	call := message.StoreCall{Op: message.OpWatch, Since: w.Revision, Urgent: true}
+	w.CallStore(call, func(reply *message.StoreReply) { w.finishRead(reply, sentAt, waiting) })
 }
 
-// MaxReadAge is how old a read may be when it is told to a user.
-const MaxReadAge = micros.Second
+// finishRead applies the reply to a read and tells those who wait for it.
+func (w *WatchCache) finishRead(reply *message.StoreReply, sentAt micros.Micros, waiting []func(ok bool)) {
+	w.readInFlight = false
+	// A reply that the network held back shows how things were: its asker may have been
+	// told of a cancellation by another controller since.
+	ok := w.ApplyWatchReply(reply, sentAt) && w.Now < sentAt+MaxReadAge
+	for _, done := range waiting {
+		done(ok)
+	}
+}
 
-// ReadLatest calls f after a read of the state service that began after now.
-func (w *WatchCache) ReadLatest(f func(ok bool)) {
-	if !w.Synced {
-		f(false)
+// startWatch opens the watch, if none is open and the next is due.
+func (w *WatchCache) startWatch() {
+	if w.watchInFlight || w.Now < w.nextWatchAt {
 		return
 	}
-	w.pendingReads = append(w.pendingReads, f)
+	w.watchInFlight = true
+	sentAt := w.Now
+	waitMs := int(w.Settings.watchTimeout().Milliseconds())
+	call := message.StoreCall{Op: message.OpWatch, Since: w.Revision, WaitMs: waitMs}
+	w.CallStore(call, func(reply *message.StoreReply) { w.finishWatch(reply, sentAt) })
 }
 
-// listNextPage reads all keys, page by page, and then the changes since the
-// first page: only both together show one state.
-func (w *WatchCache) listNextPage(after string) {
-	l := w.relist
-	fail := func() {
-		w.relist = nil
-		w.nextWatchAt = w.Now + w.Jitter(micros.Second/2)
+// finishWatch applies the reply to a watch and sets the time of the next.
+func (w *WatchCache) finishWatch(reply *message.StoreReply, sentAt micros.Micros) {
+	w.watchInFlight = false
+	w.nextWatchAt = w.Now + readIntervalsPerWatch*w.Settings.readInterval()
+	if !w.ApplyWatchReply(reply, sentAt) && w.Synced {
+		w.retryLater()
 	}
-	w.CallStore(message.StoreCall{Op: message.OpList, Key: after}, func(r *message.StoreReply) {
-		if r.Status != 200 {
-			fail()
-			return
-		}
-		if l.revision == 0 {
-			l.revision = r.Page.Revision
-		}
-		l.items = append(l.items, r.Page.Pairs...)
-		if n := len(r.Page.Pairs); r.Page.More && n > 0 {
-			w.listNextPage(r.Page.Pairs[n-1].Key)
-			return
-		}
-		began := w.Now
-		w.CallStore(message.StoreCall{Op: message.OpWatch, Since: l.revision, Urgent: true}, func(r *message.StoreReply) {
-			if r.Status != 200 {
-				fail()
-				return
-			}
-			w.Sink.ReplaceAll(l.items)
-			w.relist = nil
-			w.Revision = l.revision
-			w.ApplyWatchReply(r, began)
-			w.Synced = true
-			w.Sink.Synchronized(w.Revision, len(l.items))
-		})
-	})
 }
 
-// ApplyWatchReply takes in a log of changes that was asked for at a time; it tells
-// whether the replica is now as new as the answer.
-func (w *WatchCache) ApplyWatchReply(r *message.StoreReply, began micros.Micros) bool {
-	if r.Status == 410 {
+// retryLater sets the time of the next watch or list after one that failed.
+func (w *WatchCache) retryLater() { w.nextWatchAt = w.Now + w.Jitter(watchRetryInterval) }
+
+// ApplyWatchReply applies the changes in the reply to a watch that was sent at a time.
+// It reports whether the cache is now as new as the reply. When the store no longer
+// has the changes since our revision, all keys are listed again.
+func (w *WatchCache) ApplyWatchReply(reply *message.StoreReply, sentAt micros.Micros) bool {
+	switch reply.Status {
+	case message.StatusOK:
+	case message.StatusGone:
 		w.Synced = false
 		return false
-	}
-	if r.Status != 200 {
+	default:
 		return false
 	}
-	for _, e := range r.Watch.Events {
-		if e.Version <= w.Revision {
-			// Of two answers that overtook each other the older says nothing
-			// new: it once brought back a job that was over.
-			continue
-		}
-		if e.Delete != "" {
-			w.Sink.ApplyDelete(e.Delete, e.Version)
-		} else {
-			w.Sink.ApplyPut(e.Put, e.Value, e.Version)
-		}
+	for _, event := range reply.Watch.Events {
+		w.applyEvent(event)
 	}
-	w.Revision = max(w.Revision, r.Watch.Revision)
-	w.CurrentAsOf = max(w.CurrentAsOf, began)
+	w.Revision = max(w.Revision, reply.Watch.Revision)
+	w.CurrentAsOf = max(w.CurrentAsOf, sentAt)
 	return true
 }
+
+// applyEvent applies one change, unless it was applied before: of two replies that
+// overtook each other, the older once brought back a job that had ended.
+func (w *WatchCache) applyEvent(event api.Event) {
+	switch {
+	case event.Version <= w.Revision:
+	case event.Delete != "":
+		w.Sink.ApplyDelete(event.Delete, event.Version)
+	default:
+		w.Sink.ApplyPut(event.Put, event.Value, event.Version)
+	}
+}
--- a/internal/coordination/worker_reach.go
+++ b/internal/coordination/worker_reach.go
@@ -2,32 +2,35 @@
 
 import "spurmoor/internal/micros"
 
+// isolationDuration is for how long a controller that no worker reaches acquires no
+// role.
+const isolationDuration = 20 * micros.Second
+
 // WorkerReach is whether workers reach this controller.
 type WorkerReach struct {
 	*Environment
 
-	LastWorkerContactAt micros.Micros // any worker, of whatever partition
-	IsolatedFromWorkers bool          // no worker reached us; none has answered since
-	NoFailoverBefore    micros.Micros // no partition is taken over before this
+	LastWorkerContactAt micros.Micros // of any worker, of whatever partition
+	IsolatedFromWorkers bool          // no worker reached us, and none has answered since
+	NoFailoverBefore    micros.Micros // until then no role is acquired
 }
 
 // NewWorkerReach makes a worker reach.
 func NewWorkerReach(env *Environment) *WorkerReach { return &WorkerReach{Environment: env} }
 
-// isolationDuration is how long a controller that no worker reaches takes no role.
-const isolationDuration = 20 * micros.Second
-
 // ObserveWorkerContact notes that a worker reached us, of whatever partition.
 func (r *WorkerReach) ObserveWorkerContact() { r.LastWorkerContactAt = r.Now }
 
 // ObserveWorkerReply notes that a worker answered a direct command.
 func (r *WorkerReach) ObserveWorkerReply() {
-	r.LastWorkerContactAt, r.IsolatedFromWorkers = r.Now, false
+	r.LastWorkerContactAt = r.Now
+	r.IsolatedFromWorkers = false
 }
 
-// Isolate notes that no worker reaches us: no role is taken for a while.
+// Isolate notes that no worker reaches us: no role is acquired for a while.
 func (r *WorkerReach) Isolate() {
-	r.NoFailoverBefore, r.IsolatedFromWorkers = r.Now+isolationDuration, true
+	r.NoFailoverBefore = r.Now + isolationDuration
+	r.IsolatedFromWorkers = true
 }
 
 // EndIsolation notes that there is no worker to be reached.
--- a/internal/coordination/write_budget.go
+++ b/internal/coordination/write_budget.go
@@ -2,57 +2,84 @@
 
 import "spurmoor/internal/micros"
 
-// WriteBudget is how many changes a controller may make: a share of what the
-// state service admits, by the partitions held. Users' accepts and cancellations
-// are not held back by it but count, so that they never wait behind flushes.
+const (
+	// CommitBatchWait is how long a commit may wait until the budget holds all terminal
+	// states that are due, as far as one transaction does: each commit costs a log entry
+	// beside them. With four one-task jobs a second over 18 changes a second the entries
+	// took what the terminal states needed.
+	CommitBatchWait = micros.Second * 8 / 5
+
+	// CancelledTerminalWait is how long the terminal state of a cancelled job may wait
+	// for a budget that others need.
+	CancelledTerminalWait = 300 * micros.Second
+
+	// minBudgetCapacity is how many changes the budget holds at least, so that one
+	// transaction with a few of them fits at any rate.
+	minBudgetCapacity = 6
+
+	// rateMeasureInterval is how often the rate of changes is measured.
+	rateMeasureInterval = micros.Second
+
+	// newestRateWeight is what the newest interval counts in the running average of the
+	// rate of changes.
+	newestRateWeight = 0.5
+
+	// maxDebtSeconds bounds the debt that changes for users leave, in seconds of what the
+	// store admits.
+	maxDebtSeconds = 0.5
+)
+
+// WriteBudget is a token bucket for the changes that a controller makes to the store: a
+// share of what the store admits, by the partitions that it leads. Accepting and
+// cancelling users' jobs does not wait for the budget but is charged to it, so that
+// users never wait behind commits.
 type WriteBudget struct {
 	*Environment
 
-	Available     float64
-	refilledAt    micros.Micros
-	Capacity      float64 // that it may hold
-	spent         float64 // spent in all
-	measuredSpent float64 // of it, when it was looked at last
+	Available  float64 // changes that may be made now; below 0 after many for users
+	Capacity   float64 // the most that Available grows to
+	refilledAt micros.Micros
+
+	spent         float64 // changes made in all
+	spentMeasured float64 // of them, those counted in spendRate
 	measuredAt    micros.Micros
-	spendRate     float64 // spent a second of late
+	spendRate     float64 // changes made of late, a second
 }
 
 // NewWriteBudget makes a write budget.
 func NewWriteBudget(env *Environment) *WriteBudget { return &WriteBudget{Environment: env} }
 
-// CommitBatchWait is how long a flush may wait for its budget to hold all ends that are
-// due, as far as a transaction does: each costs an entry beside them. With four
-// one-task jobs a second over 18 changes the entries took what the ends needed.
-const CommitBatchWait = micros.Second * 8 / 5
-
-// CancelledTerminalWait is how long the final state of a cancelled job may wait for a budget
-// that others need.
-const CancelledTerminalWait = 300 * micros.Second
-
-// RefillBudget adds what the time since the last call allows at a rate of changes a second.
+// RefillBudget adds what the time since the last call allows, at a rate of changes a
+// second. The budget holds what a second adds.
 func (b *WriteBudget) RefillBudget(rate float64) {
-	b.Capacity = max(rate, 6)
+	b.Capacity = max(rate, minBudgetCapacity)
 	b.Available = min(b.Capacity, b.Available+rate*(b.Now-b.refilledAt).Seconds())
 	b.refilledAt = b.Now
 }
 
-// Charge counts changes that were held back until the budget had room for them.
-func (b *WriteBudget) Charge(n int) {
-	b.Available -= float64(n)
-	b.spent += float64(n)
+// Charge counts changes that waited until the budget had room for them.
+func (b *WriteBudget) Charge(changes int) {
+	b.Available -= float64(changes)
+	b.spent += float64(changes)
+}
+
+// ChargeWrites counts changes that did not wait for the budget, as those for users. The
+// debt is bounded, so that commits go on soon after.
+func (b *WriteBudget) ChargeWrites(changes int) {
+	maxDebt := b.Settings.Deployment.Store.WriteRPS * maxDebtSeconds
+	b.spent += float64(changes)
+	b.Available = max(-maxDebt, b.Available-float64(changes))
 }
 
-// MeasureWriteRate gives how many changes a second were made of late.
+// MeasureWriteRate returns how many changes a second were made of late: a running
+// average over intervals of at least rateMeasureInterval.
 func (b *WriteBudget) MeasureWriteRate() float64 {
-	if w := b; b.Now >= w.measuredAt+micros.Second {
-		w.spendRate = (w.spendRate + (w.spent-w.measuredSpent)*float64(micros.Second)/float64(b.Now-w.measuredAt)) / 2
-		w.measuredSpent, w.measuredAt = w.spent, b.Now
+	elapsed := b.Now - b.measuredAt
+	if elapsed < rateMeasureInterval {
+		return b.spendRate
 	}
+	rate := (b.spent - b.spentMeasured) * float64(micros.Second) / float64(elapsed)
+	b.spendRate = (1-newestRateWeight)*b.spendRate + newestRateWeight*rate
+	b.spentMeasured, b.measuredAt = b.spent, b.Now
 	return b.spendRate
 }
-
-// ChargeWrites counts changes made for users.
-func (b *WriteBudget) ChargeWrites(n int) {
-	b.spent += float64(n)
-	b.Available = max(-b.Settings.Deployment.Store.WriteRPS/2, b.Available-float64(n))
-}
