--- a/internal/coordination/schema.go
+++ b/internal/coordination/schema.go
@@ -9,18 +9,29 @@
 	"spurmoor/internal/records"
 )
 
-// SchemaTracker is which forms of records the controllers read, and the announcement of
-// ours.
+const (
+	// schemaRetryInterval is how long after an announcement the next is made, if it
+	// failed.
+	schemaRetryInterval = 5 * micros.Second
+
+	// schemaReportTimeout is how old another controller's heartbeat may be while its
+	// word that it does not read a schema version counts.
+	schemaReportTimeout = 5 * micros.Second
+)
+
+// SchemaTracker is which schema version of the records each controller reads, and the
+// announcement of ours. A record's new form is written only once all controllers read
+// it.
 type SchemaTracker struct {
 	*Environment
 	budget *WriteBudget
 	cache  *WatchCache
 	peers  *PeerTracker
 
-	schemaVersions           map[string]int // by controller, the newest form that it is known to read
+	schemaVersions           map[string]int // by node, the newest that its controller was seen to read
 	NextSchemaAnnouncementAt micros.Micros
 	schemaKeyVersion         uint64 // of the key of our own announcement
-	schemaAgreed             bool   // all read ours; said so
+	schemaAgreed             bool   // all controllers read our version, as last logged
 }
 
 // NewSchemaTracker makes a schema tracker.
@@ -28,64 +39,82 @@
 	return &SchemaTracker{Environment: env, budget: budget, cache: cache, peers: peers, schemaVersions: map[string]int{}}
 }
 
-// ObserveSchema takes in that a controller reads a form of records.
-func (s *SchemaTracker) ObserveSchema(node string, form int) {
-	s.schemaVersions[node] = max(s.schemaVersions[node], form)
+// ObserveSchema notes that a controller reads a schema version.
+func (s *SchemaTracker) ObserveSchema(node string, schemaVersion int) {
+	s.schemaVersions[node] = max(s.schemaVersions[node], schemaVersion)
 }
 
-// ObserveSchemaKey takes in the version of the key of our own announcement.
+// ObserveSchemaKey notes the version of the key of our own announcement.
 func (s *SchemaTracker) ObserveSchemaKey(version uint64) {
 	s.schemaKeyVersion = max(s.schemaKeyVersion, version)
 }
 
-// readsSchema tells whether a controller reads a form. One that says that it does
-// not, now, is believed: it was put back.
-func (s *SchemaTracker) readsSchema(node string, form int) bool {
-	if h := s.peers.ByNode[node]; h != nil && h.schemaVersion < form && s.Now < h.LastHeartbeatAt+5*micros.Second {
-		return false
-	}
-	return node == s.Settings.Node || s.schemaVersions[node] >= form
-}
-
-// AllReadSchema tells whether all controllers read a form.
-func (s *SchemaTracker) AllReadSchema(form int) bool {
+// AllReadSchema reports whether all controllers read a schema version.
+func (s *SchemaTracker) AllReadSchema(schemaVersion int) bool {
 	for _, node := range s.Settings.Nodes {
-		if !s.readsSchema(node, form) {
+		if !s.readsSchema(node, schemaVersion) {
 			return false
 		}
 	}
 	return true
 }
 
-// schemaRetryInterval is how long after an announcement the next is made, if it failed.
-const schemaRetryInterval = 5 * micros.Second
+// readsSchema reports whether a controller reads a schema version. One whose latest
+// heartbeat says that it does not has been downgraded, whatever it announced before.
+func (s *SchemaTracker) readsSchema(node string, schemaVersion int) bool {
+	status := s.peers.ByNode[node]
+	if status != nil && status.schemaVersion < schemaVersion && s.Now < status.LastHeartbeatAt+schemaReportTimeout {
+		return false
+	}
+	return node == s.Settings.Node || s.schemaVersions[node] >= schemaVersion
+}
+
+// RecordsRequests reports whether requests for machines are recorded before they are
+// sent: if the operators want it and every controller reads the record.
+func (s *SchemaTracker) RecordsRequests() bool {
+	return s.Settings.Operators.Roles.RecordRequests && s.AllReadSchema(records.SchemaRoles)
+}
 
-// AnnounceSchema keeps in the state service that this controller reads its form: one
-// that starts while another is away could else not know it of that one.
+// AnnounceSchema announces in the key-value store which schema version this controller
+// reads: a controller that starts while another is down learns that one's from there.
 func (s *SchemaTracker) AnnounceSchema() {
 	if !s.cache.Synced {
 		return
 	}
-	if all := s.AllReadSchema(records.SchemaVersion); all != s.schemaAgreed {
-		s.schemaAgreed = all
-		s.LogInfo("schema agreed by all controllers", logkey.Schema, records.SchemaVersion, logkey.All, all)
-	}
+	s.logAgreement()
 	if s.schemaVersions[s.Settings.Node] >= records.SchemaVersion || s.Now < s.NextSchemaAnnouncementAt {
 		return
 	}
 	s.NextSchemaAnnouncementAt = s.Now + schemaRetryInterval
-	key, rec := records.SchemaKey+s.Settings.Node, records.MustMarshal(records.SchemaRecord{SchemaVersion: records.SchemaVersion, Release: records.Version})
 	s.budget.ChargeWrites(1)
-	req := &api.Transaction{Compares: []api.Compare{{Key: key, Version: s.schemaKeyVersion}}, Writes: []api.Write{{Put: key, Value: rec}}}
-	s.CallStore(message.StoreCall{Op: message.OpTransaction, Transaction: leadership.NewOrder(leadership.SharedGrant(leadership.ForSchema, leadership.Write), req)}, func(r *message.StoreReply) {
-		if r.Status == 200 {
-			s.ObserveSchema(s.Settings.Node, records.SchemaVersion)
-		}
-	})
+	grant := leadership.SharedGrant(leadership.ForSchema, leadership.Write)
+	order := leadership.NewOrder(grant, s.announcement())
+	s.CallStore(message.StoreCall{Op: message.OpTransaction, Transaction: order}, s.handleAnnouncement)
 }
 
-// RecordsRequests tells whether requests for machines are recorded before they are
-// sent: the operators want it, and every controller knows the record.
-func (s *SchemaTracker) RecordsRequests() bool {
-	return s.Settings.Operators.Roles.RecordRequests && s.AllReadSchema(records.SchemaRoles)
+// announcement returns the transaction that writes which schema version we read.
+func (s *SchemaTracker) announcement() *api.Transaction {
+	key := records.SchemaKey + s.Settings.Node
+	record := records.SchemaRecord{SchemaVersion: records.SchemaVersion, Release: records.Version}
+	return &api.Transaction{
+		Compares: []api.Compare{{Key: key, Version: s.schemaKeyVersion}},
+		Writes:   []api.Write{{Put: key, Value: records.MustMarshal(record)}},
+	}
+}
+
+// handleAnnouncement takes in the reply to the announcement.
+func (s *SchemaTracker) handleAnnouncement(reply *message.StoreReply) {
+	if reply.Status == message.StatusOK {
+		s.ObserveSchema(s.Settings.Node, records.SchemaVersion)
+	}
+}
+
+// logAgreement logs when all controllers begin or cease to read our schema version.
+func (s *SchemaTracker) logAgreement() {
+	agreed := s.AllReadSchema(records.SchemaVersion)
+	if agreed == s.schemaAgreed {
+		return
+	}
+	s.schemaAgreed = agreed
+	s.LogInfo("schema agreed by all controllers", logkey.Schema, records.SchemaVersion, logkey.All, agreed)
 }
