--- a/internal/coordination/order_audit.go
+++ b/internal/coordination/order_audit.go
@@ -73,3 +73,15 @@
 	clear(a.burst)
 	a.LogWarn("orders refused", args...)
 }
+
+// countByLabel counts all refused orders under the roles that include accepts, by action
+// and reason.
+func (a *OrderAudit) countByLabel(include func(role string) bool) map[string]int {
+	counts := map[string]int{}
+	for order, n := range a.total {
+		if include(order.role) {
+			counts[order.label()] += n
+		}
+	}
+	return counts
+}
--- a/internal/coordination/role_status.go
+++ b/internal/coordination/role_status.go
@@ -3,43 +3,55 @@
 import (
 	"slices"
 
-	"spurmoor/internal/message"
-
 	"spurmoor/internal/api"
 	"spurmoor/internal/leadership"
+	"spurmoor/internal/message"
 )
 
-// HandleListRoles answers who holds which duty.
-func (m *RoleManager) HandleListRoles(v message.ListRoles) {
-	list := api.Roles{Node: m.Settings.Node, Exclusive: m.Exclusive, RecordsRequests: m.schema.RecordsRequests(), RefusedOrders: m.refusedOrdersUnder("")}
-	for _, h := range m.Roles {
-		list.Roles = append(list.Roles, m.roleStatus(h))
+// HandleListRoles answers who leads which role.
+func (m *RoleManager) HandleListRoles(request message.ListRoles) {
+	list := api.Roles{
+		Node:            m.Settings.Node,
+		Exclusive:       m.Exclusive,
+		RecordsRequests: m.schema.RecordsRequests(),
+		RefusedOrders:   m.refusedOrdersWithoutRole(),
 	}
-	m.Answer(v.RequestID, 200, list)
+	for _, state := range m.Roles {
+		list.Roles = append(list.Roles, m.roleStatus(state))
+	}
+	m.Answer(request.RequestID, message.StatusOK, list)
 }
 
-// roleStatus tells of one duty.
-func (m *RoleManager) roleStatus(h *leadership.RoleState) api.RoleStatus {
-	s := api.RoleStatus{Role: h.Role.String(), Leader: h.Claim.Node, Term: h.Term, RefusedOrders: m.refusedOrdersUnder(h.Role.String())}
-	if h.Term > 0 {
-		s.SinceS = (m.Now - h.ObservedAt).Seconds()
+// roleStatus describes one role.
+func (m *RoleManager) roleStatus(state *leadership.RoleState) api.RoleStatus {
+	status := api.RoleStatus{
+		Role:          state.Role.String(),
+		Leader:        state.Claim.Node,
+		Term:          state.Term,
+		RefusedOrders: m.refusedOrdersUnder(state.Role.String()),
+	}
+	if state.Term > 0 {
+		status.SinceS = (m.Now - state.ObservedAt).Seconds()
 	}
-	if h.Leads() {
-		left := (max(0, m.storeLease.Lease.ExpiresAt()-m.Now)).Seconds()
-		s.RemainingS = &left
+	if state.Leads() {
+		remaining := max(0, m.storeLease.Lease.ExpiresAt()-m.Now).Seconds()
+		status.RemainingS = &remaining
 	}
-	return s
+	return status
 }
 
-// refusedOrdersUnder gives the orders refused under a duty, by action and reason; for no
-// name those of what is no single holder's.
+// refusedOrdersUnder counts the orders refused under a role, by action and reason.
 func (m *RoleManager) refusedOrdersUnder(name string) map[string]int {
-	counts := map[string]int{}
-	for k, n := range m.audit.total {
-		owned := slices.ContainsFunc(m.Roles, func(h *leadership.RoleState) bool { return h.Role.String() == k.role })
-		if k.role == name || name == "" && !owned {
-			counts[k.action.String()+", "+string(k.reason)] += n
-		}
-	}
-	return counts
+	return m.audit.countByLabel(func(role string) bool { return role == name })
+}
+
+// refusedOrdersWithoutRole counts the orders refused under shared grants, by action and
+// reason.
+func (m *RoleManager) refusedOrdersWithoutRole() map[string]int {
+	return m.audit.countByLabel(func(role string) bool { return !m.hasRole(role) })
+}
+
+// hasRole reports whether there is a role of a name.
+func (m *RoleManager) hasRole(name string) bool {
+	return slices.ContainsFunc(m.Roles, func(state *leadership.RoleState) bool { return state.Role.String() == name })
 }
