--- a/internal/coordination/election.go
+++ b/internal/coordination/election.go
@@ -7,8 +7,8 @@
 	"spurmoor/internal/records"
 )
 
-// reacquireCredit is how much of our delay by rank has passed already when an attempt to
-// acquire a role ended: a second after it at the latest the first in rank tries again.
+// reacquireCredit is how much of the delay by our rank counts as passed when an attempt
+// to acquire a role has ended.
 const reacquireCredit = micros.Second
 
 // ReconcileRoles acquires the roles that are vacant and ours to acquire, and resigns
--- a/internal/coordination/fleet_roles.go
+++ b/internal/coordination/fleet_roles.go
@@ -1,8 +1,6 @@
 package coordination
 
 import (
-	"fmt"
-
 	"github.com/go-json-experiment/json"
 
 	"spurmoor/internal/leadership"
@@ -55,10 +53,9 @@
 	err := json.Unmarshal(value, &claim)
 	if err != nil {
 		claim = leadership.Claim{}
-		err = fmt.Errorf("%w", err) // the caller names the key
 	}
 	m.ObserveRole(state, claim, version)
-	return err
+	return err //nolint:wrapcheck // the caller logs it beside the key
 }
 
 // DeleteFleetRole takes in that the key of a fleet role was deleted at a version.
--- a/internal/coordination/parameters.go
+++ b/internal/coordination/parameters.go
@@ -33,10 +33,11 @@
 	// the store admits in one.
 	comparesPerOp = 4
 
-	// A watch waits for watchTimeoutShare of the answer window, within these bounds.
-	minWatchTimeout   = micros.Second / 4
-	maxWatchTimeout   = 2 * micros.Second
-	watchTimeoutShare = 6
+	// A watch waits so long that watchesPerAnswerWindow fit into the answer window, within
+	// these bounds.
+	minWatchTimeout        = micros.Second / 4
+	maxWatchTimeout        = 2 * micros.Second
+	watchesPerAnswerWindow = 6
 
 	// readShare is the share of the store's requests that reads for users may take, of
 	// all controllers together. One controller reads every minReadInterval at most.
@@ -99,7 +100,7 @@
 // no earlier than when the watch was sent, and the answer window counts from there, so
 // it must be well within that.
 func (p parameters) watchTimeout() micros.Micros {
-	return max(minWatchTimeout, min(maxWatchTimeout, p.AnswerWindow()/watchTimeoutShare))
+	return max(minWatchTimeout, min(maxWatchTimeout, p.AnswerWindow()/watchesPerAnswerWindow))
 }
 
 // readInterval is the least time between two reads for users.
--- a/internal/coordination/transactions.go
+++ b/internal/coordination/transactions.go
@@ -36,7 +36,8 @@
 //
 // A transaction without an outcome may have been carried out, and may still be: the
 // network may deliver it late or twice. The same transaction is therefore sent again,
-// never one built anew. Since its compares name the versions of keys that it writes, it
+// never one built anew: with random faults, the writes of one were taken for the
+// other's. Since its compares name the versions of keys that it writes, it
 // is carried out once at most; a repetition of one that was carried out is refused. So a
 // refusal says only that no further copy will be carried out. Whether an earlier one
 // was, a read tells that was sent after the refusal.
@@ -159,8 +160,8 @@
 }
 
 // settleRefused settles a refused transaction once the watch cache is newer than the
-// refusal. If an earlier copy was carried out, the cache has shown that by then, and
-// whoever saw it there has marked the transaction as settled.
+// refusal. If an earlier copy was carried out, the cache has shown its writes by then;
+// who submitted it then marks it as settled, if a refusal would mislead.
 func (s *TransactionSender) settleRefused(transaction *Transaction) {
 	s.cache.ReadLatest(func(ok bool) {
 		switch {
