--- a/internal/coordination/transactions_test.go
+++ b/internal/coordination/transactions_test.go
@@ -22,18 +22,18 @@
 	t.Helper()
 	env := newTestEnvironment(t)
 	cache, _ := newSyncedCache(env)
-	f := &senderFixture{TransactionSender: NewTransactionSender(env, cache)}
-	f.transaction = &Transaction{
+	fixture := &senderFixture{TransactionSender: NewTransactionSender(env, cache)}
+	fixture.transaction = &Transaction{
 		Request: api.Transaction{
 			Compares: []api.Compare{{Key: "k", Version: 9}},
 			Writes:   []api.Write{{Put: "k", Value: []byte("1")}},
 		},
 		Grant:       grant,
-		OnCommitted: func(revision uint64) { f.committed = append(f.committed, revision) },
-		OnRefused:   func() { f.refusals++ },
+		OnCommitted: func(revision uint64) { fixture.committed = append(fixture.committed, revision) },
+		OnRefused:   func() { fixture.refusals++ },
 	}
-	f.SubmitTransaction(f.transaction)
-	return f
+	fixture.SubmitTransaction(fixture.transaction)
+	return fixture
 }
 
 // advanceBy lets time pass and sends what is due.
@@ -64,31 +64,34 @@
 // given up or built anew: the same is sent until its outcome is known.
 func TestUnknownOutcomeIsSentAgain(t *testing.T) {
 	t.Parallel()
-	f := submitOne(t, electionGrant)
+	fixture := submitOne(t, electionGrant)
 	for attempt, status := range []int{message.StatusNoReply, message.StatusServiceUnavailable, message.StatusTooManyRequests} {
-		call := f.takeAttempt(t)
-		f.advanceBy(10 * micros.Second)
-		if calls := takeStoreCalls(f.Environment); len(calls) > 0 {
+		call := fixture.takeAttempt(t)
+		fixture.advanceBy(10 * micros.Second)
+		if calls := takeStoreCalls(fixture.Environment); len(calls) > 0 {
 			t.Fatalf("attempt %d: sent again while in flight", attempt)
 		}
-		replyTo(f.Environment, call, message.StoreReply{Status: status})
-		f.ResendTransactions()
-		if calls := takeStoreCalls(f.Environment); len(calls) > 0 {
+		replyTo(fixture.Environment, call, message.StoreReply{Status: status})
+		fixture.ResendTransactions()
+		if calls := takeStoreCalls(fixture.Environment); len(calls) > 0 {
 			t.Fatalf("attempt %d: sent again at once", attempt)
 		}
-		f.expectOutcome(t, 0, 0)
-		f.advanceBy(2 * maxRetryDelay)
+		fixture.expectOutcome(t, 0, 0)
+		fixture.advanceBy(2 * maxRetryDelay)
 	}
-	if f.allTransactionsSettled() {
+	if fixture.allTransactionsSettled() {
 		t.Fatal("settled without an outcome")
 	}
-	replyTo(f.Environment, f.takeAttempt(t), message.StoreReply{Status: message.StatusOK, Transaction: api.TransactionResult{Revision: 11}})
-	f.expectOutcome(t, 1, 0)
-	if f.committed[0] != 11 || !f.allTransactionsSettled() {
-		t.Errorf("committed at %d, settled %t", f.committed[0], f.allTransactionsSettled())
+	replyTo(fixture.Environment, fixture.takeAttempt(t), message.StoreReply{
+		Status:      message.StatusOK,
+		Transaction: api.TransactionResult{Revision: 11},
+	})
+	fixture.expectOutcome(t, 1, 0)
+	if fixture.committed[0] != 11 || !fixture.allTransactionsSettled() {
+		t.Errorf("committed at %d, settled %t", fixture.committed[0], fixture.allTransactionsSettled())
 	}
-	f.advanceBy(10 * micros.Second)
-	if calls := takeStoreCalls(f.Environment); len(calls) > 0 {
+	fixture.advanceBy(10 * micros.Second)
+	if calls := takeStoreCalls(fixture.Environment); len(calls) > 0 {
 		t.Error("sent again after its outcome was known")
 	}
 }
@@ -121,13 +124,13 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			f := submitOne(t, electionGrant)
-			read := f.refuse(t, tc.status)
-			f.expectOutcome(t, 0, 0)
-			replyTo(f.Environment, read, message.StoreReply{Status: message.StatusOK, Watch: api.WatchResponse{Revision: 12}})
-			f.expectOutcome(t, 0, 1)
-			if f.transaction.Malformed != tc.malformed || !f.transaction.Settled {
-				t.Errorf("malformed %t, settled %t", f.transaction.Malformed, f.transaction.Settled)
+			fixture := submitOne(t, electionGrant)
+			read := fixture.refuse(t, tc.status)
+			fixture.expectOutcome(t, 0, 0)
+			replyTo(fixture.Environment, read, message.StoreReply{Status: message.StatusOK, Watch: api.WatchResponse{Revision: 12}})
+			fixture.expectOutcome(t, 0, 1)
+			if fixture.transaction.Malformed != tc.malformed || !fixture.transaction.Settled {
+				t.Errorf("malformed %t, settled %t", fixture.transaction.Malformed, fixture.transaction.Settled)
 			}
 		})
 	}
@@ -138,18 +141,18 @@
 // shows its writes first, and whoever waits for them settles it.
 func TestRefusalOfACommittedTransaction(t *testing.T) {
 	t.Parallel()
-	f := submitOne(t, electionGrant)
-	replyTo(f.Environment, f.takeAttempt(t), message.StoreReply{Status: message.StatusNoReply})
-	f.advanceBy(2 * maxRetryDelay)
-	f.cache.Sink = &settlingSink{transaction: f.transaction}
-	read := f.refuse(t, message.StatusConflict)
+	fixture := submitOne(t, electionGrant)
+	replyTo(fixture.Environment, fixture.takeAttempt(t), message.StoreReply{Status: message.StatusNoReply})
+	fixture.advanceBy(2 * maxRetryDelay)
+	fixture.cache.Sink = &settlingSink{transaction: fixture.transaction}
+	read := fixture.refuse(t, message.StatusConflict)
 	put := api.Event{Put: "k", Value: []byte("1"), Version: 11}
-	replyTo(f.Environment, read, message.StoreReply{
+	replyTo(fixture.Environment, read, message.StoreReply{
 		Status: message.StatusOK,
 		Watch:  api.WatchResponse{Revision: 11, Events: []api.Event{put}},
 	})
-	f.expectOutcome(t, 0, 0)
-	if !f.allTransactionsSettled() {
+	fixture.expectOutcome(t, 0, 0)
+	if !fixture.allTransactionsSettled() {
 		t.Error("not settled although its write was seen")
 	}
 }
@@ -166,20 +169,20 @@
 // taken for refused, because the read that was to settle it failed.
 func TestFailedReadIsRepeated(t *testing.T) {
 	t.Parallel()
-	f := submitOne(t, electionGrant)
-	replyTo(f.Environment, f.refuse(t, message.StatusConflict), message.StoreReply{Status: message.StatusNoReply})
-	f.expectOutcome(t, 0, 0)
-	f.advanceBy(2 * settleRetryInterval)
-	if calls := takeStoreCalls(f.Environment); len(calls) > 0 {
+	fixture := submitOne(t, electionGrant)
+	replyTo(fixture.Environment, fixture.refuse(t, message.StatusConflict), message.StoreReply{Status: message.StatusNoReply})
+	fixture.expectOutcome(t, 0, 0)
+	fixture.advanceBy(2 * settleRetryInterval)
+	if calls := takeStoreCalls(fixture.Environment); len(calls) > 0 {
 		t.Fatalf("a refused transaction was followed by %+v before the next read", calls)
 	}
-	f.cache.MaintainWatch()
-	read := takeStoreCall(t, f.Environment)
+	fixture.cache.MaintainWatch()
+	read := takeStoreCall(t, fixture.Environment)
 	if read.Op != message.OpWatch {
 		t.Fatalf("%+v is no read", read)
 	}
-	replyTo(f.Environment, read, message.StoreReply{Status: message.StatusOK})
-	f.expectOutcome(t, 0, 1)
+	replyTo(fixture.Environment, read, message.StoreReply{Status: message.StatusOK})
+	fixture.expectOutcome(t, 0, 1)
 }
 
 // TestTransactionWaitsForItsGrant guards against a transaction that is sent without a
@@ -187,14 +190,14 @@
 func TestTransactionWaitsForItsGrant(t *testing.T) {
 	t.Parallel()
 	var grant leadership.Grant
-	f := submitOne(t, func() leadership.Grant { return grant })
-	f.advanceBy(grantRetryInterval)
-	if calls := takeStoreCalls(f.Environment); len(calls) > 0 {
+	fixture := submitOne(t, func() leadership.Grant { return grant })
+	fixture.advanceBy(grantRetryInterval)
+	if calls := takeStoreCalls(fixture.Environment); len(calls) > 0 {
 		t.Fatal("sent without a grant")
 	}
 	grant = electionGrant()
-	f.advanceBy(resendInterval)
-	f.takeAttempt(t)
+	fixture.advanceBy(resendInterval)
+	fixture.takeAttempt(t)
 }
 
 // TestRetryDelay guards the doubling of the time between two attempts, and its bound.
