--- a/internal/cluster/boot_statistics.go
+++ b/internal/cluster/boot_statistics.go
@@ -28,7 +28,7 @@
 	b := s.bootTimes[m.Record.Type]
 	b.youngestLaunchedAt = max(b.youngestLaunchedAt, m.LaunchedAt)
 	// Not of one that another controller saw come up.
-	if took := s.Now - m.LaunchedAt; m.AwaitedSince < m.LaunchedAt+5*micros.Second {
+	if took := s.Now - m.LaunchedAt; m.AwaitingHeartbeatSince < m.LaunchedAt+5*micros.Second {
 		if b.typicalDuration == 0 || took < b.typicalDuration {
 			b.typicalDuration = took
 		} else {
--- a/internal/cluster/catalog.go
+++ b/internal/cluster/catalog.go
@@ -77,8 +77,8 @@
 	}
 }
 
-// SlowestFetchSPerGB is how many seconds the slowest type takes to fetch a gigabyte.
-func (c *MachineCatalog) SlowestFetchSPerGB() float64 {
+// SlowestFetchSecondsPerGB is how many seconds the slowest type takes to fetch a gigabyte.
+func (c *MachineCatalog) SlowestFetchSecondsPerGB() float64 {
 	s := 0.0
 	for _, t := range c.MachineTypes {
 		if t.FetchGBs > 0 {
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -48,8 +48,8 @@
 	return c
 }
 
-// ResetCluster forgets all jobs and machines, before everything is read again.
-func (c *State) ResetCluster() {
+// Reset forgets all jobs and machines, before everything is read again.
+func (c *State) Reset() {
 	clear(c.Machines)
 	clear(c.Jobs)
 	clear(c.tombstones)
@@ -93,7 +93,7 @@
 // with ours. By one that is hours off a machine that boots would be overdue at once. The
 // cloud's list tells its age.
 func (c *State) addMachine(r records.MachineRecord) *Machine {
-	m := &Machine{Name: r.Name, DepartedJobs: map[string]bool{}, Failures: FailureEvidence{Unattributed: map[string]bool{}}, LaunchedAt: c.Now, AwaitedSince: c.Now, MoveToPartition: -1}
+	m := &Machine{Name: r.Name, DepartedJobs: map[string]bool{}, Failures: FailureEvidence{Unattributed: map[string]bool{}}, LaunchedAt: c.Now, AwaitingHeartbeatSince: c.Now, MoveToPartition: -1}
 	m.Record = r
 	c.Machines[r.Name] = m
 	at, _ := slices.BinarySearchFunc(c.MachinesByName, m.Name, func(o *Machine, name string) int { return strings.Compare(o.Name, name) })
@@ -119,7 +119,7 @@
 func (c *State) ResetObservations(m *Machine) {
 	m.TokenConfirmed, m.NextCommandAt, m.CommandInFlight = false, c.Now, false
 	m.LeaseExpiresAt = max(m.LeaseExpiresAt, c.Now+c.Settings.FormerLeaderLeaseBound())
-	m.LastSeenAt, m.AwaitedSince = max(m.LastSeenAt, c.Now), c.Now
+	m.LastSeenAt, m.AwaitingHeartbeatSince = max(m.LastSeenAt, c.Now), c.Now
 	m.IdleSince = c.Now
 	// Started anew perhaps, by that holder, in a session that we know nothing of:
 	// taken for seen by us they were proven gone by that session (random days).
@@ -165,7 +165,7 @@
 }
 
 // RequestRecordChange wants a machine's record changed.
-func (c *State) RequestRecordChange(m *Machine, op recordChangeKind) {
+func (c *State) RequestRecordChange(m *Machine, op RecordChangeKind) {
 	m.PendingChange = op
 	p := c.Partitions[m.Record.Partition]
 	p.RecordChanges = append(p.RecordChanges, m)
--- a/internal/cluster/commit.go
+++ b/internal/cluster/commit.go
@@ -47,11 +47,11 @@
 	Machines []records.MachineRecord
 }
 
-// logCommit is the one transaction of a partition that is out: all that was decided,
+// LogCommit is the one transaction of a partition that is out: all that was decided,
 // as far as it fits. It guards the partition's key and the version of the slot that
 // its first entry goes to, which never comes back: of several copies at most
 // one is ever carried out.
-type logCommit struct {
+type LogCommit struct {
 	*coordination.Transaction
 	PreviousSlotVersion uint64 // version of its first slot before
 	Entries             []LogEntry
@@ -73,7 +73,7 @@
 
 type recordChange struct {
 	machine *Machine
-	kind    recordChangeKind
+	kind    RecordChangeKind
 }
 
 // MachineBatch are machines that a partition is to record.
@@ -128,8 +128,8 @@
 // BuildCommit gathers a partition's flush in at most so many writes: finals first, for
 // their users wait, then machines, then tasks, of which a flush may hold
 // thousands. Nil: there is nothing to commit, or it waits for more budget.
-func (l *PartitionLog) BuildCommit(p *Partition, most int) *logCommit {
-	f := &logCommit{Transaction: &coordination.Transaction{Grant: func() leadership.Grant { return l.storeLease.Grant(p.RoleState, leadership.Write) }}}
+func (l *PartitionLog) BuildCommit(p *Partition, most int) *LogCommit {
+	f := &LogCommit{Transaction: &coordination.Transaction{Grant: func() leadership.Grant { return l.storeLease.Grant(p.RoleState, leadership.Write) }}}
 	most = max(minCommitWrites, most>>p.sizeReductions)
 	ids := slices.Sorted(maps.Keys(p.ChangedJobs))
 	ends := l.terminalJobsDue(p, ids)
@@ -151,17 +151,17 @@
 }
 
 // compare has a flush fail unless a key still has a version.
-func (f *logCommit) compare(key string, version uint64) {
+func (f *LogCommit) compare(key string, version uint64) {
 	f.Request.Compares = append(f.Request.Compares, api.Compare{Key: key, Version: version})
 }
 
 // isEmpty tells whether a flush would change nothing.
-func (f *logCommit) isEmpty() bool {
+func (f *LogCommit) isEmpty() bool {
 	return len(f.TerminalJobs) == 0 && len(f.recordChanges) == 0 && len(f.machineBatches) == 0 && len(f.tasks) == 0
 }
 
 // addTerminalStates adds final states, as many as leave room for an entry.
-func (l *PartitionLog) addTerminalStates(f *logCommit, ends []*Job, most int) {
+func (l *PartitionLog) addTerminalStates(f *LogCommit, ends []*Job, most int) {
 	for _, j := range ends {
 		if len(f.Request.Writes)+2+1 > most || len(f.Request.Compares)+2 > l.Settings.MaxCompares()/2 {
 			continue
@@ -174,7 +174,7 @@
 }
 
 // addLogEntries adds entries of the log with what became of machines and tasks.
-func (l *PartitionLog) addLogEntries(f *logCommit, p *Partition, ids []string, most int) {
+func (l *PartitionLog) addLogEntries(f *LogCommit, p *Partition, ids []string, most int) {
 	limit := min(MaxTransactionBytes/2, l.Settings.MaxValueBytes()-entryOverheadBytes) >> p.sizeReductions
 	b := &entryBuilder{log: l, partition: p, commit: f, compare: f.compare, maxCompares: l.Settings.MaxCompares(), entryLimit: limit, included: map[*Task]bool{}}
 	b.maxEntries = min(most-len(f.Request.Writes), MaxTransactionBytes/b.entryLimit)
@@ -224,7 +224,7 @@
 
 // addTerminalState adds a job's final state. It guards the job's key: an end and a
 // cancellation cannot both win.
-func (f *logCommit) addTerminalState(j *Job) {
+func (f *LogCommit) addTerminalState(j *Job) {
 	rec := records.TerminalRecord{State: api.JobDone, DoneTasks: j.DoneTasks, EndedAt: j.endedAt}
 	if j.Cancelled {
 		rec.State = api.JobCancelled
@@ -293,7 +293,7 @@
 }
 
 // recordLaunchTimes notes when the machines were rented that a flush recorded.
-func (l *PartitionLog) recordLaunchTimes(f *logCommit) {
+func (l *PartitionLog) recordLaunchTimes(f *LogCommit) {
 	for _, n := range f.machineBatches {
 		for _, r := range n.Records {
 			if m := l.cluster.Machines[r.Name]; m != nil {
@@ -306,7 +306,7 @@
 // taskCommitted takes in that what a task became is committed.
 func (l *PartitionLog) taskCommitted(s taskChange) {
 	t := s.job.EnsureTask(s.index)
-	t.Committed, t.LoggedIn = s.record, s.sequence
+	t.Committed, t.LogSequence = s.record, s.sequence
 	if t.changed && t.generation == s.generation {
 		t.changed = false
 		s.job.ChangedTasks--
--- a/internal/cluster/cycle_trigger.go
+++ b/internal/cluster/cycle_trigger.go
@@ -25,8 +25,8 @@
 // Clear notes that a cycle runs now.
 func (t *CycleTrigger) Clear() { t.requestedCycleAt = 0 }
 
-// RequestPlanWithin wants a cycle no later than d from now.
-func (t *CycleTrigger) RequestPlanWithin(d micros.Micros) {
+// RequestCycleWithin wants a cycle no later than d from now.
+func (t *CycleTrigger) RequestCycleWithin(d micros.Micros) {
 	if at := t.Now + d; t.requestedCycleAt == 0 || at < t.requestedCycleAt {
 		t.requestedCycleAt = at
 	}
--- a/internal/cluster/dependencies.go
+++ b/internal/cluster/dependencies.go
@@ -44,12 +44,12 @@
 		ByJob: map[string]*dependency{}, TerminalStates: newTerminalCache(maxTerminalStates)}
 }
 
-// dependencyOutcome is what became of a job that others need.
-type dependencyOutcome uint8
+// DependencyOutcome is what became of a job that others need.
+type DependencyOutcome uint8
 
 // Outcomes of jobs that others depend on.
 const (
-	OutcomeUnknown   dependencyOutcome = iota // over; its final record is being read
+	OutcomeUnknown   DependencyOutcome = iota // over; its final record is being read
 	outcomePending                            // neither
 	OutcomeDone                               // done
 	OutcomeCancelled                          // cancelled, or needs one that is
@@ -57,7 +57,7 @@
 
 // dependency is a job that unfinished others dependency.
 type dependency struct {
-	Outcome    dependencyOutcome
+	Outcome    DependencyOutcome
 	doneAt     micros.Micros // when it was done
 	Dependents []*Job
 }
@@ -95,7 +95,7 @@
 }
 
 // KnownOutcome tells what became of a job, as far as no read is needed for it.
-func (g *DependencyGraph) KnownOutcome(id string) (dependencyOutcome, micros.Micros) {
+func (g *DependencyGraph) KnownOutcome(id string) (DependencyOutcome, micros.Micros) {
 	if rec, ok := g.TerminalStates.Records[id]; ok {
 		return outcomeOf(rec), rec.EndedAt
 	}
@@ -108,7 +108,7 @@
 	return outcomePending, 0
 }
 
-func outcomeOf(r records.TerminalRecord) dependencyOutcome {
+func outcomeOf(r records.TerminalRecord) DependencyOutcome {
 	if r.State == api.JobDone {
 		return OutcomeDone
 	}
@@ -116,7 +116,7 @@
 }
 
 // SettleOutcome takes in what became of a job, and what follows for those that need it.
-func (g *DependencyGraph) SettleOutcome(id string, o dependencyOutcome, at micros.Micros) {
+func (g *DependencyGraph) SettleOutcome(id string, o DependencyOutcome, at micros.Micros) {
 	n := g.ByJob[id]
 	if n == nil || n.Outcome == o || n.Outcome >= OutcomeDone {
 		return
@@ -135,9 +135,9 @@
 	g.SettleOutcome(id, outcomeOf(rec), rec.EndedAt)
 }
 
-// ResetDependencies forgets all dependencies, before everything is read again. What is
+// Reset forgets all dependencies, before everything is read again. What is
 // known of jobs that ended stays.
-func (g *DependencyGraph) ResetDependencies() {
+func (g *DependencyGraph) Reset() {
 	clear(g.ByJob)
 	g.outcomesToRead = nil
 }
@@ -160,7 +160,7 @@
 	}
 	if had > 0 && j.PendingDependencies == 0 {
 		g.LogDebug("job dependencies done", logkey.Job, j.ID, logkey.AfterS, (g.Now - j.AcceptedAt).WholeSeconds())
-		g.trigger.RequestPlanWithin(0)
+		g.trigger.RequestCycleWithin(0)
 	}
 	if j.DependencyCancelled && !j.Cancelled {
 		j.Cancelled = true
@@ -240,7 +240,7 @@
 			g.RecordTerminalState(id, rec)
 			f(JobKnown)
 		default:
-			f(LookupUnknown)
+			f(LookupFailed)
 		}
 	})
 }
@@ -315,7 +315,7 @@
 			switch found {
 			case JobNeverAccepted:
 				missing = id
-			case LookupUnknown:
+			case LookupFailed:
 				failed = true
 			}
 			if left == 0 {
@@ -347,7 +347,7 @@
 
 // Results of looking a job up.
 const (
-	LookupUnknown    LookupResult = iota // could not be told
+	LookupFailed    LookupResult = iota // could not be told
 	JobNeverAccepted                     // no such job was accepted
 	JobKnown
 )
--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -34,7 +34,7 @@
 	Committed  TaskRecord // as committed
 	changed    bool       // differs from what was committed, or is being committed
 	generation uint32     // counts changes
-	LoggedIn   uint64     // the log entry that last held it; 0: none
+	LogSequence   uint64     // the log entry that last held it; 0: none
 
 	// what is known since take-over only
 	Observed         bool          // its machine has reported it
--- a/internal/cluster/log_entries.go
+++ b/internal/cluster/log_entries.go
@@ -12,7 +12,7 @@
 type entryBuilder struct {
 	log         *PartitionLog
 	partition   *Partition
-	commit      *logCommit
+	commit      *LogCommit
 	compare     func(key string, ver uint64)
 	maxCompares int
 	entryLimit  int // bytes of an entry
@@ -104,7 +104,7 @@
 		}
 		for n := r.First; n < r.First+r.TaskCount() && n < j.Spec.Tasks; n++ {
 			t := j.EnsureTask(n)
-			if t.LoggedIn != old.Sequence || b.included[t] {
+			if t.LogSequence != old.Sequence || b.included[t] {
 				continue
 			}
 			gen := t.generation
--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -17,8 +17,8 @@
 	Sequence  uint64
 }
 
-// olderThan tells whether a row tells something newer.
-func (o RecordOrigin) olderThan(row RecordOrigin, cur int) bool {
+// supersededBy tells whether a row tells something newer.
+func (o RecordOrigin) supersededBy(row RecordOrigin, cur int) bool {
 	switch {
 	case row.Epoch != o.Epoch:
 		return o.Epoch < row.Epoch
@@ -38,7 +38,7 @@
 	TaskIDs      []TaskID        // recorded here, in order
 	DepartedJobs map[string]bool // jobs whose tasks left, perhaps not committed yet
 
-	PendingChange recordChangeKind // change of its record that waits or is being committed
+	PendingChange RecordChangeKind // change of its record that waits or is being committed
 	transferTo    int              // partition that it is to go to
 
 	Address           string
@@ -48,7 +48,7 @@
 	LastSeenAt        micros.Micros // last heard
 	LastHeartbeatAt   micros.Micros // last report: where none comes its lease runs out, whatever else is heard
 	LaunchedAt        micros.Micros // rented
-	AwaitedSince      micros.Micros // since when we wait for its first report
+	AwaitingHeartbeatSince      micros.Micros // since when we wait for its first report
 	FirstHeartbeatAt  micros.Micros // first report
 	LeaseExpiresAt    micros.Micros // by then its lease has run out unless we answer again
 	NextCommandAt     micros.Micros
@@ -73,12 +73,12 @@
 	DeleteConfirmed     bool
 }
 
-// recordChangeKind is a change of a machine's record.
-type recordChangeKind int
+// RecordChangeKind is a change of a machine's record.
+type RecordChangeKind int
 
 // Changes of a machine's record.
 const (
-	NoRecordChange recordChangeKind = iota
+	NoRecordChange RecordChangeKind = iota
 	condemnRecord                   // never to be used again, to be deleted
 	DropRecord                      // its record goes
 	transferRecord                  // to another partition
--- a/internal/cluster/machine_registry.go
+++ b/internal/cluster/machine_registry.go
@@ -29,7 +29,7 @@
 	if m != nil {
 		known, ok = m.Origin, true
 	}
-	if ok && !known.olderThan(from, r.Partition) || r.Partition < 0 || r.Partition >= len(g.cluster.Partitions) {
+	if ok && !known.supersededBy(from, r.Partition) || r.Partition < 0 || r.Partition >= len(g.cluster.Partitions) {
 		return
 	}
 	if r.Deleted {
@@ -60,7 +60,7 @@
 		// nothing that it says counts as a sign of life.
 		m.TokenConfirmed, m.NextCommandAt = false, g.Now
 	}
-	g.trigger.RequestPlanWithin(micros.Second / 5)
+	g.trigger.RequestCycleWithin(micros.Second / 5)
 }
 
 // removeMachine drops a machine whose record is deleted: all on it is proven gone.
--- a/internal/cluster/partition.go
+++ b/internal/cluster/partition.go
@@ -14,7 +14,7 @@
 	ChangedJobs    map[string]bool // jobs with changes to commit
 	RecordChanges  []*Machine      // records to change
 	MachineBatches []*MachineBatch // machines to record
-	CommitInFlight *logCommit
+	CommitInFlight *LogCommit
 	lastCommitAt   micros.Micros // when the last flush was sent
 	sizeReductions int           // how often its flushes were too large: half as much each time
 	HasBlockedJobs bool          // jobs waited at its last cycle
--- a/internal/cluster/task_accounting.go
+++ b/internal/cluster/task_accounting.go
@@ -44,7 +44,7 @@
 		j.ChangedTasks--
 	}
 	c.countTask(j, n, t, -1)
-	*t = Task{TaskRecord: s, Committed: t.Committed, generation: t.generation, LoggedIn: t.LoggedIn, PlacedAt: c.Now, notBefore: t.notBefore}
+	*t = Task{TaskRecord: s, Committed: t.Committed, generation: t.generation, LogSequence: t.LogSequence, PlacedAt: c.Now, notBefore: t.notBefore}
 	c.countTask(j, n, t, 1)
 	if j.PlacedTasks == 0 {
 		j.attemptSpoiled = false
--- a/internal/cluster/task_lifecycle.go
+++ b/internal/cluster/task_lifecycle.go
@@ -83,7 +83,7 @@
 		m.CacheImage(j.Spec.Image, j.Spec.ImageGB)
 		l.TaskSucceeded(j, m)
 		l.cluster.ChangeTask(j, n, TaskRecord{State: TaskDone, Attempt: attempt, Machine: ""})
-		l.trigger.RequestPlanWithin(0)
+		l.trigger.RequestCycleWithin(0)
 		return
 	}
 	l.cluster.ChangeTask(j, n, TaskRecord{State: taskPending, Attempt: attempt, Machine: ""})
@@ -97,7 +97,7 @@
 		t.notBefore = l.Now + 3*micros.Second
 		l.LogInfo("task start refused", logkey.Task, tr.Task, logkey.Machine, m.Name, logkey.Reason, tr.ExitReason)
 	}
-	l.trigger.RequestPlanWithin(0)
+	l.trigger.RequestCycleWithin(0)
 }
 
 // TaskGone takes in that a task is proven to be on its machine no more.
@@ -105,7 +105,7 @@
 	t := j.Task(n)
 	l.LogDebug("task gone", logkey.Job, j.ID, logkey.Task, n, logkey.Machine, t.Machine, logkey.Reason, why)
 	l.cluster.ChangeTask(j, n, TaskRecord{State: taskPending, Attempt: t.Attempt, Machine: ""})
-	l.trigger.RequestPlanWithin(0)
+	l.trigger.RequestCycleWithin(0)
 }
 
 // RequestTaskStop tells a task to save, if it can, and stop.
--- a/internal/core/explanation.go
+++ b/internal/core/explanation.go
@@ -36,7 +36,7 @@
 		switch {
 		case f == cluster.JobNeverAccepted:
 			x.Refuse(v.RequestID, 404, "no such job", 0)
-		case f == cluster.LookupUnknown:
+		case f == cluster.LookupFailed:
 			x.Refuse(v.RequestID, 503, "the state service did not answer", 1)
 		case j == nil || j.Terminal || j.Cancelled:
 			x.Answer(v.RequestID, 200, api.Explanation{ID: v.ID, State: s.State})
@@ -123,7 +123,7 @@
 	case j.PendingDependencies == 0 && x.cluster.Partitions[j.Partition].Leads():
 		end = 0 // ours, and the planner has not said yet
 	default:
-		end = max(from, x.Now) + micros.FromSeconds(j.Spec.EstimateS+j.Spec.ImageGB*x.catalog.SlowestFetchSPerGB())
+		end = max(from, x.Now) + micros.FromSeconds(j.Spec.EstimateS+j.Spec.ImageGB*x.catalog.SlowestFetchSecondsPerGB())
 	}
 	memo[j.ID] = end
 	return end
--- a/internal/core/failover.go
+++ b/internal/core/failover.go
@@ -42,7 +42,7 @@
 	}
 	f.tasks.ReleaseTasksWithoutMachine()
 	f.provisioning.AdoptOpenRequests(p)
-	f.trigger.RequestPlanWithin(micros.Second / 5)
+	f.trigger.RequestCycleWithin(micros.Second / 5)
 }
 
 // PartitionLost throws away what was not committed of a partition that is held no
--- a/internal/core/heartbeat_reconciliation.go
+++ b/internal/core/heartbeat_reconciliation.go
@@ -95,16 +95,16 @@
 		m.FirstHeartbeatAt, m.IdleSince = c.Now, c.Now
 		c.boots.RecordBoot(m)
 		c.LogInfo("machine up", logkey.Machine, m.Name, logkey.Type, m.Record.Type, logkey.Zone, m.Record.Zone, logkey.Spot, m.Record.Spot, logkey.AfterS, (c.Now - m.LaunchedAt).WholeSeconds())
-		c.trigger.RequestPlanWithin(0)
+		c.trigger.RequestCycleWithin(0)
 	}
 	if !m.TokenConfirmed {
 		m.TokenConfirmed = true
-		c.trigger.RequestPlanWithin(0)
+		c.trigger.RequestCycleWithin(0)
 	}
 	if r.InterruptionNoticeS != nil && m.InterruptionAt == 0 {
 		m.InterruptionAt = c.Now + micros.FromSeconds(*r.InterruptionNoticeS)
 		c.LogInfo("machine interruption notice", logkey.Machine, m.Name, logkey.InS, *r.InterruptionNoticeS, logkey.Tasks, len(m.TaskIDs))
-		c.trigger.RequestPlanWithin(0)
+		c.trigger.RequestCycleWithin(0)
 	}
 }
 
--- a/internal/core/record_applier.go
+++ b/internal/core/record_applier.go
@@ -64,8 +64,8 @@
 		p.Log = nil
 	}
 	a.roles.ForgetFleetRoles()
-	a.cluster.ResetCluster()
-	a.dependencies.ResetDependencies()
+	a.cluster.Reset()
+	a.dependencies.Reset()
 }
 
 // ReplaceAll takes in all live keys in place of what was known. Partitions come last:
@@ -170,7 +170,7 @@
 		a.dependencies.SettleOutcome(id, cluster.OutcomeCancelled, 0)
 	}
 	a.cluster.MarkChanged(j)
-	a.trigger.RequestPlanWithin(micros.Second / 20)
+	a.trigger.RequestCycleWithin(micros.Second / 20)
 	return nil
 }
 
@@ -219,11 +219,11 @@
 		}
 		for n := r.First; n < r.First+r.TaskCount() && n < j.Spec.Tasks; n++ {
 			t := j.EnsureTask(n)
-			if t.LoggedIn > e.Sequence {
+			if t.LogSequence > e.Sequence {
 				continue
 			}
 			a.cluster.SetTask(j, n, cluster.TaskRecord{State: r.State, Attempt: r.Attempt, Machine: r.Machine})
-			t.Committed, t.LoggedIn = t.TaskRecord, e.Sequence
+			t.Committed, t.LogSequence = t.TaskRecord, e.Sequence
 		}
 	}
 }
--- a/internal/core/user_requests.go
+++ b/internal/core/user_requests.go
@@ -66,12 +66,12 @@
 	}
 	h.cache.ReadLatest(func(ok bool) {
 		if !ok {
-			f(cluster.LookupUnknown, api.JobStatus{})
+			f(cluster.LookupFailed, api.JobStatus{})
 			return
 		}
 		if j := h.cluster.Jobs[id]; j != nil && !j.Terminal {
 			if j.UnknownDependencies > 0 && !j.HasStarted() && !j.Cancelled {
-				f(cluster.LookupUnknown, api.JobStatus{}) // perhaps it is withdrawn
+				f(cluster.LookupFailed, api.JobStatus{}) // perhaps it is withdrawn
 				return
 			}
 			f(cluster.JobKnown, j.Status())
@@ -290,7 +290,7 @@
 		switch {
 		case f == cluster.JobNeverAccepted:
 			h.Refuse(v.RequestID, 404, "no such job", 0)
-		case f == cluster.LookupUnknown:
+		case f == cluster.LookupFailed:
 			away()
 		case s.State == api.JobDone || s.State == api.JobCancelled:
 			h.Answer(v.RequestID, 200, api.JobStatus{ID: v.ID, State: s.State})
--- a/internal/planning/machine_manager.go
+++ b/internal/planning/machine_manager.go
@@ -107,7 +107,7 @@
 	if m.MachineType != nil {
 		boot = m.MachineType.BootS
 	}
-	waited := k.Now > k.storeLease.SilenceCountsFrom(m.AwaitedSince)+k.Settings.SilenceTimeout()+8*micros.Second
+	waited := k.Now > k.storeLease.SilenceCountsFrom(m.AwaitingHeartbeatSince)+k.Settings.SilenceTimeout()+8*micros.Second
 	switch overdue := waited && k.boots.BootOverdue(m); {
 	case overdue && k.Now > m.LaunchedAt+micros.FromSeconds(boot*3+20):
 		return "never came up"
--- a/internal/planning/reservation.go
+++ b/internal/planning/reservation.go
@@ -125,7 +125,7 @@
 	to := r.reservedForPartition(m)
 	if len(m.TaskIDs) == 0 {
 		// Not at once again where two controllers see it differently.
-		if to != m.Record.Partition && m.TokenConfirmed && r.Now > m.AwaitedSince+4*micros.Second {
+		if to != m.Record.Partition && m.TokenConfirmed && r.Now > m.AwaitingHeartbeatSince+4*micros.Second {
 			r.registry.TransferMachine(m, to)
 		}
 		return
--- a/internal/planning/urgency.go
+++ b/internal/planning/urgency.go
@@ -32,7 +32,7 @@
 // computeUrgencies works out every job's, by the replica.
 func (x *UrgencyIndex) computeUrgencies() {
 	x.byJob = map[string]urgency{}
-	slowest := x.catalog.SlowestFetchSPerGB()
+	slowest := x.catalog.SlowestFetchSecondsPerGB()
 	var of func(j *cluster.Job) urgency
 	of = func(j *cluster.Job) urgency {
 		if u, ok := x.byJob[j.ID]; ok {
--- a/internal/provisioning/provisioning.go
+++ b/internal/provisioning/provisioning.go
@@ -255,7 +255,7 @@
 // requestRefused takes in that no machines are to be had by a request now.
 func (v *Provisioner) requestRefused(p *cluster.Partition, r *provisioningRequest, status int) {
 	v.ledger(p).countPendingMachines(r.kind, -r.request.Count)
-	v.trigger.RequestPlanWithin(micros.Second)
+	v.trigger.RequestCycleWithin(micros.Second)
 	if v.schema.RecordsRequests() {
 		v.deferRequest(p, r)
 	} else {
@@ -290,7 +290,7 @@
 	if len(machines) < r.request.Count {
 		v.unavailableUntil[k] = v.Now + micros.FromSeconds(v.Settings.Operators.RefusalMemoryS)
 		v.ledger(p).countPendingMachines(k, len(machines)-r.request.Count)
-		v.trigger.RequestPlanWithin(micros.Second / 5)
+		v.trigger.RequestCycleWithin(micros.Second / 5)
 	}
 	// As many at a time as leave room in an entry of the log.
 	for batch := range slices.Chunk(machines, max(1, v.Settings.MaxValueBytes()/3/cluster.MachineRecordBytes)) {
