--- a/internal/cluster/catalog.go
+++ b/internal/cluster/catalog.go
@@ -4,19 +4,23 @@
 	"slices"
 	"strconv"
 
-	"spurmoor/internal/logkey"
-
+	"spurmoor/internal/api"
 	"spurmoor/internal/coordination"
+	"spurmoor/internal/leadership"
+	"spurmoor/internal/logkey"
 	"spurmoor/internal/message"
+	"spurmoor/internal/micros"
 	"spurmoor/internal/records"
+)
 
-	"spurmoor/internal/api"
-	"spurmoor/internal/leadership"
-	"spurmoor/internal/micros"
+// How often the cloud's catalog is read, and how soon again after a failure.
+const (
+	catalogInterval      = 60 * micros.Second
+	catalogRetryInterval = 2 * micros.Second
 )
 
 // MachineCatalog is which types of machines the cloud has, at which prices, and the copy
-// of it in the key-value store.
+// of that in the store.
 type MachineCatalog struct {
 	*coordination.Environment
 	budget  *coordination.WriteBudget
@@ -25,46 +29,55 @@
 	roles   *coordination.RoleManager
 	schema  *coordination.SchemaTracker
 
-	MachineTypes        []api.MachineType
-	MachineTypeByName   map[string]*api.MachineType
+	// What is known of the types, from the cloud or, until it answers, from the store.
+	MachineTypes      []api.MachineType
+	MachineTypeByName map[string]*api.MachineType
+
+	// Reading the cloud's catalog.
 	NextCatalogReadAt   micros.Micros
 	catalogReadInFlight bool
-	catalogVersion      uint64                       // of the copy in the store
-	storedCatalogShape  string                       // of the copy, without its prices
-	catalogPages        map[string]storedCatalogPage // of the copy, by what follows its key
+
+	// The copy in the store, as the watch cache shows it.
+	catalogVersion     uint64                       // of its first page's key
+	storedCatalogShape string                       // see catalogShape
+	catalogPages       map[string]storedCatalogPage // by what follows records.CatalogKey
 }
 
-// NewMachineCatalog makes a machine catalog.
-func NewMachineCatalog(env *coordination.Environment, budget *coordination.WriteBudget, cache *coordination.WatchCache, cluster *State, roles *coordination.RoleManager, schema *coordination.SchemaTracker) *MachineCatalog {
-	return &MachineCatalog{Environment: env, budget: budget, cache: cache, cluster: cluster, roles: roles, schema: schema,
-		MachineTypeByName: map[string]*api.MachineType{}, catalogPages: map[string]storedCatalogPage{}}
+// storedCatalogPage is a page of the catalog as the store has it.
+type storedCatalogPage struct {
+	records.CatalogRecord
+	version uint64
 }
 
-// How often the catalogue is read, and after a failure.
-const (
-	catalogInterval      = 60 * micros.Second
-	catalogRetryInterval = 2 * micros.Second
-)
+// NewMachineCatalog returns a catalog that knows no types yet.
+func NewMachineCatalog(
+	env *coordination.Environment, budget *coordination.WriteBudget, cache *coordination.WatchCache,
+	cluster *State, roles *coordination.RoleManager, schema *coordination.SchemaTracker,
+) *MachineCatalog {
+	return &MachineCatalog{
+		Environment: env, budget: budget, cache: cache, cluster: cluster, roles: roles, schema: schema,
+		MachineTypeByName: map[string]*api.MachineType{}, catalogPages: map[string]storedCatalogPage{},
+	}
+}
 
-// ReadCatalogWhenDue reads the cloud's catalogue now and then.
+// ReadCatalogWhenDue reads the cloud's catalog now and then: prices change.
 func (c *MachineCatalog) ReadCatalogWhenDue() {
-	if !c.catalogReadInFlight && c.Now >= c.NextCatalogReadAt {
-		c.readCatalog()
+	if c.catalogReadInFlight || c.Now < c.NextCatalogReadAt {
+		return
 	}
+	c.catalogReadInFlight = true
+	c.CallCloud(message.CloudCall{Op: message.OpReadCatalog}, c.catalogRead)
 }
 
-func (c *MachineCatalog) readCatalog() {
-	c.catalogReadInFlight = true
-	c.CallCloud(message.CloudCall{Op: message.OpReadCatalog}, func(r *message.CloudReply) {
-		c.catalogReadInFlight = false
-		if r.Status != 200 || len(r.Catalog.Types) == 0 {
-			c.NextCatalogReadAt = c.Now + c.Jitter(catalogRetryInterval)
-			return
-		}
-		c.NextCatalogReadAt = c.Now + catalogInterval
-		c.setMachineTypes(r.Catalog.Types)
-		c.storeCatalog()
-	})
+func (c *MachineCatalog) catalogRead(reply *message.CloudReply) {
+	c.catalogReadInFlight = false
+	if reply.Status != statusOK || len(reply.Catalog.Types) == 0 {
+		c.NextCatalogReadAt = c.Now + c.Jitter(catalogRetryInterval)
+		return
+	}
+	c.NextCatalogReadAt = c.Now + catalogInterval
+	c.setMachineTypes(reply.Catalog.Types)
+	c.storeCatalog()
 }
 
 func (c *MachineCatalog) setMachineTypes(types []api.MachineType) {
@@ -72,23 +85,25 @@
 	for i := range types {
 		c.MachineTypeByName[types[i].Name] = &types[i]
 	}
-	for _, m := range c.cluster.Machines {
-		m.MachineType = c.MachineTypeByName[m.Record.Type]
+	for _, machine := range c.cluster.Machines {
+		machine.MachineType = c.MachineTypeByName[machine.Record.Type]
 	}
 }
 
-// SlowestFetchSecondsPerGB is how many seconds the slowest type takes to fetch a gigabyte.
+// SlowestFetchSecondsPerGB returns how many seconds a machine of the slowest type takes to
+// fetch a gigabyte; 0: not known.
 func (c *MachineCatalog) SlowestFetchSecondsPerGB() float64 {
-	s := 0.0
-	for _, t := range c.MachineTypes {
-		if t.FetchGBs > 0 {
-			s = max(s, 1/t.FetchGBs)
+	slowest := 0.0
+	for _, machineType := range c.MachineTypes {
+		if machineType.FetchGBs > 0 {
+			slowest = max(slowest, 1/machineType.FetchGBs)
 		}
 	}
-	return s
+	return slowest
 }
 
-// catalogShape is a catalogue without its prices.
+// catalogShape is a catalog without its prices: they change often, and a copy with those of
+// some time ago is good enough.
 func catalogShape(types []api.MachineType) string {
 	types = slices.Clone(types)
 	for i := range types {
@@ -97,23 +112,18 @@
 	return string(records.MustMarshal(types))
 }
 
-// storedCatalogPage is a page of the catalogue as the state service has it.
-type storedCatalogPage struct {
-	records.CatalogRecord
-	version uint64
-}
-
-// ObserveCatalogPage takes in a page; the catalogue is known once all its pages are.
-func (c *MachineCatalog) ObserveCatalogPage(name string, rec records.CatalogRecord, ver uint64) {
-	c.catalogPages[name] = storedCatalogPage{CatalogRecord: rec, version: ver}
+// ObserveCatalogPage records a page of the copy in the store, whose key has a version. The
+// copy is known once all its pages are.
+func (c *MachineCatalog) ObserveCatalogPage(name string, record records.CatalogRecord, version uint64) {
+	c.catalogPages[name] = storedCatalogPage{CatalogRecord: record, version: version}
 	first := c.catalogPages[""]
 	types := slices.Clone(first.Types)
 	for n := 1; n <= first.Pages; n++ {
-		p := c.catalogPages[strconv.Itoa(n)]
-		if p.version != first.version {
+		page := c.catalogPages[strconv.Itoa(n)]
+		if page.version != first.version {
 			return
 		}
-		types = append(types, p.Types...)
+		types = append(types, page.Types...)
 	}
 	c.catalogVersion, c.storedCatalogShape = first.version, catalogShape(types)
 	if len(c.MachineTypes) == 0 {
@@ -122,44 +132,63 @@
 	}
 }
 
-// paginateCatalog deals the catalogue out to pages that a value holds.
+// paginateCatalog splits the catalog into pages of which each fits into a value.
 func (c *MachineCatalog) paginateCatalog() []records.CatalogRecord {
 	pages := []records.CatalogRecord{{}}
-	for _, t := range c.MachineTypes {
+	for _, machineType := range c.MachineTypes {
 		last := &pages[len(pages)-1]
-		more := records.CatalogRecord{Types: append(slices.Clip(last.Types), t), Pages: len(c.MachineTypes)}
-		if len(last.Types) > 0 && len(records.MustMarshal(more)) > c.Settings.MaxValueBytes() {
-			pages = append(pages, records.CatalogRecord{Types: []api.MachineType{t}})
+		// The number of pages, which is not known yet, has no more digits than that of types.
+		longer := records.CatalogRecord{Types: append(slices.Clip(last.Types), machineType), Pages: len(c.MachineTypes)}
+		if len(last.Types) > 0 && len(records.MustMarshal(longer)) > c.Settings.MaxValueBytes() {
+			pages = append(pages, records.CatalogRecord{Types: []api.MachineType{machineType}})
 			continue
 		}
-		last.Types = more.Types
+		last.Types = longer.Types
 	}
 	pages[0].Pages = len(pages) - 1
 	return pages
 }
 
-// storeCatalog keeps the catalogue in the state service: a controller that
-// starts while the cloud is away could else neither accept nor place anything.
+// storeCatalog keeps a copy of the catalog in the store, if this controller is the one to
+// do so and the types have changed. A controller that starts while the cloud does not
+// answer could else neither accept nor place anything.
 func (c *MachineCatalog) storeCatalog() {
+	if !c.cache.Synced || c.storedCatalogShape == catalogShape(c.MachineTypes) {
+		return
+	}
 	grant := c.roles.FleetGrant(leadership.CatalogKeeper, leadership.Write)
-	if !c.cache.Synced || c.storedCatalogShape == catalogShape(c.MachineTypes) || grant.Check(leadership.Write, c.Now) != "" {
+	if grant.Check(leadership.Write, c.Now) != "" {
 		return
 	}
 	pages := c.paginateCatalog()
-	if len(pages) > 1 && !c.schema.AllReadSchema(records.SchemaDependencies) || len(pages) > c.Settings.Deployment.Store.MaxTransactionOps {
-		return // the first versions take the first page for all
+	if len(pages) > 1 && !c.schema.AllReadSchema(records.SchemaDependencies) {
+		return // the first versions would take the first page for the whole catalog
+	}
+	if len(pages) > c.Settings.Deployment.Store.MaxTransactionOps {
+		return
 	}
-	req := &api.Transaction{Compares: []api.Compare{{Key: records.CatalogKey, Version: c.catalogVersion}}}
+	c.budget.ChargeWrites(len(pages))
+	order := leadership.NewOrder(grant, c.catalogTransaction(grant, pages))
+	c.CallStore(message.StoreCall{Op: message.OpTransaction, Transaction: order}, func(*message.StoreReply) {
+		// The watch cache shows whether it was carried out; if not, the next read of the
+		// cloud's catalog tries again.
+	})
+}
+
+// catalogTransaction writes the pages of the catalog, unless the copy has changed or
+// another controller keeps it now.
+func (c *MachineCatalog) catalogTransaction(grant leadership.Grant, pages []records.CatalogRecord) *api.Transaction {
+	transaction := &api.Transaction{Compares: []api.Compare{{Key: records.CatalogKey, Version: c.catalogVersion}}}
 	if grant.Term() > 0 {
-		req.Compares = append(req.Compares, api.Compare{Key: coordination.RoleKey(leadership.Role{Kind: leadership.CatalogKeeper}), Version: grant.Term()})
+		key := coordination.RoleKey(leadership.Role{Kind: leadership.CatalogKeeper})
+		transaction.Compares = append(transaction.Compares, api.Compare{Key: key, Version: grant.Term()})
 	}
-	for n, p := range pages {
+	for n, page := range pages {
 		key := records.CatalogKey
 		if n > 0 {
 			key += "/" + strconv.Itoa(n)
 		}
-		req.Writes = append(req.Writes, api.Write{Put: key, Value: records.MustMarshal(p)})
+		transaction.Writes = append(transaction.Writes, api.Write{Put: key, Value: records.MustMarshal(page)})
 	}
-	c.budget.ChargeWrites(len(pages))
-	c.CallStore(message.StoreCall{Op: message.OpTransaction, Transaction: leadership.NewOrder(grant, req)}, func(*message.StoreReply) {})
+	return transaction
 }
--- a/internal/cluster/cycle_trigger.go
+++ b/internal/cluster/cycle_trigger.go
@@ -5,19 +5,19 @@
 	"spurmoor/internal/micros"
 )
 
-// CycleTrigger is where components ask for a scheduling cycle before the next is due.
+// CycleTrigger is where components request a scheduling cycle before the next is due.
 type CycleTrigger struct {
 	*coordination.Environment
 
-	requestedCycleAt micros.Micros // 0: none is asked for
+	requestedCycleAt micros.Micros // 0: none is requested
 }
 
-// NewCycleTrigger makes a cycle trigger.
+// NewCycleTrigger returns a trigger with no cycle requested.
 func NewCycleTrigger(env *coordination.Environment) *CycleTrigger {
 	return &CycleTrigger{Environment: env}
 }
 
-// Due tells whether a cycle that was asked for is due.
+// Due reports whether a cycle that was requested is due.
 func (t *CycleTrigger) Due() bool {
 	return t.requestedCycleAt != 0 && t.Now >= t.requestedCycleAt
 }
@@ -25,9 +25,11 @@
 // Clear notes that a cycle runs now.
 func (t *CycleTrigger) Clear() { t.requestedCycleAt = 0 }
 
-// RequestCycleWithin wants a cycle no later than d from now.
-func (t *CycleTrigger) RequestCycleWithin(d micros.Micros) {
-	if at := t.Now + d; t.requestedCycleAt == 0 || at < t.requestedCycleAt {
+// RequestCycleWithin requests a cycle no later than delay from now. Of several requests
+// the earliest holds.
+func (t *CycleTrigger) RequestCycleWithin(delay micros.Micros) {
+	at := t.Now + delay
+	if t.requestedCycleAt == 0 || at < t.requestedCycleAt {
 		t.requestedCycleAt = at
 	}
 }
--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -1,184 +1,177 @@
 package cluster
 
 import (
-	"cmp"
-	"strconv"
-	"strings"
-
 	"spurmoor/internal/api"
 	"spurmoor/internal/micros"
 	"spurmoor/internal/scheduler"
 )
 
-// ChunkSize tasks are kept together in memory, made when first needed.
+// ChunkSize is how many tasks of a job are kept together in memory. A chunk is made when
+// something is first known of one of its tasks: most arrays wait for long.
 const ChunkSize = 128
 
-// States of tasks.
-const (
-	taskPending uint8 = iota
-	TaskPlaced        // on its machine until proven gone
-	TaskDone
-)
-
-// TaskRecord is what the log keeps of a task.
-type TaskRecord struct {
-	State   uint8
-	Attempt uint64
-	Machine string
-}
-
-// Task is one task of a job: what is recorded of it, and what was observed since this
-// controller leads its partition.
-type Task struct {
-	TaskRecord
-	Committed  TaskRecord // as committed
-	changed    bool       // differs from what was committed, or is being committed
-	generation uint32     // counts changes
-	LogSequence   uint64     // the log entry that last held it; 0: none
-
-	// what is known since take-over only
-	Observed         bool          // its machine has reported it
-	ReportedState    api.TaskState // state last reported
-	RunningSince     micros.Micros // running since
-	PlacedAt         micros.Micros
-	StopRequestedAt  micros.Micros // told to stop since
-	GraceS           float64
-	notBefore        micros.Micros // not to be placed before
-	DirectStartToken uint64        // token of a direct start that may still be on its way
-}
-
 // Job is an unfinished job.
 type Job struct {
-	ID                 string
-	Spec               api.Job
-	Request            scheduler.Resources
-	AcceptedAt         micros.Micros
-	Cancelled          bool          // its user or, doomed, that of a job that it needs did
-	CancelledElsewhere bool          // another controller says that it told its user so
-	StopRequiredSince  micros.Micros // since when, at the earliest, as far as we know
-	Version            uint64
-	Partition          int
-	Chunks             map[int][]Task
-	PlacedTasks        int
-	DoneTasks          int
-	ChangedTasks       int  // tasks to commit
-	Terminal           bool // its final state is committed, the replica not there yet
-
-	Dependencies        []string      // jobs that must be done first
-	PendingDependencies int           // of those not done, or not known to be
-	UnknownDependencies int           // of those over, it is not known how
+	// What was submitted, and its record in the store. Written as the record is applied,
+	// by core.
+	ID         string
+	Spec       api.Job
+	Request    scheduler.Resources // of one task
+	AcceptedAt micros.Micros
+	Version    uint64 // of its key in the store
+	Partition  int
+
+	// Cancellation. Cancelled is written as the record is applied and by the dependency
+	// graph, CancelledElsewhere by core, StopRequiredSince by State.
+	Cancelled bool // by its user, or with a job that it depends on
+	// CancelledElsewhere says that another controller notified its user that the job is
+	// cancelled, which the store does not show yet.
+	CancelledElsewhere bool
+	// StopRequiredSince is since when, at the earliest, its tasks must not run; 0: they
+	// may.
+	StopRequiredSince micros.Micros
+
+	// Tasks and the counts of them. Written by State.
+	Chunks       map[int][]Task // by index / ChunkSize
+	PlacedTasks  int
+	DoneTasks    int
+	ChangedTasks int            // to be committed
+	TasksPerZone map[string]int // of those placed
+
+	// Its end. Written by the partition log.
+	endedAt  micros.Micros // when its terminal state was first due; 0: it is not
+	Terminal bool          // its terminal state is committed, its key still in the replica
+
+	// Dependencies. The list is written as the record is applied, the rest by the
+	// dependency graph.
+	Dependencies        []string // jobs that must be done first
+	PendingDependencies int      // of those not done, or not known to be
+	UnknownDependencies int      // of those that have ended, it is not known how
+	DependencyCancelled bool
 	dependenciesDoneAt  micros.Micros // when the last of them was done
-	DependencyCancelled bool          // one of them is withdrawn
-
-	endedAt micros.Micros // when its final state was first due
-
-	StartUncommitted bool            // a gang whose start is being committed
-	FailedMachines   map[string]bool // machines that it failed on
-	Suspect          bool            // fails wherever it runs: submitted with a mistake
-	lastFailureAt    micros.Micros
-	FailureCount     int  // since this controller plans it
-	attemptSpoiled   bool // a task of this attempt of the gang has exited
-	NotBefore        micros.Micros
-	backoff          micros.Micros
-	// ReservedSince is since when machines are promised to it; unpromised, until
-	// when none are any more, for it did not begin.
-	ReservedSince, NoReservationBefore micros.Micros
-	TasksPerZone                       map[string]int
-}
-
-// TaskID names a task by its job and its place in it.
-type TaskID struct {
-	Job   string
-	Index int
-}
-
-func (t TaskID) String() string { return t.Job + "/" + strconv.Itoa(t.Index) }
-
-func (t TaskID) compare(o TaskID) int {
-	return cmp.Or(strings.Compare(t.Job, o.Job), cmp.Compare(t.Index, o.Index))
-}
 
-// ParseTaskID reads the name that TaskID.String gives; false: it is not of that form.
-func ParseTaskID(s string) (TaskID, bool) {
-	id, num, ok := strings.Cut(s, "/")
-	n, err := strconv.Atoi(num)
-	return TaskID{Job: id, Index: n}, ok && err == nil && n >= 0
+	// Failures of its tasks. Written by the task lifecycle.
+	FailedMachines map[string]bool // names of machines that it failed on
+	FailureCount   int             // seen by this controller
+	Suspect        bool            // fails wherever it runs: submitted with a mistake
+	lastFailureAt  micros.Micros
+	backoff        micros.Micros // the last wait between two tries while suspect
+	NotBefore      micros.Micros // not to be placed before
+
+	// The start of a gang. StartUncommitted is written by planning, the partition log and
+	// State, attemptSpoiled by the task lifecycle and State.
+	StartUncommitted bool // its start is being committed
+	attemptSpoiled   bool // a task of this attempt has exited: it must not be used again
+
+	// Reservations. Written by planning.
+	ReservedSince       micros.Micros // since when machines are reserved for it; 0: none are
+	NoReservationBefore micros.Micros // it had a reservation and did not start in time
 }
 
 // ChunkIndexes lists the chunks of tasks that were made, in order.
 func (j *Job) ChunkIndexes() []int {
 	var list []int
-	for n := 0; n*ChunkSize < j.Spec.Tasks; n++ {
-		if j.Chunks[n] != nil {
-			list = append(list, n)
+	for chunk := 0; chunk*ChunkSize < j.Spec.Tasks; chunk++ {
+		if j.Chunks[chunk] != nil {
+			list = append(list, chunk)
 		}
 	}
 	return list
 }
 
-// EnsureTask gives a task, made if nothing about it was known.
-func (j *Job) EnsureTask(n int) *Task {
-	ch := j.Chunks[n/ChunkSize]
-	if ch == nil {
-		ch = make([]Task, min(ChunkSize, j.Spec.Tasks-n/ChunkSize*ChunkSize))
-		j.Chunks[n/ChunkSize] = ch
+// knownTasks yields the tasks of the chunks that were made, in order, with their indexes.
+// It is an iter.Seq2, spelt out since the state machine's imports are kept few.
+func (j *Job) knownTasks() func(yield func(int, *Task) bool) {
+	return func(yield func(int, *Task) bool) {
+		for _, chunk := range j.ChunkIndexes() {
+			tasks := j.Chunks[chunk]
+			for i := range tasks {
+				if !yield(chunk*ChunkSize+i, &tasks[i]) {
+					return
+				}
+			}
+		}
+	}
+}
+
+// EnsureTask returns a task, made if nothing about it was known.
+func (j *Job) EnsureTask(index int) *Task {
+	chunk := index / ChunkSize
+	if j.Chunks[chunk] == nil {
+		j.Chunks[chunk] = make([]Task, min(ChunkSize, j.Spec.Tasks-chunk*ChunkSize))
 	}
-	return &ch[n%ChunkSize]
+	return &j.Chunks[chunk][index%ChunkSize]
 }
 
-// Task gives a task, or nil where nothing about it was ever decided.
-func (j *Job) Task(n int) *Task {
-	if n >= j.Spec.Tasks {
+// Task returns a task, or nil where nothing about it was ever decided.
+func (j *Job) Task(index int) *Task {
+	if index >= j.Spec.Tasks {
 		return nil
 	}
-	if ch := j.Chunks[n/ChunkSize]; ch != nil {
-		return &ch[n%ChunkSize]
+	if tasks := j.Chunks[index/ChunkSize]; tasks != nil {
+		return &tasks[index%ChunkSize]
 	}
 	return nil
 }
 
-// IsCommitted tells whether what is known of a task is committed.
-func (j *Job) IsCommitted(n int) bool {
-	t := j.Task(n)
-	return t == nil || !t.changed
+// IsCommitted reports whether all that is decided of a task is committed.
+func (j *Job) IsCommitted(index int) bool {
+	task := j.Task(index)
+	return task == nil || !task.changed
 }
 
-// Placeable lists tasks that may be placed now.
-func (j *Job) Placeable(now micros.Micros, most int) []int {
+// Placeable lists the indexes of tasks that may be placed now, at most limit of them; of
+// a gang all.
+func (j *Job) Placeable(now micros.Micros, limit int) []int {
 	var list []int
-	for k := 0; k*ChunkSize < j.Spec.Tasks; k++ {
-		ch := j.Chunks[k]
-		for n := k * ChunkSize; n < min(j.Spec.Tasks, (k+1)*ChunkSize); n++ {
-			if len(list) >= most && j.Spec.Kind != api.Gang {
+	for chunk := 0; chunk*ChunkSize < j.Spec.Tasks; chunk++ {
+		tasks := j.Chunks[chunk]
+		end := min(j.Spec.Tasks, (chunk+1)*ChunkSize)
+		for index := chunk * ChunkSize; index < end; index++ {
+			if len(list) >= limit && j.Spec.Kind != api.Gang {
 				return list
 			}
-			if ch == nil {
-				list = append(list, n)
-			} else if t := &ch[n%ChunkSize]; t.State == taskPending && now >= t.notBefore {
-				list = append(list, n)
+			if tasks == nil || tasks[index%ChunkSize].mayBePlaced(now) {
+				list = append(list, index)
 			}
 		}
 	}
-	// A gang starts whole; but once one of its tasks is done all are, and what
-	// a lost machine could not report any more is only asked for again.
+	// A gang starts whole. But once one of its tasks is done all are, and what a lost
+	// machine could not report any more only has to be asked for again.
 	if j.Spec.Kind == api.Gang && len(list)+j.DoneTasks < j.Spec.Tasks && !j.IsReassembling() {
 		return nil
 	}
 	return list
 }
 
-// LastAttempt gives the highest attempt of any task.
+// LastAttempt returns the highest attempt of any task.
 func (j *Job) LastAttempt() uint64 {
 	var last uint64
-	for _, ch := range j.Chunks {
-		for i := range ch {
-			last = max(last, ch[i].Attempt)
-		}
+	for _, task := range j.knownTasks() {
+		last = max(last, task.Attempt)
 	}
 	return last
 }
 
-// Status gives what users are told of an unfinished job.
+// HasStarted reports whether some task was placed, so that all dependencies are done.
+func (j *Job) HasStarted() bool { return j.PlacedTasks+j.DoneTasks > 0 }
+
+// EligibleAt is when the job could have started: its waiting time counts from there.
+func (j *Job) EligibleAt() micros.Micros { return max(j.AcceptedAt, j.dependenciesDoneAt) }
+
+// MustNotRun reports whether nothing of the job may run any more: it is cancelled, or
+// another controller says that it notified its user so.
+func (j *Job) MustNotRun() bool { return j.Cancelled || j.CancelledElsewhere }
+
+// isFinished reports whether the job is done, or cancelled and without tasks on machines.
+func (j *Job) isFinished() bool {
+	if j.Cancelled {
+		return j.PlacedTasks == 0
+	}
+	return j.Spec.Kind != api.Service && j.DoneTasks == j.Spec.Tasks
+}
+
+// Status returns what users are shown of an unfinished job.
 func (j *Job) Status() api.JobStatus {
 	state := api.JobPending
 	switch {
@@ -187,6 +180,6 @@
 	case j.PlacedTasks > 0:
 		state = api.JobRunning
 	}
-	d, r := j.DoneTasks, j.PlacedTasks
-	return api.JobStatus{ID: j.ID, State: state, Done: &d, Running: &r}
+	done, running := j.DoneTasks, j.PlacedTasks
+	return api.JobStatus{ID: j.ID, State: state, Done: &done, Running: &running}
 }
--- a/internal/cluster/machine_registry.go
+++ b/internal/cluster/machine_registry.go
@@ -7,7 +7,11 @@
 	"spurmoor/internal/records"
 )
 
-// MachineRegistry takes in machines' records and asks for changes of them.
+// recordCycleDelay is how soon a scheduling cycle runs once a machine's record has changed,
+// so that one cycle covers several changes.
+const recordCycleDelay = micros.Second / 5
+
+// MachineRegistry applies machines' records to the replica, and requests changes of them.
 type MachineRegistry struct {
 	*coordination.Environment
 	catalog   *MachineCatalog
@@ -17,78 +21,113 @@
 	trigger   *CycleTrigger
 }
 
-// NewMachineRegistry makes a machine registry.
-func NewMachineRegistry(env *coordination.Environment, catalog *MachineCatalog, cluster *State, deletions *DeletionLog, tasks *TaskLifecycle, trigger *CycleTrigger) *MachineRegistry {
-	return &MachineRegistry{Environment: env, catalog: catalog, cluster: cluster, deletions: deletions, tasks: tasks, trigger: trigger}
+// NewMachineRegistry returns a machine registry.
+func NewMachineRegistry(
+	env *coordination.Environment, catalog *MachineCatalog, cluster *State,
+	deletions *DeletionLog, tasks *TaskLifecycle, trigger *CycleTrigger,
+) *MachineRegistry {
+	return &MachineRegistry{
+		Environment: env, catalog: catalog, cluster: cluster,
+		deletions: deletions, tasks: tasks, trigger: trigger,
+	}
 }
 
-// ApplyMachineRecord takes in a machine's record unless a newer one is known.
-func (g *MachineRegistry) ApplyMachineRecord(r records.MachineRecord, from RecordOrigin, ver uint64) {
-	m := g.cluster.Machines[r.Name]
-	known, ok := g.cluster.tombstones[r.Name]
-	if m != nil {
-		known, ok = m.Origin, true
-	}
-	if ok && !known.supersededBy(from, r.Partition) || r.Partition < 0 || r.Partition >= len(g.cluster.Partitions) {
+// ApplyMachineRecord applies a machine's record, written at a revision of the store,
+// unless a newer one is known.
+func (r *MachineRegistry) ApplyMachineRecord(record records.MachineRecord, origin RecordOrigin, revision uint64) {
+	machine := r.cluster.Machines[record.Name]
+	if !r.isNews(machine, record, origin) {
 		return
 	}
-	if r.Deleted {
-		g.cluster.setTombstone(r.Name, from)
-		if m != nil {
-			g.removeMachine(m)
+	if record.Deleted {
+		r.cluster.setTombstone(record.Name, origin)
+		if machine != nil {
+			r.removeMachine(machine)
 		}
 		return
 	}
-	g.cluster.clearTombstone(r.Name)
-	moved := m != nil && m.Record.Partition != r.Partition
-	if m == nil {
-		m = g.cluster.addMachine(r)
-	}
-	floor := max(m.Record.MinToken, r.MinToken)
-	if r.MinToken == 0 {
-		floor = max(floor, ver)
+	r.cluster.clearTombstone(record.Name)
+	transferred := machine != nil && machine.Record.Partition != record.Partition
+	if machine == nil {
+		machine = r.cluster.addMachine(record)
 	}
-	had := m.Record.MinToken
-	m.Record, m.Origin = r, from
-	m.Record.MinToken = floor
-	m.MachineType = g.catalog.MachineTypeByName[r.Type]
+	tokenRaised := r.replaceRecord(machine, record, origin, revision)
 	switch {
-	case moved:
-		g.cluster.ResetObservations(m)
-	case floor > had && m.TokenConfirmed:
-		// Told at once: a worker reports a new token late, and until then
+	case transferred:
+		r.cluster.ResetObservations(machine)
+	case tokenRaised && machine.TokenConfirmed:
+		// The worker is notified at once: it would report a new token late, and until then
 		// nothing that it says counts as a sign of life.
-		m.TokenConfirmed, m.NextCommandAt = false, g.Now
+		machine.TokenConfirmed = false
+		machine.NextCommandAt = r.Now
 	}
-	g.trigger.RequestCycleWithin(micros.Second / 5)
+	r.trigger.RequestCycleWithin(recordCycleDelay)
+}
+
+// isNews reports whether a record names a partition that there is, and is newer than what
+// is known of its machine, which is nil if the replica has none of that name.
+func (r *MachineRegistry) isNews(machine *Machine, record records.MachineRecord, origin RecordOrigin) bool {
+	known, ok := r.cluster.tombstones[record.Name]
+	if machine != nil {
+		known, ok = machine.Origin, true
+	}
+	if ok && !known.supersededBy(origin, record.Partition) {
+		return false
+	}
+	return record.Partition >= 0 && record.Partition < len(r.cluster.Partitions)
+}
+
+// replaceRecord gives a machine a newer record, and reports whether that raises its lowest
+// token. The token never falls, whatever the record says.
+func (r *MachineRegistry) replaceRecord(
+	machine *Machine, record records.MachineRecord, origin RecordOrigin, revision uint64,
+) (tokenRaised bool) {
+	previous := machine.Record.MinToken
+	minToken := max(previous, record.MinToken)
+	if record.MinToken == 0 {
+		minToken = max(minToken, revision)
+	}
+	machine.Record, machine.Origin = record, origin
+	machine.Record.MinToken = minToken
+	machine.MachineType = r.catalog.MachineTypeByName[record.Type]
+	return minToken > previous
 }
 
 // removeMachine drops a machine whose record is deleted: all on it is proven gone.
-func (g *MachineRegistry) removeMachine(m *Machine) {
-	for _, id := range m.TaskIDsCopy() {
-		g.cluster.countOnMachine(g.cluster.Jobs[id.Job], id.Index, m, -1)
+func (r *MachineRegistry) removeMachine(machine *Machine) {
+	for _, id := range machine.TaskIDsCopy() {
+		r.cluster.countOnMachine(r.cluster.Jobs[id.Job], id.Index, machine, -1)
 	}
-	g.cluster.forgetMachine(m)
-	g.deletions.RecordDeletion(m.Name)
-	g.tasks.ReleaseTasksWithoutMachine()
+	r.cluster.forgetMachine(machine)
+	r.deletions.RecordDeletion(machine.Name)
+	r.tasks.ReleaseTasksWithoutMachine()
 }
 
-// ScaleIn marks a machine for deletion: from then on it is never used again,
-// by whoever holds its partition.
-func (g *MachineRegistry) ScaleIn(m *Machine, why string) {
-	if m.RecordChangePending() || m.Record.Condemned {
+// ScaleIn marks a machine for deletion: from then on it is never used again, whoever
+// leads its partition.
+func (r *MachineRegistry) ScaleIn(machine *Machine, reason string) {
+	if machine.RecordChangePending() || machine.Record.Condemned {
 		return
 	}
-	g.LogInfo("machine scaled in", logkey.Machine, m.Name, logkey.Type, m.Record.Type, logkey.Reason, why, logkey.Tasks, len(m.TaskIDs), logkey.AgeS, (g.Now - m.LaunchedAt).WholeSeconds())
-	g.cluster.RequestRecordChange(m, condemnRecord)
+	r.LogInfo(
+		"machine scaled in", logkey.Machine, machine.Name, logkey.Type, machine.Record.Type, logkey.Reason, reason,
+		logkey.Tasks, len(machine.TaskIDs), logkey.AgeS, (r.Now - machine.LaunchedAt).WholeSeconds(),
+	)
+	r.cluster.RequestRecordChange(machine, condemnRecord)
 }
 
 // TransferMachine moves an empty machine to another partition.
-func (g *MachineRegistry) TransferMachine(m *Machine, to int) {
-	if m.RecordChangePending() || m.Record.Condemned || !g.cluster.IsEmptyAndCommitted(m) || to == m.Record.Partition || to < 0 || to >= len(g.cluster.Partitions) {
+func (r *MachineRegistry) TransferMachine(machine *Machine, newPartition int) {
+	if machine.RecordChangePending() || machine.Record.Condemned || !r.cluster.IsEmptyAndCommitted(machine) {
+		return
+	}
+	if newPartition == machine.Record.Partition || newPartition < 0 || newPartition >= len(r.cluster.Partitions) {
 		return
 	}
-	g.LogInfo("machine transferred", logkey.Machine, m.Name, logkey.FromPartition, m.Record.Partition, logkey.ToPartition, to, logkey.HomePartition, m.Record.HomePartition)
-	m.transferTo = to
-	g.cluster.RequestRecordChange(m, transferRecord)
+	r.LogInfo(
+		"machine transferred", logkey.Machine, machine.Name, logkey.FromPartition, machine.Record.Partition,
+		logkey.ToPartition, newPartition, logkey.HomePartition, machine.Record.HomePartition,
+	)
+	machine.transferTo = newPartition
+	r.cluster.RequestRecordChange(machine, transferRecord)
 }
--- a/internal/cluster/task_accounting.go
+++ b/internal/cluster/task_accounting.go
@@ -2,111 +2,122 @@
 
 import "slices"
 
-// MarkChanged has a job looked at for what is to be committed.
-func (c *State) MarkChanged(j *Job) {
-	if p := c.Partitions[j.Partition]; p.Leads() && c.Jobs[j.ID] == j && !j.Terminal {
-		p.ChangedJobs[j.ID] = true
+// MarkChanged has a job examined for what is to be committed of it.
+func (s *State) MarkChanged(job *Job) {
+	partition := s.Partitions[job.Partition]
+	if partition.Leads() && s.Jobs[job.ID] == job && !job.Terminal {
+		partition.ChangedJobs[job.ID] = true
 	}
 }
 
-// ChangeTask changes a task, to be committed.
-func (c *State) ChangeTask(j *Job, n int, s TaskRecord) {
-	t := j.EnsureTask(n)
-	if m := c.Machines[t.Machine]; m != nil && m.Name != s.Machine {
-		m.DepartedJobs[j.ID] = true
+// ChangeTask decides what a task becomes, to be committed. Which states may follow on
+// which, records.TaskState.CanBecome says.
+func (s *State) ChangeTask(job *Job, index int, record TaskRecord) {
+	task := job.EnsureTask(index)
+	if machine := s.Machines[task.Machine]; machine != nil && machine.Name != record.Machine {
+		machine.DepartedJobs[job.ID] = true
 	}
-	c.SetTask(j, n, s)
-	t.generation++
-	if !t.changed {
-		t.changed = true
-		j.ChangedTasks++
+	s.SetTask(job, index, record)
+	task.generation++
+	if !task.changed {
+		task.changed = true
+		job.ChangedTasks++
 	}
-	c.MarkChanged(j)
+	s.MarkChanged(job)
 }
 
-// RevertUncommitted throws away what is not committed of a job.
-func (c *State) RevertUncommitted(j *Job) {
-	j.StartUncommitted = false
-	for _, k := range j.ChunkIndexes() {
-		for i := range j.Chunks[k] {
-			if t := &j.Chunks[k][i]; t.changed {
-				c.SetTask(j, k*ChunkSize+i, t.Committed)
-			}
+// RevertUncommitted discards what was decided of a job's tasks but is not committed.
+func (s *State) RevertUncommitted(job *Job) {
+	job.StartUncommitted = false
+	for index, task := range job.knownTasks() {
+		if task.changed {
+			s.SetTask(job, index, task.Committed)
 		}
 	}
 }
 
-// SetTask changes a task and every count that depends on it.
-func (c *State) SetTask(j *Job, n int, s TaskRecord) {
-	t := j.EnsureTask(n)
-	if t.changed {
-		t.changed = false
-		j.ChangedTasks--
+// SetTask sets what a task is, and every count that depends on it. What was observed of it
+// and what was to be committed is forgotten.
+func (s *State) SetTask(job *Job, index int, record TaskRecord) {
+	task := job.EnsureTask(index)
+	if task.changed {
+		task.changed = false
+		job.ChangedTasks--
 	}
-	c.countTask(j, n, t, -1)
-	*t = Task{TaskRecord: s, Committed: t.Committed, generation: t.generation, LogSequence: t.LogSequence, PlacedAt: c.Now, notBefore: t.notBefore}
-	c.countTask(j, n, t, 1)
-	if j.PlacedTasks == 0 {
-		j.attemptSpoiled = false
+	s.countTask(job, index, task, -1)
+	*task = Task{
+		TaskRecord:  record,
+		Committed:   task.Committed,
+		LogSequence: task.LogSequence,
+		generation:  task.generation,
+		PlacedAt:    s.Now,
+		notBefore:   task.notBefore,
+	}
+	s.countTask(job, index, task, 1)
+	if job.PlacedTasks == 0 {
+		job.attemptSpoiled = false
 	}
 }
 
-func (c *State) countTask(j *Job, n int, t *Task, by int) {
-	switch t.State {
+// countTask adds a task, as it is, to all counts (delta 1) or takes it out of them (-1).
+func (s *State) countTask(job *Job, index int, task *Task, delta int) {
+	switch task.State {
+	case taskPending:
 	case TaskDone:
-		j.DoneTasks += by
+		job.DoneTasks += delta
 	case TaskPlaced:
-		j.PlacedTasks += by
-		if u := c.TeamUsage[j.Spec.Team]; u != nil {
-			*u = u.Add(j.Request, int64(by))
+		job.PlacedTasks += delta
+		if usage := s.TeamUsage[job.Spec.Team]; usage != nil {
+			*usage = usage.Add(job.Request, int64(delta))
 		}
-		if m := c.Machines[t.Machine]; m != nil {
-			c.countOnMachine(j, n, m, by)
+		if machine := s.Machines[task.Machine]; machine != nil {
+			s.countOnMachine(job, index, machine, delta)
 		}
 	}
 }
 
-func (c *State) countOnMachine(j *Job, n int, m *Machine, by int) {
-	m.Allocated = m.Allocated.Add(j.Request, int64(by))
-	j.TasksPerZone[m.Record.Zone] += by
-	id := TaskID{Job: j.ID, Index: n}
-	at, found := slices.BinarySearchFunc(m.TaskIDs, id, TaskID.compare)
+// countOnMachine adds a task to what is on a machine (delta 1) or takes it off (-1).
+func (s *State) countOnMachine(job *Job, index int, machine *Machine, delta int) {
+	machine.Allocated = machine.Allocated.Add(job.Request, int64(delta))
+	job.TasksPerZone[machine.Record.Zone] += delta
+	id := TaskID{Job: job.ID, Index: index}
+	at, found := slices.BinarySearchFunc(machine.TaskIDs, id, TaskID.compare)
 	switch {
-	case by > 0 && !found:
-		m.TaskIDs = slices.Insert(m.TaskIDs, at, id)
-	case by < 0 && found:
-		m.TaskIDs = slices.Delete(m.TaskIDs, at, at+1)
-		if len(m.TaskIDs) == 0 {
-			m.IdleSince = c.Now
+	case delta > 0 && !found:
+		machine.TaskIDs = slices.Insert(machine.TaskIDs, at, id)
+	case delta < 0 && found:
+		machine.TaskIDs = slices.Delete(machine.TaskIDs, at, at+1)
+		if len(machine.TaskIDs) == 0 {
+			machine.IdleSince = s.Now
 		}
 	}
 }
 
-// countTasksOn counts the tasks of a job on a machine whose record came later
-// than theirs.
-func (c *State) countTasksOn(j *Job, m *Machine) {
-	for _, k := range j.ChunkIndexes() {
-		for i := range j.Chunks[k] {
-			if t := &j.Chunks[k][i]; t.State == TaskPlaced && t.Machine == m.Name {
-				c.countOnMachine(j, k*ChunkSize+i, m, 1)
-			}
+// countTasksOn counts the tasks of a job on a machine whose record was read after theirs.
+func (s *State) countTasksOn(job *Job, machine *Machine) {
+	for index, task := range job.knownTasks() {
+		if task.State == TaskPlaced && task.Machine == machine.Name {
+			s.countOnMachine(job, index, machine, 1)
 		}
 	}
 }
 
-// RequestJobStop has a job's machines told at once that it must not run any more.
-func (c *State) RequestJobStop(j *Job) {
-	if j.StopRequiredSince == 0 {
-		j.StopRequiredSince = c.cache.CurrentAsOf
+// RequestJobStop has a job's machines notified at once that it must not run any more.
+func (s *State) RequestJobStop(job *Job) {
+	if job.StopRequiredSince == 0 {
+		job.StopRequiredSince = s.cache.CurrentAsOf
 	}
-	if j.PlacedTasks == 0 || !c.Partitions[j.Partition].Leads() {
+	if job.PlacedTasks == 0 || !s.Partitions[job.Partition].Leads() {
 		return
 	}
-	for _, k := range j.ChunkIndexes() {
-		for i := range j.Chunks[k] {
-			if m := c.Machines[j.Chunks[k][i].Machine]; m != nil {
-				m.NextCommandAt = min(m.NextCommandAt, c.Now)
-			}
-		}
+	for _, task := range job.knownTasks() {
+		s.requestCommand(task.Machine)
+	}
+}
+
+// requestCommand has a machine, if it is known, sent direct commands as soon as possible.
+func (s *State) requestCommand(name string) {
+	if machine := s.Machines[name]; machine != nil {
+		machine.NextCommandAt = min(machine.NextCommandAt, s.Now)
 	}
 }
--- a/internal/coordination/election.go
+++ b/internal/coordination/election.go
@@ -30,9 +30,9 @@
 // RoleKey is a duty's key in the state service.
 func RoleKey(id leadership.Role) string {
 	if id.Kind == leadership.PartitionLeader {
-		return records.PartitionKey + strconv.Itoa(id.Index)
+		return records.PartitionPrefix + strconv.Itoa(id.Index)
 	}
-	return records.FleetRoleKey + id.String()
+	return records.FleetRolePrefix + id.String()
 }
 
 // LeaderClaim is what this process writes under the key of a duty that it takes.
--- a/internal/coordination/schema.go
+++ b/internal/coordination/schema.go
@@ -74,7 +74,7 @@
 		return
 	}
 	s.NextSchemaAnnouncementAt = s.Now + schemaRetryInterval
-	key, rec := records.SchemaKey+s.Settings.Node, records.MustMarshal(records.SchemaRecord{SchemaVersion: records.SchemaVersion, Release: records.Version})
+	key, rec := records.SchemaPrefix+s.Settings.Node, records.MustMarshal(records.SchemaRecord{SchemaVersion: records.SchemaVersion, Release: records.Version})
 	s.budget.ChargeWrites(1)
 	req := &api.Transaction{Compares: []api.Compare{{Key: key, Version: s.schemaKeyVersion}}, Writes: []api.Write{{Put: key, Value: rec}}}
 	s.CallStore(message.StoreCall{Op: message.OpTransaction, Transaction: leadership.NewOrder(leadership.SharedGrant(leadership.ForSchema, leadership.Write), req)}, func(r *message.StoreReply) {
--- a/internal/core/duties_test.go
+++ b/internal/core/duties_test.go
@@ -68,11 +68,11 @@
 func TestRentalIsRecordedFirst(t *testing.T) {
 	c, p := recorder(t)
 	c.provisioning.ScaleOut(p, scheduler.InstanceKind{Type: "g4", Zone: "alta"}, 3)
-	record := writesTo(c.Effects, records.RequestsKey+"0")
+	record := writesTo(c.Effects, records.RequestsPrefix+"0")
 	if record == nil || rentalsSent(c.Effects) != 0 {
 		t.Fatalf("recorded: %t, sent before that: %d", record != nil, rentalsSent(c.Effects))
 	}
-	for _, g := range []api.Compare{{Key: p.Key(), Version: p.Term}, {Key: records.RequestsKey + "0"}} {
+	for _, g := range []api.Compare{{Key: p.Key(), Version: p.Term}, {Key: records.RequestsPrefix + "0"}} {
 		if !slices.Contains(record.Transaction.Body().Compares, g) {
 			t.Errorf("the record does not guard %+v", g)
 		}
@@ -90,7 +90,7 @@
 	c.roles.LoseRole(p.RoleState, "test")
 	open := provisioning.RequestsRecord{Open: []provisioning.RequestRecord{{Request: "p0-10-7", Type: "g4", Zone: "alta", Count: 4},
 		{Request: "p0-10-8", Type: "g4", Zone: "alta", Spot: true, Count: 2, Deferred: true}}}
-	c.applier.ApplyPut(records.RequestsKey+"0", records.MustMarshal(open), 50)
+	c.applier.ApplyPut(records.RequestsPrefix+"0", records.MustMarshal(open), 50)
 	c.applier.ApplyPut(p.Key(), records.MustMarshal(c.roles.LeaderClaim()), 60)
 	effects := c.Step(c.Now+micros.Second, message.Tick{})
 	var names []string
@@ -182,7 +182,7 @@
 // record can't be read: it counts as held until its lease has run out.
 func TestUnreadableDuty(t *testing.T) {
 	c, _ := recorder(t)
-	c.applier.ApplyPut(records.FleetRoleKey+"strays", []byte(`"?"`), 70)
+	c.applier.ApplyPut(records.FleetRolePrefix+"strays", []byte(`"?"`), 70)
 	h := c.roles.FleetRole(leadership.OrphanAdopter)
 	if c.roles.IsVacant(h) || h.Leads() || c.roles.MayPerform(leadership.OrphanAdopter) {
 		t.Errorf("free %t, held %t", c.roles.IsVacant(h), h.Leads())
@@ -191,7 +191,7 @@
 	if !logged {
 		t.Error("it is not logged")
 	}
-	c.applier.ApplyDelete(records.FleetRoleKey+"strays", 71)
+	c.applier.ApplyDelete(records.FleetRolePrefix+"strays", 71)
 	c.Now += 10 * micros.Second
 	if !c.roles.IsVacant(h) {
 		t.Error("not free after its lease ran out")
@@ -210,7 +210,7 @@
 	if c.roles.MayPerform(leadership.OrphanAdopter) {
 		t.Error("all know of the duty, and one that does not hold it acts")
 	}
-	c.applier.ApplyPut(records.FleetRoleKey+"strays", records.MustMarshal(c.roles.LeaderClaim()), 80)
+	c.applier.ApplyPut(records.FleetRolePrefix+"strays", records.MustMarshal(c.roles.LeaderClaim()), 80)
 	if !c.roles.MayPerform(leadership.OrphanAdopter) {
 		t.Fatal("its holder does not act")
 	}
@@ -226,11 +226,11 @@
 // the version before is there already.
 func TestSchemaIsAnnouncedAnew(t *testing.T) {
 	c, _ := recorder(t)
-	c.applier.ApplyPut(records.SchemaKey+c.Settings.Node, records.MustMarshal(records.SchemaRecord{SchemaVersion: records.SchemaDependencies, Release: "1.0"}), 33)
+	c.applier.ApplyPut(records.SchemaPrefix+c.Settings.Node, records.MustMarshal(records.SchemaRecord{SchemaVersion: records.SchemaDependencies, Release: "1.0"}), 33)
 	c.Effects, c.schema.NextSchemaAnnouncementAt = nil, 0
 	c.schema.AnnounceSchema()
-	call := writesTo(c.Effects, records.SchemaKey+c.Settings.Node)
-	if call == nil || !slices.Contains(call.Transaction.Body().Compares, api.Compare{Key: records.SchemaKey + c.Settings.Node, Version: 33}) {
+	call := writesTo(c.Effects, records.SchemaPrefix+c.Settings.Node)
+	if call == nil || !slices.Contains(call.Transaction.Body().Compares, api.Compare{Key: records.SchemaPrefix + c.Settings.Node, Version: 33}) {
 		t.Errorf("announced by %+v", call)
 	}
 }
--- a/internal/core/needs_test.go
+++ b/internal/core/needs_test.go
@@ -28,7 +28,7 @@
 	c.cache.Synced = true
 	c.catalog.MachineTypes = []api.MachineType{{Name: "g4", CPUs: 24, GPUs: 4, MemoryGB: 100, Zones: []string{"alta"}}}
 	spec := api.Job{ID: "wk-000001", Class: "c", Team: "norte", Kind: api.Array, Priority: "standard", Tasks: 1, CPUs: 1, Image: "i", EstimateS: 5}
-	put := api.Event{Put: records.JobKey + spec.ID, Value: records.MustMarshal(records.JobRecord{Spec: spec, AcceptedAt: 1}), Version: 3}
+	put := api.Event{Put: records.JobPrefix + spec.ID, Value: records.MustMarshal(records.JobRecord{Spec: spec, AcceptedAt: 1}), Version: 3}
 	c.cache.ApplyWatchReply(&message.StoreReply{Status: 200, Watch: api.WatchResponse{Revision: 3, Events: []api.Event{put}}}, 0)
 	body := map[string]any{}
 	if err := json.Unmarshal(records.MustMarshal(spec), &body); err != nil {
@@ -59,7 +59,7 @@
 	txns := 0
 	for i, b := range [][]byte{body, []byte(string(body[:len(body)-1]) + `,"Espera":["wk-000001"]}`)} {
 		for _, e := range c.Step(micros.Micros(i+1)*micros.Second, message.Submit{RequestID: uint64(i + 1), Body: b}) {
-			if call, ok := e.(message.StoreCall); ok && call.Op == message.OpTransaction && len(call.Transaction.Body().Writes) > 0 && call.Transaction.Body().Writes[0].Put == records.JobKey+"wk-000001" {
+			if call, ok := e.(message.StoreCall); ok && call.Op == message.OpTransaction && len(call.Transaction.Body().Writes) > 0 && call.Transaction.Body().Writes[0].Put == records.JobPrefix+"wk-000001" {
 				txns++
 			}
 			if a, ok := e.(message.Answer); ok && a.Status >= 400 && a.Status < 429 {
--- a/internal/core/record_applier.go
+++ b/internal/core/record_applier.go
@@ -42,7 +42,7 @@
 
 // parseSlotKey reads a log slot's key.
 func (a *recordApplier) parseSlotKey(key string) (*cluster.Partition, int) {
-	partitionText, slotText, found := strings.Cut(key[len(records.LogKey):], "/")
+	partitionText, slotText, found := strings.Cut(key[len(records.LogPrefix):], "/")
 	index, indexErr := strconv.Atoi(partitionText)
 	slot, slotErr := strconv.Atoi(slotText)
 	if !found || indexErr != nil || slotErr != nil || index < 0 || index >= len(a.cluster.Partitions) || slot < 0 {
@@ -73,7 +73,7 @@
 // order: records and runs say which is later.
 func (a *recordApplier) ReplaceAll(pairs []api.KeyValue) {
 	a.resetReplica()
-	for _, prefix := range []string{records.AdoptionKey, records.CatalogKey, records.SchemaKey, records.JobKey, records.LogKey, records.RequestsKey, records.FleetRoleKey, records.PartitionKey} {
+	for _, prefix := range []string{records.AdoptionKey, records.CatalogKey, records.SchemaPrefix, records.JobPrefix, records.LogPrefix, records.RequestsPrefix, records.FleetRolePrefix, records.PartitionPrefix} {
 		for _, pair := range pairs {
 			if strings.HasPrefix(pair.Key, prefix) {
 				a.ApplyPut(pair.Key, pair.Value, pair.Version)
@@ -96,18 +96,18 @@
 		a.cluster.ObserveAdoption(ver)
 	case key == records.CatalogKey || strings.HasPrefix(key, records.CatalogKey+"/"):
 		err = a.applyCatalogPage(strings.TrimPrefix(key[len(records.CatalogKey):], "/"), value, ver)
-	case strings.HasPrefix(key, records.PartitionKey):
-		err = a.applyPartitionKey(key[len(records.PartitionKey):], value, ver)
-	case strings.HasPrefix(key, records.JobKey):
-		err = a.applyJob(key[len(records.JobKey):], value, ver)
-	case strings.HasPrefix(key, records.SchemaKey):
-		err = a.applySchemaKey(key[len(records.SchemaKey):], value, ver)
-	case strings.HasPrefix(key, records.LogKey):
+	case strings.HasPrefix(key, records.PartitionPrefix):
+		err = a.applyPartitionKey(key[len(records.PartitionPrefix):], value, ver)
+	case strings.HasPrefix(key, records.JobPrefix):
+		err = a.applyJob(key[len(records.JobPrefix):], value, ver)
+	case strings.HasPrefix(key, records.SchemaPrefix):
+		err = a.applySchemaKey(key[len(records.SchemaPrefix):], value, ver)
+	case strings.HasPrefix(key, records.LogPrefix):
 		err = a.applyLogSlot(key, value, ver)
-	case strings.HasPrefix(key, records.FleetRoleKey):
-		err = a.roles.ApplyFleetRole(key[len(records.FleetRoleKey):], value, ver)
-	case strings.HasPrefix(key, records.RequestsKey):
-		err = a.provisioning.ApplyRequests(key[len(records.RequestsKey):], value, ver)
+	case strings.HasPrefix(key, records.FleetRolePrefix):
+		err = a.roles.ApplyFleetRole(key[len(records.FleetRolePrefix):], value, ver)
+	case strings.HasPrefix(key, records.RequestsPrefix):
+		err = a.provisioning.ApplyRequests(key[len(records.RequestsPrefix):], value, ver)
 	}
 	if err != nil {
 		a.LogError("unreadable value in the store", logkey.Key, key, logkey.Error, err)
@@ -231,15 +231,15 @@
 // ApplyDelete takes in that a key was deleted.
 func (a *recordApplier) ApplyDelete(key string, ver uint64) {
 	switch {
-	case strings.HasPrefix(key, records.PartitionKey):
-		i, err := strconv.Atoi(key[len(records.PartitionKey):])
+	case strings.HasPrefix(key, records.PartitionPrefix):
+		i, err := strconv.Atoi(key[len(records.PartitionPrefix):])
 		if err == nil && i >= 0 && i < len(a.cluster.Partitions) && a.cluster.Partitions[i].Term < ver {
 			a.roles.ObserveRole(a.cluster.Partitions[i].RoleState, leadership.Claim{}, 0)
 		}
-	case strings.HasPrefix(key, records.FleetRoleKey):
-		a.roles.DeleteFleetRole(key[len(records.FleetRoleKey):], ver)
-	case strings.HasPrefix(key, records.JobKey):
-		if j := a.cluster.Jobs[key[len(records.JobKey):]]; j != nil && j.Version < ver {
+	case strings.HasPrefix(key, records.FleetRolePrefix):
+		a.roles.DeleteFleetRole(key[len(records.FleetRolePrefix):], ver)
+	case strings.HasPrefix(key, records.JobPrefix):
+		if j := a.cluster.Jobs[key[len(records.JobPrefix):]]; j != nil && j.Version < ver {
 			for _, n := range j.ChunkIndexes() {
 				for i := range j.Chunks[n] {
 					a.cluster.SetTask(j, n*cluster.ChunkSize+i, cluster.TaskRecord{})
--- a/internal/core/safety_test.go
+++ b/internal/core/safety_test.go
@@ -124,7 +124,7 @@
 		var txn message.StoreCall
 		req := c.NextCall + 1000
 		for _, e := range c.Step(c.Now+1, message.Submit{RequestID: req, Body: body}) {
-			if call, ok := e.(message.StoreCall); ok && call.Op == message.OpTransaction && call.Transaction.Body().Writes[0].Put == records.JobKey+"wk-000001" {
+			if call, ok := e.(message.StoreCall); ok && call.Op == message.OpTransaction && call.Transaction.Body().Writes[0].Put == records.JobPrefix+"wk-000001" {
 				txn = call
 			}
 			if call, ok := e.(message.StoreCall); ok && call.Op == message.OpWatch && call.WaitMs == 0 {
@@ -158,7 +158,7 @@
 	j.Task(0).Committed = cluster.TaskRecord{}
 	c.cluster.ChangeTask(j, 0, cluster.TaskRecord{State: cluster.TaskPlaced, Attempt: 2, Machine: m.Name})
 	f := c.partitionLog.BuildCommit(p, 10)
-	if f == nil || !slices.Contains(f.Request.Compares, api.Compare{Key: records.JobKey + j.ID, Version: j.Version}) {
+	if f == nil || !slices.Contains(f.Request.Compares, api.Compare{Key: records.JobPrefix + j.ID, Version: j.Version}) {
 		t.Errorf("a start is committed without its job's key: %+v", f)
 	}
 }
@@ -240,7 +240,7 @@
 	c, p, _, j := holder(t)
 	c.cluster.ChangeTask(j, 0, cluster.TaskRecord{State: cluster.TaskDone, Attempt: 1, Machine: ""})
 	f := c.partitionLog.BuildCommit(p, 10)
-	if f == nil || len(f.TerminalJobs) != 1 || !slices.Contains(f.Request.Compares, api.Compare{Key: records.JobKey + j.ID, Version: j.Version}) {
+	if f == nil || len(f.TerminalJobs) != 1 || !slices.Contains(f.Request.Compares, api.Compare{Key: records.JobPrefix + j.ID, Version: j.Version}) {
 		t.Errorf("an end is recorded without its job's key: %+v", f)
 	}
 }
--- a/internal/core/user_requests.go
+++ b/internal/core/user_requests.go
@@ -193,14 +193,14 @@
 func (h *requestHandler) recordJob(reqID uint64, rec []byte, spec *api.Job) {
 	h.acceptsInFlight++
 	h.budget.ChargeWrites(1)
-	req := &api.Transaction{Compares: []api.Compare{{Key: records.JobKey + spec.ID}, {Key: records.TerminalKey + spec.ID}},
-		Writes: []api.Write{{Put: records.JobKey + spec.ID, Value: rec}}}
+	req := &api.Transaction{Compares: []api.Compare{{Key: records.JobPrefix + spec.ID}, {Key: records.TerminalPrefix + spec.ID}},
+		Writes: []api.Write{{Put: records.JobPrefix + spec.ID, Value: rec}}}
 	sent := h.Now
 	h.CallStore(message.StoreCall{Op: message.OpTransaction, Transaction: leadership.NewOrder(leadership.SharedGrant(leadership.ForUser, leadership.Write), req)}, func(r *message.StoreReply) {
 		h.acceptsInFlight--
 		switch r.Status {
 		case 200:
-			h.applyOwnWrite(records.JobKey+spec.ID, rec, r.Transaction.Revision)
+			h.applyOwnWrite(records.JobPrefix+spec.ID, rec, r.Transaction.Revision)
 			if len(spec.Dependencies) == 0 && h.Now < sent+coordination.MaxReadAge {
 				h.Answer(reqID, 201, api.JobStatus{ID: spec.ID, State: api.JobPending})
 				return
@@ -299,13 +299,13 @@
 		default:
 			// Nobody asks any more what a cancelled job needed.
 			rec := records.MustMarshal(records.JobRecord{Spec: withoutDependencies(j.Spec), AcceptedAt: j.AcceptedAt, Cancelled: true})
-			req := &api.Transaction{Compares: []api.Compare{{Key: records.JobKey + j.ID, Version: j.Version}},
-				Writes: []api.Write{{Put: records.JobKey + j.ID, Value: rec}}}
+			req := &api.Transaction{Compares: []api.Compare{{Key: records.JobPrefix + j.ID, Version: j.Version}},
+				Writes: []api.Write{{Put: records.JobPrefix + j.ID, Value: rec}}}
 			h.budget.ChargeWrites(1)
 			h.CallStore(message.StoreCall{Op: message.OpTransaction, Transaction: leadership.NewOrder(leadership.SharedGrant(leadership.ForUser, leadership.Write), req)}, func(r *message.StoreReply) {
 				switch r.Status {
 				case 200:
-					h.applyOwnWrite(records.JobKey+v.ID, rec, r.Transaction.Revision)
+					h.applyOwnWrite(records.JobPrefix+v.ID, rec, r.Transaction.Revision)
 					h.messenger.notifyCancelled(v.ID)
 					h.Answer(v.RequestID, 200, api.JobStatus{ID: v.ID, State: api.JobCancelled})
 				case 409:
--- a/internal/planning/scheduling_cycle.go
+++ b/internal/planning/scheduling_cycle.go
@@ -106,7 +106,7 @@
 	for _, s := range starts {
 		j := jobs[s.Job.ID]
 		if _, ok := next[j.ID]; !ok {
-			next[j.ID] = j.Placeable(y.Now, y.tasks.MaxTasksPerPlan(j))
+			next[j.ID] = j.Placeable(y.Now, y.tasks.MaxTasksPerCycle(j))
 			if j.Spec.Kind == api.Gang {
 				gangAttempt[j.ID] = j.LastAttempt()
 				if !j.IsReassembling() {
--- a/internal/provisioning/provisioning.go
+++ b/internal/provisioning/provisioning.go
@@ -116,7 +116,7 @@
 	requestRetryInterval = micros.Second / 2 // after there was no grant
 )
 
-func requestsKeyOf(p *cluster.Partition) string { return records.RequestsKey + strconv.Itoa(p.Index) }
+func requestsKeyOf(p *cluster.Partition) string { return records.RequestsPrefix + strconv.Itoa(p.Index) }
 
 // TrackRequestRecording has every open request written down once that begins to be wanted: what
 // the record held was written before, and means nothing any more.
