--- /dev/null
+++ b/internal/cluster/boot_statistics_test.go
@@ -0,0 +1,84 @@
+package cluster
+
+import (
+	"testing"
+
+	"spurmoor/internal/api"
+	"spurmoor/internal/micros"
+)
+
+// TestBootOverdue has machines of a type that should boot in 60 s come up, or not.
+func TestBootOverdue(t *testing.T) {
+	t.Parallel()
+	const launchedAt = 1000 * micros.Second
+	machineType := &api.MachineType{Name: "g4", BootS: 60}
+	booted := func(duration micros.Micros) bootTime {
+		return bootTime{youngestLaunchedAt: launchedAt, typicalDuration: duration}
+	}
+	for _, tc := range []struct {
+		name        string
+		machineType *api.MachineType
+		boot        bootTime
+		overdueAt   micros.Micros // last age at which it is not
+	}{
+		{"type not in the catalog", nil, bootTime{}, untypedBootTimeout},
+		{"none is up", machineType, bootTime{}, 180 * micros.Second},
+		{"others took as long as they should", machineType, booted(60 * micros.Second), 150 * micros.Second},
+		{"others were quick", machineType, booted(20 * micros.Second), 120 * micros.Second},
+		{
+			"those that are up were launched much earlier", machineType,
+			bootTime{youngestLaunchedAt: launchedAt - sameLaunchWithin - 1, typicalDuration: 20 * micros.Second},
+			180 * micros.Second,
+		},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			t.Parallel()
+			env := newEnvironment(t)
+			statistics := NewBootStatistics(env)
+			statistics.bootTimes["g4"] = tc.boot
+			machine := addTestMachine(t, newState(t, env), "n-1", "g4")
+			machine.MachineType, machine.LaunchedAt = tc.machineType, launchedAt
+			env.Now = launchedAt + tc.overdueAt
+			if statistics.BootOverdue(machine) {
+				t.Errorf("overdue at an age of %v s", tc.overdueAt.Seconds())
+			}
+			env.Now++
+			if !statistics.BootOverdue(machine) {
+				t.Errorf("not overdue past an age of %v s", tc.overdueAt.Seconds())
+			}
+			machine.FirstHeartbeatAt = env.Now
+			if statistics.BootOverdue(machine) {
+				t.Error("overdue though it is up")
+			}
+		})
+	}
+}
+
+// TestRecordBoot makes sure that the typical duration falls at once and rises slowly, and
+// counts only machines that we waited for from the start.
+func TestRecordBoot(t *testing.T) {
+	t.Parallel()
+	env := newEnvironment(t)
+	statistics := NewBootStatistics(env)
+	state := newState(t, env)
+	for _, tc := range []struct {
+		name         string
+		duration     micros.Micros
+		awaitedAfter micros.Micros
+		want         micros.Micros
+	}{
+		{"the first", 80 * micros.Second, 0, 80 * micros.Second},
+		{"a quicker one", 40 * micros.Second, 0, 40 * micros.Second},
+		{"a slower one", 80 * micros.Second, bootObservedWithin - 1, 50 * micros.Second},
+		{"one of a former leader's", 10 * micros.Second, bootObservedWithin, 50 * micros.Second},
+	} {
+		machine := addTestMachine(t, state, tc.name, "g4")
+		machine.LaunchedAt, machine.AwaitingHeartbeatSince = env.Now, env.Now+tc.awaitedAfter
+		env.Now += tc.duration
+		statistics.RecordBoot(machine)
+		boot := statistics.bootTimes["g4"]
+		if boot.typicalDuration != tc.want || boot.youngestLaunchedAt != machine.LaunchedAt {
+			t.Errorf("%s: typically %v s, want %v s; %+v", tc.name, boot.typicalDuration.Seconds(), tc.want.Seconds(), boot)
+		}
+	}
+}
--- /dev/null
+++ b/internal/cluster/dependency_test.go
@@ -0,0 +1,162 @@
+package cluster
+
+import (
+	"fmt"
+	"testing"
+
+	"spurmoor/internal/api"
+	"spurmoor/internal/coordination"
+	"spurmoor/internal/message"
+	"spurmoor/internal/records"
+)
+
+// newGraph returns a dependency graph over an empty replica that is up to date.
+func newGraph(t *testing.T, env *coordination.Environment) *DependencyGraph {
+	t.Helper()
+	state := newState(t, env)
+	state.cache.Synced = true
+	return NewDependencyGraph(env, state.cache, state, NewCycleTrigger(env))
+}
+
+// answerReads answers all reads of the store that are in flight, and returns how many there
+// were.
+func answerReads(t *testing.T, env *coordination.Environment, reply message.StoreReply) int {
+	t.Helper()
+	calls := env.StoreCalls
+	env.StoreCalls = map[uint64]func(*message.StoreReply){}
+	for _, whenRead := range calls {
+		whenRead(&reply)
+	}
+	return len(calls)
+}
+
+func terminalReply(t *testing.T, state api.JobState) message.StoreReply {
+	t.Helper()
+	return message.StoreReply{
+		Status: statusOK, Item: api.KeyValue{Value: records.MustMarshal(records.TerminalRecord{State: state})},
+	}
+}
+
+// TestUnknownDependency has a job depend on one that ended before the replica could show
+// how.
+func TestUnknownDependency(t *testing.T) {
+	t.Parallel()
+	for _, tc := range []struct {
+		name                string
+		reply               message.StoreReply
+		pending             int
+		unknown             bool
+		dependencyCancelled bool
+		readAgain           bool
+	}{
+		{name: "done", reply: terminalReply(t, api.JobDone)},
+		{name: "cancelled", reply: terminalReply(t, api.JobCancelled), pending: 1, dependencyCancelled: true},
+		{name: "no answer", reply: message.StoreReply{Status: statusServiceUnavailable}, pending: 1, unknown: true, readAgain: true},
+		{name: "no record", reply: message.StoreReply{Status: statusNotFound}, pending: 1, unknown: true, readAgain: true},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			t.Parallel()
+			env := newEnvironment(t)
+			graph := newGraph(t, env)
+			job := addTestJob(t, graph.cluster, "wk-000002", 1)
+			job.Dependencies = []string{"wk-000001"}
+			graph.LinkDependencies(job)
+			if job.PendingDependencies != 1 || job.UnknownDependencies != 1 {
+				t.Fatalf("%d dependencies pending, %d unknown", job.PendingDependencies, job.UnknownDependencies)
+			}
+			graph.ReadUnknownOutcomes()
+			if reads := answerReads(t, env, tc.reply); reads != 1 {
+				t.Fatalf("%d reads", reads)
+			}
+			if job.PendingDependencies != tc.pending || job.UnknownDependencies > 0 != tc.unknown {
+				t.Errorf("%d dependencies pending, %d unknown", job.PendingDependencies, job.UnknownDependencies)
+			}
+			if job.Cancelled != tc.dependencyCancelled || job.DependencyCancelled != tc.dependencyCancelled {
+				t.Errorf("cancelled %t, with its dependency %t", job.Cancelled, job.DependencyCancelled)
+			}
+			env.Now += 2 * outcomeRetryInterval
+			graph.ReadUnknownOutcomes()
+			if readAgain := len(env.StoreCalls) == 1; readAgain != tc.readAgain {
+				t.Errorf("read again: %t", readAgain)
+			}
+		})
+	}
+}
+
+// startVerifying verifies a submission that depends on so many jobs, where the read of the
+// replica succeeds or not if one is needed. It returns the statuses that are answered, then
+// and later.
+func startVerifying(t *testing.T, graph *DependencyGraph, dependencies int, replicaRead bool) *[]int {
+	t.Helper()
+	spec := &api.Job{}
+	for i := range dependencies {
+		spec.Dependencies = append(spec.Dependencies, fmt.Sprintf("wk-%06d", i))
+	}
+	answers := &[]int{}
+	check := &dependencyCheck{graph: graph, spec: spec, answer: func(status int, _ string) {
+		*answers = append(*answers, status)
+	}}
+	if len(check.unknownDependencies()) > 0 {
+		check.replicaRead(replicaRead)
+	} else {
+		graph.VerifyDependencies(spec, check.answer)
+	}
+	return answers
+}
+
+// TestVerifyDependencies submits a job that depends on others, which the replica shows or
+// not.
+func TestVerifyDependencies(t *testing.T) {
+	t.Parallel()
+	const accepted = 0
+	for _, tc := range []struct {
+		name         string
+		dependencies int
+		prepare      func(*DependencyGraph)
+		replicaRead  bool // ok, once the replica had to be read
+		reply        message.StoreReply
+		want         int
+		reads        int // of terminal records
+	}{
+		{name: "none", want: accepted},
+		{name: "unfinished", dependencies: 1, prepare: func(graph *DependencyGraph) {
+			graph.cluster.AddJob("wk-000000", api.Job{})
+		}, want: accepted},
+		{name: "a service", dependencies: 1, prepare: func(graph *DependencyGraph) {
+			graph.cluster.AddJob("wk-000000", api.Job{}).Spec.Kind = api.Service
+		}, want: statusUnprocessableEntity},
+		{name: "the store does not answer", dependencies: 1, want: statusServiceUnavailable},
+		{name: "ended", dependencies: 2, replicaRead: true, reply: terminalReply(t, api.JobDone), want: accepted, reads: 2},
+		{
+			name: "never accepted", dependencies: 1, replicaRead: true, reply: message.StoreReply{Status: statusNotFound},
+			want: statusUnprocessableEntity, reads: 1,
+		},
+		{
+			name: "not read", dependencies: 1, replicaRead: true, reply: message.StoreReply{Status: statusServiceUnavailable},
+			want: statusServiceUnavailable, reads: 1,
+		},
+		{
+			name: "more than are read at a time", dependencies: maxOutcomeReads + 1, replicaRead: true,
+			reply: terminalReply(t, api.JobDone), want: statusServiceUnavailable, reads: maxOutcomeReads,
+		},
+		{name: "too many in flight", dependencies: 1, prepare: func(graph *DependencyGraph) {
+			graph.outcomeReads = maxOutcomeReads
+		}, replicaRead: true, want: statusServiceUnavailable},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			t.Parallel()
+			env := newEnvironment(t)
+			graph := newGraph(t, env)
+			if tc.prepare != nil {
+				tc.prepare(graph)
+			}
+			answers := startVerifying(t, graph, tc.dependencies, tc.replicaRead)
+			if reads := answerReads(t, env, tc.reply); reads != tc.reads {
+				t.Errorf("%d reads, want %d", reads, tc.reads)
+			}
+			if len(*answers) != 1 || (*answers)[0] != tc.want {
+				t.Errorf("answers %v, want %d", *answers, tc.want)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/cluster/job_test.go
@@ -0,0 +1,99 @@
+package cluster
+
+import (
+	"slices"
+	"testing"
+
+	"spurmoor/internal/api"
+	"spurmoor/internal/micros"
+)
+
+func TestPlaceable(t *testing.T) {
+	t.Parallel()
+	const now = 100 * micros.Second
+	for _, tc := range []struct {
+		name    string
+		kind    api.JobKind
+		prepare func(*State, *Job)
+		want    []int // of 4 tasks, at most 3
+	}{
+		{"array that is new", api.Array, func(*State, *Job) {}, []int{0, 1, 2}},
+		{"array with tasks placed and done", api.Array, func(state *State, job *Job) {
+			state.SetTask(job, 0, TaskRecord{State: TaskPlaced})
+			state.SetTask(job, 2, TaskRecord{State: TaskDone})
+		}, []int{1, 3}},
+		{"array with a task that must wait", api.Array, func(_ *State, job *Job) {
+			job.EnsureTask(0).notBefore = now + 1
+			job.EnsureTask(1).notBefore = now
+		}, []int{1, 2, 3}},
+		{"gang is placed whole", api.Gang, func(*State, *Job) {}, []int{0, 1, 2, 3}},
+		{"gang with a task on its machine", api.Gang, func(state *State, job *Job) {
+			state.SetTask(job, 0, TaskRecord{State: TaskPlaced})
+		}, nil},
+		{"gang that is reassembling", api.Gang, func(state *State, job *Job) {
+			state.SetTask(job, 0, TaskRecord{State: TaskPlaced})
+			job.Task(0).Observed, job.Task(0).ReportedState = true, api.TaskWaiting
+		}, []int{1, 2, 3}},
+		{"gang of which a task is done", api.Gang, func(state *State, job *Job) {
+			state.SetTask(job, 0, TaskRecord{State: TaskDone})
+		}, []int{1, 2, 3}},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			t.Parallel()
+			state := newState(t, newEnvironment(t))
+			job := addTestJob(t, state, "wk-000001", 4)
+			job.Spec.Kind = tc.kind
+			tc.prepare(state, job)
+			if got := job.Placeable(now, 3); !slices.Equal(got, tc.want) {
+				t.Errorf("may be placed: %v, want %v", got, tc.want)
+			}
+		})
+	}
+}
+
+// TestKnownTasks makes sure that tasks are listed in order, and only those of chunks that
+// were made.
+func TestKnownTasks(t *testing.T) {
+	t.Parallel()
+	const tasks = 3*ChunkSize + 1
+	job := addTestJob(t, newState(t, newEnvironment(t)), "wk-000001", tasks)
+	job.EnsureTask(tasks - 1).Attempt = 7
+	job.EnsureTask(ChunkSize).Attempt = 5
+	if chunks := job.ChunkIndexes(); !slices.Equal(chunks, []int{1, 3}) {
+		t.Fatalf("chunks %v", chunks)
+	}
+	var indexes []int
+	for index, task := range job.knownTasks() {
+		indexes = append(indexes, index)
+		if task != job.Task(index) {
+			t.Errorf("task %d is another one", index)
+		}
+	}
+	if len(indexes) != ChunkSize+1 || indexes[0] != ChunkSize || indexes[ChunkSize] != tasks-1 || !slices.IsSorted(indexes) {
+		t.Errorf("listed %v", indexes)
+	}
+	if job.LastAttempt() != 7 || job.Task(0) != nil || job.Task(tasks) != nil {
+		t.Errorf("last attempt %d, task 0 %v, past the end %v", job.LastAttempt(), job.Task(0), job.Task(tasks))
+	}
+}
+
+func TestParseTaskID(t *testing.T) {
+	t.Parallel()
+	for _, tc := range []struct {
+		name string
+		want TaskID
+		ok   bool
+	}{
+		{"wk-000001/0", TaskID{Job: "wk-000001", Index: 0}, true},
+		{"wk-000001/412", TaskID{Job: "wk-000001", Index: 412}, true},
+		{"wk-000001", TaskID{}, false},
+		{"wk-000001/", TaskID{}, false},
+		{"wk-000001/x", TaskID{}, false},
+		{"wk-000001/-1", TaskID{}, false},
+	} {
+		got, ok := ParseTaskID(tc.name)
+		if ok != tc.ok || ok && (got != tc.want || got.String() != tc.name) {
+			t.Errorf("%q is read as %v, %t", tc.name, got, ok)
+		}
+	}
+}
--- /dev/null
+++ b/internal/cluster/log_entry_test.go
@@ -0,0 +1,135 @@
+package cluster
+
+import (
+	"testing"
+
+	"spurmoor/internal/coordination"
+	"spurmoor/internal/records"
+)
+
+// changesOf returns what is logged of neighbouring tasks of a job that are placed, of which
+// every machine has as many as given.
+func changesOf(job *Job, tasks, perMachine int) []taskChange {
+	var changes []taskChange
+	for index := range tasks {
+		machine := string(rune('a' + index/perMachine%26))
+		changes = append(changes, taskChange{
+			job: job, index: index, record: TaskRecord{State: TaskPlaced, Attempt: 1, Machine: machine},
+		})
+	}
+	return changes
+}
+
+// joinRuns joins changes to runs, as an entry holds them.
+func joinRuns(changes []taskChange) []records.TaskRun {
+	var runs []records.TaskRun
+	for _, change := range changes {
+		if last := len(runs) - 1; last >= 0 && change.extends(runs[last]) {
+			extendRun(&runs[last])
+			continue
+		}
+		runs = append(runs, change.run())
+	}
+	return runs
+}
+
+// TestEncodedSizeOfTasks compares the size that tasks are counted with to what is written,
+// where runs grow to numbers of more digits.
+func TestEncodedSizeOfTasks(t *testing.T) {
+	t.Parallel()
+	for _, tc := range []struct {
+		name              string
+		tasks, perMachine int
+		runs              int
+	}{
+		{"none", 0, 1, 0},
+		{"one", 1, 1, 1},
+		{"a run of 2", 2, 2, 1},
+		{"a run of 1000", 1000, 1000, 1},
+		{"runs of 9", 27, 9, 3},
+		{"no two alike", 50, 1, 50},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			t.Parallel()
+			job := addTestJob(t, newState(t, newEnvironment(t)), "wk-000001", 2000)
+			changes := changesOf(job, tc.tasks, tc.perMachine)
+			runs := joinRuns(changes)
+			written := 0
+			for _, run := range runs {
+				written += len(records.MustMarshal(run)) + len(",")
+			}
+			if got := encodedSizeOf(changes); len(runs) != tc.runs || got != written {
+				t.Errorf("%d runs of %d bytes, counted as %d bytes; want %d runs", len(runs), written, got, tc.runs)
+			}
+		})
+	}
+}
+
+// TestTaskExtendsRun lists what keeps a task from joining the run before it.
+func TestTaskExtendsRun(t *testing.T) {
+	t.Parallel()
+	run := records.TaskRun{Job: "wk-000001", First: 3, Tasks: 2, State: TaskPlaced, Attempt: 1, Machine: "n-1"}
+	for _, tc := range []struct {
+		name   string
+		job    string
+		index  int
+		record TaskRecord
+		want   bool
+	}{
+		{"the next", "wk-000001", 5, TaskRecord{State: TaskPlaced, Attempt: 1, Machine: "n-1"}, true},
+		{"a gap", "wk-000001", 6, TaskRecord{State: TaskPlaced, Attempt: 1, Machine: "n-1"}, false},
+		{"in the run", "wk-000001", 4, TaskRecord{State: TaskPlaced, Attempt: 1, Machine: "n-1"}, false},
+		{"another job", "wk-000002", 5, TaskRecord{State: TaskPlaced, Attempt: 1, Machine: "n-1"}, false},
+		{"another state", "wk-000001", 5, TaskRecord{State: TaskDone, Attempt: 1, Machine: "n-1"}, false},
+		{"another attempt", "wk-000001", 5, TaskRecord{State: TaskPlaced, Attempt: 2, Machine: "n-1"}, false},
+		{"another machine", "wk-000001", 5, TaskRecord{State: TaskPlaced, Attempt: 1, Machine: "n-2"}, false},
+	} {
+		change := taskChange{job: &Job{ID: tc.job}, index: tc.index, record: tc.record}
+		if got := change.extends(run); got != tc.want {
+			t.Errorf("%s: %t, want %t", tc.name, got, tc.want)
+		}
+	}
+}
+
+// TestEntriesWithinLimit fills entries until there may be no more, and makes sure that none
+// is larger than it may be and that all of each is counted.
+func TestEntriesWithinLimit(t *testing.T) {
+	t.Parallel()
+	state := newState(t, newEnvironment(t))
+	job := addTestJob(t, state, "wk-000001", 2000)
+	commit := &LogCommit{Transaction: &coordination.Transaction{}}
+	const limit, maxEntries = 500, 3
+	builder := &entryBuilder{
+		log: &PartitionLog{cluster: state}, partition: state.Partitions[0], commit: commit,
+		maxEntries: maxEntries, entryLimit: limit, included: map[*Task]bool{},
+	}
+	if !builder.openEntry() {
+		t.Fatal("no first entry")
+	}
+	added := 0
+	for _, change := range changesOf(job, 2000, 1) {
+		if !builder.reserveSpace(change.encodedSize()) {
+			break
+		}
+		builder.addTask(change)
+		added++
+		size := 0
+		for _, run := range builder.lastEntry().Runs {
+			size += len(records.MustMarshal(run)) + len(",")
+		}
+		if size != commit.lastEntrySize || size > limit {
+			t.Fatalf("after %d tasks the last entry has %d bytes, counted as %d", added, size, commit.lastEntrySize)
+		}
+	}
+	if len(commit.Entries) != maxEntries || added == 2000 || added != len(commit.tasks) {
+		t.Fatalf("%d entries of %d tasks, %d of them to be noted", len(commit.Entries), added, len(commit.tasks))
+	}
+	for i, entry := range commit.Entries {
+		if size := len(entry.value()); size > limit+entryOverheadBytes {
+			t.Errorf("entry %d takes %d bytes", i, size)
+		}
+	}
+	if builder.reserveSpace(limit + 1) {
+		t.Error("space for more than an entry may have")
+	}
+}
--- /dev/null
+++ b/internal/records/encoding_test.go
@@ -0,0 +1,40 @@
+package records
+
+import "testing"
+
+// TestEncodedSize compares the sizes that entries are filled by with what is written.
+func TestEncodedSize(t *testing.T) {
+	t.Parallel()
+	for _, run := range []TaskRun{
+		{Job: "wk-000001"},
+		{Job: "wk-000001", First: 1},
+		{Job: "wk-000001", First: 99, Tasks: 100},
+		{Job: "wk-000001", State: TaskDone, Attempt: 10},
+		{Job: "wk-000001", First: 12_345, Tasks: 678, State: TaskPlaced, Attempt: 1 << 40, Machine: "n-000412"},
+	} {
+		if got, want := run.EncodedSize(), len(MustMarshal(run))+1; got != want {
+			t.Errorf("%+v takes %d bytes with its comma, counted as %d", run, want, got)
+		}
+	}
+	machine := MachineRecord{Name: "n-000412", Type: "g4", Zone: "alta", Epoch: 1}
+	one, two := []MachineRecord{machine}, []MachineRecord{machine, machine}
+	if got, want := machine.EncodedSize(), len(MustMarshal(two))-len(MustMarshal(one)); got != want {
+		t.Errorf("a second machine takes %d bytes in a list, counted as %d", want, got)
+	}
+}
+
+func TestSlotKey(t *testing.T) {
+	t.Parallel()
+	for _, tc := range []struct {
+		partition, slot int
+		want            string
+	}{
+		{0, 0, "live/l/0/0000"},
+		{3, 64, "live/l/3/0064"},
+		{12, 12_345, "live/l/12/12345"},
+	} {
+		if got := SlotKey(tc.partition, tc.slot); got != tc.want {
+			t.Errorf("slot %d of partition %d: %s, want %s", tc.slot, tc.partition, got, tc.want)
+		}
+	}
+}
--- /dev/null
+++ b/internal/records/task_state_test.go
@@ -0,0 +1,49 @@
+package records
+
+import (
+	"testing"
+
+	"github.com/go-json-experiment/json"
+)
+
+// TestTaskStateTransitions lists every pair of states, so that a transition that is not
+// permitted is recognized.
+func TestTaskStateTransitions(t *testing.T) {
+	t.Parallel()
+	permitted := map[[2]TaskState]bool{
+		{TaskPending, TaskPlaced}: true,
+		{TaskPlaced, TaskPending}: true,
+		{TaskPlaced, TaskDone}:    true,
+	}
+	unknown := TaskDone + 1
+	states := []TaskState{TaskPending, TaskPlaced, TaskDone, unknown}
+	for _, from := range states {
+		for _, to := range states {
+			if got, want := from.CanBecome(to), permitted[[2]TaskState{from, to}]; got != want {
+				t.Errorf("%v can become %v: %t, want %t", from, to, got, want)
+			}
+		}
+	}
+}
+
+// TestTaskStateEncoding guards the bytes in the store, which other versions read.
+func TestTaskStateEncoding(t *testing.T) {
+	t.Parallel()
+	for _, tc := range []struct {
+		state TaskState
+		want  string
+	}{
+		{TaskPending, `{"j":"wk-1"}`},
+		{TaskPlaced, `{"j":"wk-1","s":1}`},
+		{TaskDone, `{"j":"wk-1","s":2}`},
+	} {
+		encoded := MustMarshal(TaskRun{Job: "wk-1", State: tc.state})
+		if string(encoded) != tc.want {
+			t.Errorf("%v is encoded as %s, want %s", tc.state, encoded, tc.want)
+		}
+		var run TaskRun
+		if err := json.Unmarshal([]byte(tc.want), &run); err != nil || run.State != tc.state {
+			t.Errorf("%s is read as %v, %v", tc.want, run.State, err)
+		}
+	}
+}
