--- a/internal/planning/scheduling_cycle.go
+++ b/internal/planning/scheduling_cycle.go
@@ -145,7 +145,7 @@
 		if again {
 			continue
 		}
-		if e.Machine.OtherPartition {
+		if e.Machine.HeldByOtherPartition {
 			y.LogInfo("machine requested", logkey.ForJob, e.For.ID, logkey.Machine, m.Name, logkey.Partition, m.Record.Partition, logkey.Tasks, len(e.Victims))
 			continue
 		}
@@ -163,7 +163,7 @@
 
 // requestMachines asks the other partitions for machines of theirs that the partition needs.
 func (y *SchedulingCycle) requestMachines(p *cluster.Partition, plan *scheduler.Plan, jobs map[string]*cluster.Job) {
-	for _, m := range plan.Borrow {
+	for _, m := range plan.MachinesToBorrow {
 		if len(y.MachineRequests) >= MaxMachineRequests {
 			break
 		}
--- a/internal/planning/snapshot.go
+++ b/internal/planning/snapshot.go
@@ -83,7 +83,7 @@
 		if m.Record.Partition != v.partition.Index {
 			if to == v.partition.Index {
 				// It is being emptied for us.
-				sm.OtherPartition, sm.Free, sm.ReadyAt = true, sm.Total, max(v.Now, pr.ReadyAt)
+				sm.HeldByOtherPartition, sm.Free, sm.ReadyAt = true, sm.Total, max(v.Now, pr.ReadyAt)
 				v.snapshot.Machines = append(v.snapshot.Machines, sm)
 			}
 			return
@@ -115,9 +115,9 @@
 		for _, u := range sm.Allocations {
 			sm.ReadyAt = max(sm.ReadyAt, u.ExpectedEnd)
 		}
-		sm.OtherPartition, sm.LentOut, sm.BorrowerOverShare = true, true, 2*v.partitionPrices[v.partition.Index] < v.partitionPrices[m.Record.Partition]
+		sm.HeldByOtherPartition, sm.LentOut, sm.BorrowerOverShare = true, true, 2*v.partitionPrices[v.partition.Index] < v.partitionPrices[m.Record.Partition]
 	case len(m.TaskIDs) > 0:
-		sm.OtherPartition, sm.ReadyAt = true, v.Now+5*micros.Second
+		sm.HeldByOtherPartition, sm.ReadyAt = true, v.Now+5*micros.Second
 		if m.ClaimedBy != "" {
 			sm.Free = sm.Total // it is being emptied for us
 		}
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -1,349 +1,215 @@
 package scheduler
 
 import (
-	"cmp"
-	"maps"
-	"math"
 	"slices"
 
 	"spurmoor/internal/api"
-	"spurmoor/internal/micros"
 )
 
-// perZone is how many more of the job's tasks a zone may take.
-func (j *Job) perZone(zone string) int {
-	if j.zone != "" && zone != j.zone {
-		return 0
-	}
-	if j.Spec.OneZone {
-		for z, n := range j.TasksPerZone {
-			if n > 0 && z != zone {
-				return 0
-			}
-		}
-	}
-	if j.Spec.Spread {
-		return (j.Spec.Tasks+1)/2 - j.TasksPerZone[zone]
-	}
-	return j.Spec.Tasks
+// placer binds tasks to machines in the order of the jobs' ranks.
+type placer struct {
+	*planState
+	blocked          []*Job // what found no room, best first
+	gangsReserving   int
+	cachedImagesOnly bool // place only where the image need not be fetched
 }
 
-// usable tells whether the machine may take a task of the job now.
-func (p *planner) usable(j *Job, m *Machine) bool {
-	if !m.Schedulable || !m.Free.Fits(j.Request) || m.Borrowable || m.OtherPartition || j.FailedMachines[m.Name] ||
-		!Allowed(j.Spec, m.Type.Name, m.Zone, m.Spot) || (m.ClaimedBy != "" && m.ClaimedBy != j.ID) || p.cached && !m.HasImage(j.Spec.Image) {
-		return false
-	}
-	if at, ok := p.reserved[m]; ok && p.resFor[m] != j {
-		end := p.Now + micros.FromSeconds(j.Spec.EstimateS)
-		if !m.HasImage(j.Spec.Image) {
-			end += p.fetch(j, m.Type)
-		}
-		return j.Spec.Kind != api.Service && end <= at
-	}
-	return true
-}
+func newPlacer(state *planState) *placer { return &placer{planState: state} }
 
-func (p *planner) put(j *Job, m *Machine) {
-	m.Free = m.Free.Add(j.Request, -1)
-	if m.ClaimedBy == j.ID {
-		m.ClaimedBy = "" // it has what it was emptied for: the rest of the room is for all
-	}
-	j.TasksPerZone[m.Zone]++
-	j.PendingTasks--
-	if t := p.Quotas[j.Spec.Team]; t != nil {
-		t.Used = t.Used.Add(j.Request, 1)
-	}
-	end := p.Now + micros.FromSeconds(j.Spec.EstimateS)
-	if !m.HasImage(j.Spec.Image) {
-		end += p.fetch(j, m.Type)
-	}
-	m.use(Allocation{Job: j, TaskIndex: -1, Request: j.Request, ExpectedEnd: end})
-	if !m.HasImage(j.Spec.Image) {
-		m.CachedImages = append(slices.Clip(m.CachedImages), j.Spec.Image) // fetched once for all
-	}
-	p.ends(j, end)
-	p.plan.Bindings = append(p.plan.Bindings, Binding{j, m})
+// placeJobs places what fits and gives the jobs that are blocked, best first.
+func (p *placer) placeJobs() []*Job {
+	p.placeOverdueArrays()
+	p.placeRanked()
+	return p.blocked
 }
 
-// place starts what fits of a job and tells how many tasks lack room.
-func (p *planner) place(j *Job) int {
-	want := min(j.PendingTasks, p.limitAllows(j))
-	if j.Spec.Kind == api.Gang && want < j.PendingTasks || want == 0 {
-		p.plan.BlockedReasons[j.ID] = "the team's limit is used up"
-		if t := p.Quotas[j.Spec.Team]; t != nil && j.Spec.Kind == api.Gang && !j.Deprioritized && t.reserved == (Resources{}) {
-			// Exception: what a team's limit leaves is reserved like machines, for
-			// the first of its gangs. Single tasks of the team took each piece as it
-			// came, and its gangs waited for minutes, or for ever.
-			t.reserved = t.reserved.Add(j.Request, int64(j.PendingTasks))
-		}
-		return 0
-	}
-	if j.Spec.Kind == api.Gang {
-		if p.placeGang(j) {
-			return 0
+// placeOverdueArrays places one task of each array that is overdue, before all else: an
+// array must not miss the time within which it should begin because of its rank.
+func (p *placer) placeOverdueArrays() {
+	for _, job := range p.Jobs {
+		if job.Spec.Kind != api.Array || !p.isOverdue(job) {
+			continue
 		}
-		p.plan.BlockedReasons[j.ID] = "no room for the whole gang at once"
-		return j.PendingTasks
-	}
-	if j.Spec.Kind == api.Array {
-		want = p.fill(j, want)
-	} else {
-		for m := p.pick(j); m != nil && want > 0; want-- {
-			p.put(j, m)
-			m = p.pick(j)
+		if min(job.PendingTasks, p.tasksWithinLimit(job)) > 0 {
+			p.packArray(job, 1)
 		}
 	}
-	if want > 0 {
-		p.plan.BlockedReasons[j.ID] = "no machine with room that the job may use"
-	}
-	return want
 }
 
-// fill puts an array's tasks singly into free room, in the order of pick, and
-// tells how many found none.
-func (p *planner) fill(j *Job, want int) int {
-	type choice struct {
-		m   *Machine
-		key [4]int64
-	}
-	var list []choice
-	for _, m := range p.Machines {
-		if p.usable(j, m) && j.perZone(m.Zone) > 0 {
-			list = append(list, choice{m, p.key(j, m)})
+// placeRanked places jobs in the order of their rank. Of the arrays, only the first in
+// rank takes room where its image must be fetched first; the others do so after all jobs
+// had their turn. Where more waited than fitted, a fifth of the room was lost to fetching.
+func (p *placer) placeRanked() {
+	isFirstArray := true
+	var otherArrays []*Job
+	for _, job := range p.Jobs {
+		if job.PendingTasks == 0 {
+			continue
+		}
+		if job.Spec.Kind == api.Array && !isFirstArray {
+			p.placeWhereCached(job)
+			otherArrays = append(otherArrays, job)
+			continue
 		}
+		isFirstArray = isFirstArray && job.Spec.Kind != api.Array
+		p.placeOrBlock(job)
 	}
-	slices.SortStableFunc(list, func(a, b choice) int { return slices.Compare(a.key[:], b.key[:]) })
-	for _, c := range list {
-		for want > 0 && c.m.Free.Fits(j.Request) && j.perZone(c.m.Zone) > 0 {
-			p.put(j, c.m)
-			want--
+	for _, job := range otherArrays {
+		if job.PendingTasks > 0 {
+			p.placeOrBlock(job)
 		}
 	}
-	return want
 }
 
-// key orders the machines for a task: services spread over zones, array
-// tasks fill: cheap kinds first, then a cached image, then the tightest room.
-func (p *planner) key(j *Job, m *Machine) [4]int64 {
-	var k [4]int64
-	if j.Spec.Kind == api.Service {
-		k[0] = int64(j.TasksPerZone[m.Zone])
-	}
-	if !m.HasImage(j.Spec.Image) {
-		k[1] = p.fetch(j, m.Type).WholeSeconds()
+// placeWhereCached places what fits of a job on machines that have its image.
+func (p *placer) placeWhereCached(job *Job) {
+	p.cachedImagesOnly = true
+	p.placeJob(job)
+	p.cachedImagesOnly = false
+}
+
+// placeOrBlock places a job; what finds no room blocks it.
+func (p *placer) placeOrBlock(job *Job) {
+	job.blockedTasks = p.placeJob(job)
+	if job.blockedTasks == 0 {
+		return
 	}
-	if !m.Spot {
-		k[1] += 4
+	if p.mayReserve(job) {
+		p.reserveFor(job)
 	}
-	left := m.Free.Add(j.Request, -1)
-	k[2], k[3] = left.GPU, left.CPU
-	return k
+	p.blocked = append(p.blocked, job)
 }
 
-// limitAllows is how many more tasks the team's limit limitAllows.
-func (p *planner) limitAllows(j *Job) int {
-	t := p.Quotas[j.Spec.Team]
-	if t == nil {
+// placeJob starts what fits of a job and tells how many tasks lack room.
+func (p *placer) placeJob(job *Job) int {
+	tasks := min(job.PendingTasks, p.tasksWithinLimit(job))
+	if tasks == 0 || job.Spec.Kind == api.Gang && tasks < job.PendingTasks {
+		p.blockByQuota(job)
 		return 0
 	}
-	n := j.PendingTasks
-	left := t.Limit.Add(t.Used, -1).Add(t.reserved, -1)
-	if t.Limit.CPU > 0 && j.Request.CPU > 0 {
-		n = min(n, int(max(0, left.CPU)/j.Request.CPU))
+	switch job.Spec.Kind {
+	case api.Gang:
+		if p.placeGang(job) {
+			return 0
+		}
+		p.plan.BlockedReasons[job.ID] = reasonGang
+		return job.PendingTasks
+	case api.Array:
+		tasks = p.packArray(job, tasks)
+	default:
+		tasks = p.placeSingly(job, tasks)
 	}
-	if t.Limit.GPU > 0 && j.Request.GPU > 0 {
-		n = min(n, int(max(0, left.GPU)/j.Request.GPU))
+	if tasks > 0 {
+		p.plan.BlockedReasons[job.ID] = reasonNoMachine
 	}
-	return n
+	return tasks
 }
 
-// pick chooses a machine for one task.
-func (p *planner) pick(j *Job) *Machine {
-	var best *Machine
-	var key [4]int64
-	for _, m := range p.Machines {
-		if !p.usable(j, m) || j.perZone(m.Zone) <= 0 {
-			continue
-		}
-		if k := p.key(j, m); best == nil || slices.Compare(k[:], key[:]) < 0 {
-			best, key = m, k
-		}
+// blockByQuota notes that the team's limit makes a job wait. What a team's limit leaves is
+// reserved, as machines are, for the first of its gangs: single tasks of the team took each
+// piece as it came, and its gangs waited for minutes, or for ever.
+func (p *placer) blockByQuota(job *Job) {
+	p.plan.BlockedReasons[job.ID] = reasonQuota
+	quota := p.Quotas[job.Spec.Team]
+	if quota == nil || job.Spec.Kind != api.Gang || job.Deprioritized {
+		return
+	}
+	if quota.reserved == (Resources{}) {
+		quota.reserved = quota.reserved.Add(job.Request, int64(job.PendingTasks))
 	}
-	return best
 }
 
-// placeGang puts a whole gang on the smallest set of machines in the fewest
-// zones, or nothing.
-func (p *planner) placeGang(j *Job) bool {
-	byZone := map[string][]*Machine{}
-	var zones []string
-	for _, m := range p.Machines {
-		if p.usable(j, m) {
-			if byZone[m.Zone] == nil {
-				zones = append(zones, m.Zone)
-			}
-			byZone[m.Zone] = append(byZone[m.Zone], m)
-		}
-	}
-	slices.Sort(zones)
-	room := map[string]int{}
-	for z, ms := range byZone {
-		slices.SortStableFunc(ms, func(a, b *Machine) int {
-			cached := func(m *Machine) int {
-				if m.HasImage(j.Spec.Image) {
-					return 0
-				}
-				return 1
-			}
-			return cmp.Or(cmp.Compare(b.Free.Multiples(j.Request), a.Free.Multiples(j.Request)), cmp.Compare(cached(a), cached(b)),
-				cmp.Compare(a.Type.Price, b.Type.Price))
-		})
-		for _, m := range ms {
-			room[z] += m.Free.Multiples(j.Request)
-		}
-		room[z] = min(room[z], j.perZone(z))
-	}
-	// The zone with the most room first: fewest zones; among those that hold
-	// it all, the fewest machines.
-	slices.SortStableFunc(zones, func(a, b string) int {
-		ra, rb := min(room[a], j.PendingTasks), min(room[b], j.PendingTasks)
-		return cmp.Or(cmp.Compare(rb, ra), cmp.Compare(span(byZone[a], j), span(byZone[b], j)), cmp.Compare(a, b))
-	})
-	var set []*Machine
-	left := j.PendingTasks
-	for _, z := range zones {
-		take := min(left, room[z])
-		left -= take
-		for _, m := range byZone[z] {
-			for n := m.Free.Multiples(j.Request); n > 0 && take > 0; n-- {
-				set = append(set, m)
-				take--
-			}
-		}
-		if left == 0 || j.Spec.OneZone {
+// placeSingly binds so many tasks, each to the best machine for it once those before it
+// are bound, and tells how many found none.
+func (p *placer) placeSingly(job *Job, tasks int) int {
+	for ; tasks > 0; tasks-- {
+		machine := p.chooseMachine(job)
+		if machine == nil {
 			break
 		}
+		p.bindTask(job, machine)
 	}
-	if left > 0 {
-		return false
-	}
-	for _, m := range set {
-		p.put(j, m)
-	}
-	return true
+	return tasks
 }
 
-// span is how many of the machines, in order, the gang takes.
-func span(ms []*Machine, j *Job) int {
-	left := j.PendingTasks
-	for i, m := range ms {
-		if left -= m.Free.Multiples(j.Request); left <= 0 {
-			return i + 1
+// packArray binds so many of an array's tasks to machines with free room, filling one
+// after the other in the order of chooseMachine, and tells how many found none.
+func (p *placer) packArray(job *Job, tasks int) int {
+	type candidate struct {
+		machine *Machine
+		order   machineOrder
+	}
+	var candidates []candidate
+	for _, machine := range p.Machines {
+		if p.canTake(job, machine) && job.zoneCapacity(machine.Zone) > 0 {
+			candidates = append(candidates, candidate{machine, newMachineOrder(job, machine)})
 		}
 	}
-	return math.MaxInt32
-}
-
-// use adds a task and keeps the order of their ends.
-func (m *Machine) use(u Allocation) {
-	m.sortUses()
-	at, _ := slices.BinarySearchFunc(m.Allocations, u.ExpectedEnd, func(o Allocation, end micros.Micros) int { return cmp.Compare(o.ExpectedEnd, end) })
-	m.Allocations = slices.Insert(m.Allocations, at, u)
-}
-
-func (m *Machine) sortUses() {
-	if !m.byEnd {
-		m.byEnd = true
-		m.Allocations = slices.Clone(m.Allocations)
-		slices.SortStableFunc(m.Allocations, func(a, b Allocation) int { return cmp.Compare(a.ExpectedEnd, b.ExpectedEnd) })
+	slices.SortStableFunc(candidates, func(a, b candidate) int { return a.order.compare(&b.order) })
+	for _, c := range candidates {
+		for tasks > 0 && c.machine.Free.Fits(job.Request) && job.zoneCapacity(c.machine.Zone) > 0 {
+			p.bindTask(job, c.machine)
+			tasks--
+		}
 	}
+	return tasks
 }
 
-// freeAt is when the machine is expected to have room for need.
-func (m *Machine) freeAt(need Resources, now micros.Micros) micros.Micros {
-	if !m.Total.Fits(need) {
-		return math.MaxInt64
-	}
-	at := now
-	if !m.Schedulable {
-		at = max(now, m.ReadyAt)
-	}
-	free := m.Free
-	if free.Fits(need) {
-		return at
-	}
-	m.sortUses()
-	for _, u := range m.Allocations {
-		if u.Job != nil && u.Job.Spec.Kind == api.Service {
+// chooseMachine gives the best machine for one task; nil where none has room.
+func (p *placer) chooseMachine(job *Job) *Machine {
+	var best *Machine
+	var bestOrder machineOrder
+	for _, machine := range p.Machines {
+		if !p.canTake(job, machine) || job.zoneCapacity(machine.Zone) <= 0 {
 			continue
 		}
-		free = free.Add(u.Request, 1)
-		if free.Fits(need) {
-			return max(at, u.ExpectedEnd)
+		order := newMachineOrder(job, machine)
+		if best == nil || order.compare(&bestOrder) < 0 {
+			best, bestOrder = machine, order
 		}
 	}
-	return math.MaxInt64
-}
-
-type slot struct {
-	m  *Machine
-	at micros.Micros
+	return best
 }
 
-// soonestSet is the machines freeing soonest for all of a job's tasks, in one
-// zone where the job must stay in one, and when the last of them is free.
-func (p *planner) soonestSet(j *Job, able func(m *Machine) bool) ([]slot, micros.Micros) {
-	byZone := map[string][]slot{}
-	for _, m := range p.Machines {
-		if !able(m) || !p.couldRun(j, m) {
-			continue
-		}
-		if at := m.freeAt(j.Request, p.Now); at < math.MaxInt64 {
-			z := ""
-			if j.Spec.OneZone {
-				z = m.Zone
-			}
-			byZone[z] = append(byZone[z], slot{m, at})
-		}
+// canTake tells whether the machine may take a task of the job now.
+func (p *placer) canTake(job *Job, machine *Machine) bool {
+	if !machine.Schedulable || !machine.Free.Fits(job.Request) || machine.Borrowable || machine.HeldByOtherPartition {
+		return false
 	}
-	var best []slot
-	var soonest micros.Micros = math.MaxInt64
-	for _, z := range slices.Sorted(maps.Keys(byZone)) {
-		if set := soonestOf(byZone[z], j); set != nil && set[len(set)-1].at < soonest {
-			best, soonest = set, set[len(set)-1].at
-		}
+	if job.FailedMachines[machine.Name] || !Allowed(job.Spec, machine.Type.Name, machine.Zone, machine.Spot) {
+		return false
+	}
+	if job.isClaimedByOther(machine) || p.cachedImagesOnly && !machine.HasImage(job.Spec.Image) {
+		return false
 	}
-	return best, soonest
+	return p.canBackfill(job, machine)
 }
 
-// soonestOf is the first of the slots, by time, that hold all of a job's tasks; all
-// of them where they do not, unless the job must stay in one zone.
-func soonestOf(slots []slot, j *Job) []slot {
-	slices.SortStableFunc(slots, func(a, b slot) int { return cmp.Compare(a.at, b.at) })
-	left := j.PendingTasks
-	for i, s := range slots {
-		if left -= max(1, s.m.Total.Multiples(j.Request)); left <= 0 {
-			return slots[:i+1]
-		}
+// canBackfill tells whether a task that starts on a machine now ends before the job begins
+// that the machine is reserved for. A service does not end.
+func (p *placer) canBackfill(job *Job, machine *Machine) bool {
+	reserved, ok := p.reservations[machine]
+	if !ok || reserved.job == job {
+		return true
 	}
-	if j.Spec.OneZone {
-		return nil
-	}
-	return slots
+	return job.Spec.Kind != api.Service && job.expectedEnd(machine, p.Now) <= reserved.readyAt
 }
 
-// reserve holds the machines freeing soonest for the top blocked job.
-func (p *planner) reserve(j *Job) {
-	set, at := p.soonestSet(j, func(m *Machine) bool {
-		_, taken := p.reserved[m]
-		return !m.Borrowable && !m.OtherPartition && (!taken || m.Reservation != nil && m.Reservation.Job == j)
-	})
-	if j.Spec.Kind == api.Gang {
-		p.gangs++
+// bindTask binds the next task of a job to a machine.
+func (p *placer) bindTask(job *Job, machine *Machine) {
+	if machine.ClaimedBy == job.ID {
+		machine.ClaimedBy = "" // the job has what it was emptied for: the rest of the room is for all
+	}
+	job.TasksPerZone[machine.Zone]++
+	job.PendingTasks--
+	if quota := p.Quotas[job.Spec.Team]; quota != nil {
+		quota.Used = quota.Used.Add(job.Request, 1)
 	}
-	for _, s := range set {
-		p.reserved[s.m] = at
-		p.resFor[s.m] = j
+	end := job.expectedEnd(machine, p.Now)
+	machine.allocate(job, end)
+	if !machine.HasImage(job.Spec.Image) {
+		machine.CachedImages = append(slices.Clip(machine.CachedImages), job.Spec.Image) // fetched once for all
 	}
+	p.extendExpectedEnd(job, end)
+	p.plan.Bindings = append(p.plan.Bindings, Binding{job, machine})
 }
--- a/internal/scheduler/ranking.go
+++ b/internal/scheduler/ranking.go
@@ -9,108 +9,167 @@
 	"spurmoor/internal/micros"
 )
 
-// rank sorts the jobs by the design's weighted sum.
-func (p *planner) rank() {
-	r := p.newRanking()
-	for _, j := range p.Jobs {
-		j.score = r.score(j)
-	}
-	slices.SortStableFunc(p.Jobs, func(a, b *Job) int {
-		return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.EligibleAt, b.EligibleAt), cmp.Compare(a.ID, b.ID))
-	})
-}
+// Amounts that put a job before or behind all others, whatever the terms of its score.
+const (
+	overdueBonus         = 2
+	deprioritizedPenalty = 100
+)
 
-// Amounts that put a job before or behind all others whatever its terms say.
+// Terms of the penalty of large arrays.
 const (
-	dueBonus       = 2
-	depriorPenalty = 100
+	// fullPenaltyMultiple is how many times the work of the average array that waits an
+	// array must ask for to get the whole penalty.
+	fullPenaltyMultiple = 2.5
+	// penaltyFadeMultiple is how many times BeginWithinS an array waits until its penalty
+	// is gone, so that a large one is not put off without end.
+	penaltyFadeMultiple = 4
 )
 
-// ranking is what the scores of a plan's jobs have in common.
-type ranking struct {
-	*planner
-	total   Resources // of the partition's machines
-	zones   int
-	backlog float64
-	typical float64                         // work of the average array that waits
-	usable  map[InstanceKind]int            // machines, those with room if there are any
-	cached  map[string]map[InstanceKind]int // of those with an image
+// zoneFitUnknown is the zone term of a partition without machines: neither the best nor
+// the worst.
+const zoneFitUnknown = 0.5
+
+// ranker scores the jobs of a plan. Its fields are what all scores have in common.
+type ranker struct {
+	*planState
+	total              Resources // of the partition's machines
+	zones              int
+	backlog            float64                         // ratio of pending to running work, at most 1
+	typicalDrain       float64                         // of the average array that waits, in seconds
+	schedulable        map[InstanceKind]int            // machines, those with room if there are any
+	schedulableByImage map[string]map[InstanceKind]int // those of them that have an image
+}
+
+func newRanker(state *planState) *ranker {
+	jobRanker := &ranker{
+		planState:          state,
+		schedulable:        map[InstanceKind]int{},
+		schedulableByImage: map[string]map[InstanceKind]int{},
+	}
+	jobRanker.countMachines()
+	jobRanker.backlog = jobRanker.measureBacklog()
+	jobRanker.typicalDrain = jobRanker.measureTypicalDrain()
+	return jobRanker
 }
 
-func (p *planner) newRanking() *ranking {
-	r := &ranking{planner: p, usable: map[InstanceKind]int{}, cached: map[string]map[InstanceKind]int{}}
+// rankJobs sorts the jobs by their scores, best first.
+func (r *ranker) rankJobs() {
+	for _, job := range r.Jobs {
+		job.score = r.score(job)
+	}
+	slices.SortStableFunc(r.Jobs, func(a, b *Job) int {
+		return cmp.Or(
+			cmp.Compare(b.score, a.score),
+			cmp.Compare(a.EligibleAt, b.EligibleAt),
+			cmp.Compare(a.ID, b.ID),
+		)
+	})
+}
+
+// countMachines takes in the partition's resources and zones, and where images are.
+func (r *ranker) countMachines() {
 	// Readiness is the share of machines with the image among those that have
 	// room now, of any if none has.
-	hasRoom := func(m *Machine) bool { return m.Schedulable && m.Free.GPU > 0 && m.Free.CPU > 0 }
-	room := slices.ContainsFunc(p.Machines, hasRoom)
+	anyRoom := slices.ContainsFunc(r.Machines, hasRoom)
 	zones := map[string]bool{}
-	running, queued := 0.0, 0.0
-	for _, m := range p.Machines {
-		if m.Schedulable && !room || hasRoom(m) {
-			r.addCached(m)
+	for _, machine := range r.Machines {
+		if machine.Schedulable && !anyRoom || hasRoom(machine) {
+			r.countImages(machine)
 		}
-		zones[m.Zone] = true
-		r.total = r.total.Add(m.Total, 1)
-		for _, u := range m.Allocations {
-			running += float64(max(0, u.ExpectedEnd-p.Now))
+		zones[machine.Zone] = true
+		r.total = r.total.Add(machine.Total, 1)
+	}
+	r.zones = len(zones)
+}
+
+// hasRoom tells whether a machine may be given tasks now and has anything free.
+func hasRoom(machine *Machine) bool {
+	return machine.Schedulable && machine.Free.GPU > 0 && machine.Free.CPU > 0
+}
+
+// countImages counts a schedulable machine and the images that it has.
+func (r *ranker) countImages(machine *Machine) {
+	kind := machine.kind()
+	r.schedulable[kind]++
+	for _, image := range machine.CachedImages {
+		if r.schedulableByImage[image] == nil {
+			r.schedulableByImage[image] = map[InstanceKind]int{}
+		}
+		r.schedulableByImage[image][kind]++
+	}
+}
+
+// measureBacklog is the ratio of the work that is pending to the work that runs, at most 1.
+func (r *ranker) measureBacklog() float64 {
+	running, queued := 0.0, 0.0
+	for _, machine := range r.Machines {
+		for _, allocation := range machine.Allocations {
+			running += float64(max(0, allocation.ExpectedEnd-r.Now))
 		}
 	}
-	for _, j := range p.Jobs {
-		queued += float64(j.PendingTasks) * j.Spec.EstimateS * float64(micros.Second)
+	for _, job := range r.Jobs {
+		queued += float64(job.PendingTasks) * job.Spec.EstimateS * float64(micros.Second)
 	}
-	r.zones = len(zones)
-	r.backlog = 1
 	if running > 0 {
-		r.backlog = math.Min(1, queued/running)
+		return math.Min(1, queued/running)
 	}
-	r.typical = p.typicalDrain(r.total)
-	return r
+	return 1
 }
 
-// addCached counts a usable machine and the images that it has.
-func (r *ranking) addCached(m *Machine) {
-	k := m.kind()
-	r.usable[k]++
-	for _, i := range m.CachedImages {
-		if r.cached[i] == nil {
-			r.cached[i] = map[InstanceKind]int{}
+// measureTypicalDrain is the drain time of the average array that waits.
+func (r *ranker) measureTypicalDrain() float64 {
+	sum, arrays := 0.0, 0.0
+	for _, job := range r.Jobs {
+		if job.Spec.Kind == api.Array && job.PendingTasks > 0 {
+			sum += r.drainTime(job)
+			arrays++
 		}
-		r.cached[i][k]++
 	}
+	return sum / math.Max(1, arrays)
 }
 
-// score is a job's weighted sum, less what the exceptions take off.
-func (r *ranking) score(j *Job) float64 {
-	w := r.Operators.Weights
-	wait := math.Log(1 + max(0, r.Now-j.EligibleAt).Seconds()/r.Operators.ReferenceWaitS)
-	score := w.Priority*float64(j.Tier) + w.Wait*wait + w.Deficit*r.deficit(j) +
-		w.ZoneFit*r.zoneFit(j) + w.Readiness*r.readiness(j) + w.Backlog*r.backlog
-	score -= r.Operators.LatePenalty * r.outOfReach(j)
-	score -= r.Operators.LargePenalty * r.backlog * r.large(j, r.total, r.typical)
-	if j.Spec.Kind != api.Array && r.due(j) {
-		score += dueBonus
-	}
-	if j.Deprioritized {
-		// Exception: a high-tier job that fails on every machine would
-		// top each cycle and take room first.
-		score -= depriorPenalty
+// drainTime is how long the whole partition would be busy with what waits of a job, in
+// seconds.
+func (r *ranker) drainTime(job *Job) float64 {
+	return job.Request.largestShare(job.PendingTasks, r.total) * job.Spec.EstimateS
+}
+
+// score is a job's weighted sum, less the penalties.
+func (r *ranker) score(job *Job) float64 {
+	weights := r.Operators.Weights
+	score := weights.Priority*float64(job.Tier) + weights.Wait*r.waitTerm(job) + weights.Deficit*r.deficit(job) +
+		weights.ZoneFit*r.zoneFit(job) + weights.Readiness*r.readiness(job) + weights.Backlog*r.backlog
+	score -= r.Operators.LatePenalty * r.missedObjectives(job)
+	score -= r.Operators.LargePenalty * r.backlog * r.largeness(job)
+	if job.Spec.Kind != api.Array && r.isOverdue(job) {
+		score += overdueBonus
+	}
+	if job.Deprioritized {
+		// A high-tier job that fails on every machine would be first in each cycle
+		// and take room before all others.
+		score -= deprioritizedPenalty
 	}
 	return score
 }
 
+// waitTerm grows with the logarithm of the time that a job has waited.
+func (r *ranker) waitTerm(job *Job) float64 {
+	return math.Log(1 + max(0, r.Now-job.EligibleAt).Seconds()/r.Operators.ReferenceWaitS)
+}
+
 // deficit is how much of its target share a job's team lacks. The target is its
 // guarantee; without one, an equal share of the partition.
-func (r *ranking) deficit(j *Job) float64 {
-	t := r.Quotas[j.Spec.Team]
-	if t == nil {
+func (r *ranker) deficit(job *Job) float64 {
+	quota := r.Quotas[job.Spec.Team]
+	if quota == nil {
 		return 0
 	}
-	target, used := float64(t.Guaranteed.GPU), float64(t.Used.GPU)
+	target, used := float64(quota.Guaranteed.GPU), float64(quota.Used.GPU)
 	if target == 0 {
-		target, used = float64(t.Guaranteed.CPU), float64(t.Used.CPU)
+		target, used = float64(quota.Guaranteed.CPU), float64(quota.Used.CPU)
 	}
 	if target == 0 {
-		target, used = float64(r.total.CPU)/float64(max(1, len(r.Quotas))), float64(t.Used.CPU)
+		target, used = float64(r.total.CPU)/float64(max(1, len(r.Quotas))), float64(quota.Used.CPU)
 	}
 	if target <= 0 {
 		return 0
@@ -119,105 +178,40 @@
 }
 
 // zoneFit is 1 less the share of the zones that a job needs.
-func (r *ranking) zoneFit(j *Job) float64 {
+func (r *ranker) zoneFit(job *Job) float64 {
 	if r.zones == 0 {
-		return 0.5
+		return zoneFitUnknown
 	}
-	need := 1
-	if j.Spec.Spread && j.Spec.Tasks > 1 {
-		need = 2
+	needed := 1
+	if job.Spec.Spread && job.Spec.Tasks > 1 {
+		needed = spreadZones
 	}
-	return math.Max(0, 1-float64(need)/float64(r.zones))
+	return math.Max(0, 1-float64(needed)/float64(r.zones))
 }
 
 // readiness is the share of the machines a job may use that have its image.
-func (r *ranking) readiness(j *Job) float64 {
-	ready, could := 0, 0
-	for k, n := range r.usable {
-		if Allowed(j.Spec, k.Type, k.Zone, k.Spot) {
-			could += n
-			ready += r.cached[j.Spec.Image][k]
+func (r *ranker) readiness(job *Job) float64 {
+	ready, allowed := 0, 0
+	for kind, machines := range r.schedulable {
+		if Allowed(job.Spec, kind.Type, kind.Zone, kind.Spot) {
+			allowed += machines
+			ready += r.schedulableByImage[job.Spec.Image][kind]
 		}
 	}
-	if could == 0 {
-		return 0
-	}
-	return float64(ready) / float64(could)
-}
-
-// due tells whether a job has not begun though half of the time is over within
-// which every job should have.
-func (p *planner) due(j *Job) bool {
-	return !j.Started && !j.Deprioritized && float64(p.Now-j.EligibleAt) > p.Operators.BeginWithinS/2*float64(micros.Second)
-}
-
-// outOfReach is the share of the stated aims of the job's class that it can
-// no longer meet. Exception: in an overload, wait alone would rank first those
-// that are late already, and so make everyone late.
-func (p *planner) outOfReach(j *Job) float64 {
-	if j.Spec.EstimateS <= 0 {
+	if allowed == 0 {
 		return 0
 	}
-	age := (p.Now - j.EligibleAt).Seconds()
-	lost, n := 0, 0
-	count := func(late bool) {
-		if n++; late {
-			lost++
-		}
-	}
-	for _, a := range p.Objectives[j.Spec.Class] {
-		switch a.Kind {
-		case "wait":
-			count(!j.Started && age > a.WithinS)
-		case "finished":
-			count(age+j.Spec.EstimateS > a.WithinS)
-		case "deadline":
-			if j.Deadline.WithinS == 0 {
-				count(false)
-			}
-		}
-	}
-	// The deadline's aims are those of the class of the job that has it.
-	for _, a := range p.Objectives[j.Deadline.Class] {
-		if a.Kind == "deadline" {
-			count((p.Now-j.Deadline.SubmittedAt).Seconds()+j.Spec.EstimateS+j.Deadline.DownstreamS > a.DeadlineFactor*j.Deadline.WithinS)
-		}
-	}
-	return float64(lost) / math.Max(1, float64(n))
-}
-
-// drain is how long the whole partition would be busy with what waits of a job, in
-// seconds.
-func (j *Job) drain(part Resources) float64 {
-	share := 0.0
-	for _, r := range [][2]int64{{j.Request.CPU, part.CPU}, {j.Request.GPU, part.GPU}, {j.Request.Mem, part.Mem}} {
-		if r[1] > 0 {
-			share = math.Max(share, float64(int64(j.PendingTasks)*r[0])/float64(r[1]))
-		}
-	}
-	return share * j.Spec.EstimateS
-}
-
-// typicalDrain is that of the average array that waits.
-func (p *planner) typicalDrain(part Resources) float64 {
-	sum, n := 0.0, 0.0
-	for _, j := range p.Jobs {
-		if j.Spec.Kind == api.Array && j.PendingTasks > 0 {
-			sum += j.drain(part)
-			n++
-		}
-	}
-	return sum / math.Max(1, n)
+	return float64(ready) / float64(allowed)
 }
 
-// large is how much an array asks for, from 0 to 1 for two and a half times the
-// average of those that wait; it fades with the job's own wait. Exception: where
-// more waits than fits, what is served in the order of its arrival is late for
-// all; where those that ask for least go first, most are in time.
-func (p *planner) large(j *Job, part Resources, typical float64) float64 {
-	if j.Spec.Kind != api.Array || typical <= 0 {
+// largeness is how much an array asks for, from 0 to 1 for fullPenaltyMultiple times the
+// average of those that wait; it fades with the job's own wait. Where more waits than
+// fits, serving in the order of arrival makes all late; where the smallest go first, most
+// are in time.
+func (r *ranker) largeness(job *Job) float64 {
+	if job.Spec.Kind != api.Array || r.typicalDrain <= 0 {
 		return 0
 	}
-	waited := (p.Now - j.EligibleAt).Seconds() / (4 * p.Operators.BeginWithinS)
-	return math.Min(1, j.drain(part)/(2.5*typical)) * math.Max(0, 1-waited)
+	waited := (r.Now - job.EligibleAt).Seconds() / (penaltyFadeMultiple * r.Operators.BeginWithinS)
+	return math.Min(1, r.drainTime(job)/(fullPenaltyMultiple*r.typicalDrain)) * math.Max(0, 1-waited)
 }
