--- a/internal/history/summary.go
+++ b/internal/history/summary.go
@@ -6,124 +6,118 @@
 	"io"
 	"maps"
 	"slices"
+	"strings"
 	"text/tabwriter"
 
-	"github.com/HdrHistogram/hdrhistogram-go"
-
 	"spurmoor/internal/micros"
 )
 
-// Distribution gathers spans, up to an hour.
-type Distribution struct{ values *hdrhistogram.Histogram }
-
-const (
-	longestSpan        = 3600 * micros.Second
-	significantFigures = 3
-)
-
-// NewDistribution makes an empty one.
-func NewDistribution() *Distribution {
-	return &Distribution{hdrhistogram.New(1, int64(longestSpan), significantFigures)}
-}
-
-// Add adds a span; one beyond an hour counts as an hour.
-func (d *Distribution) Add(span micros.Micros) {
-	_ = d.values.RecordValue(int64(min(max(span, 1), longestSpan))) // within its bounds: cannot fail
-}
-
-// Count is how many spans were added.
-func (d *Distribution) Count() int64 { return d.values.TotalCount() }
-
-// String gives quantiles, in seconds.
-func (d *Distribution) String() string {
-	if d.Count() == 0 {
-		return "none"
-	}
-	at := func(percent float64) float64 { return micros.Micros(d.values.ValueAtPercentile(percent)).Seconds() }
-	return fmt.Sprintf("n=%d p50=%.3fs p90=%.3fs p99=%.3fs max=%.3fs", d.Count(), at(50), at(90), at(99), micros.Micros(d.values.Max()).Seconds())
-}
-
-// tenure is what was ordered under one duty and term.
-type tenure struct {
-	duty string
+// leadershipKey names the time in which one controller led a role under one term.
+type leadershipKey struct {
+	role string
 	term uint64
 }
 
-// span is the time in which something was ordered.
-type span struct {
-	first, last micros.Micros
-	left        map[string]int // orders by action
-	refused     map[string]int // by action and reason
+// activity is what was ordered under one leadership.
+type activity struct {
+	firstAt micros.Micros  // the first order, refused or not
+	lastAt  micros.Micros  // the last order that left; 0: none did
+	sent    map[string]int // orders that left, by action
+	refused map[string]int // orders that did not, by action and reason
 }
 
 // Summary sums a history up.
 type Summary struct {
-	begin   micros.Micros
-	spans   map[tenure]*span
-	waiting *Distribution
+	startedAt  micros.Micros // the first order of all
+	activities map[leadershipKey]*activity
+	// waits are the times from a grant to the departure of the order under it.
+	waits *Distribution
 }
 
 // NewSummary makes an empty one.
 func NewSummary() *Summary {
-	return &Summary{spans: map[tenure]*span{}, waiting: NewDistribution()}
+	return &Summary{activities: map[leadershipKey]*activity{}, waits: NewDistribution()}
 }
 
 // Add adds an order.
-func (s *Summary) Add(o Order) {
-	if s.begin == 0 {
-		s.begin = o.At
-	}
-	k := tenure{o.Role, o.Term}
-	t := s.spans[k]
-	if t == nil {
-		t = &span{first: o.At, left: map[string]int{}, refused: map[string]int{}}
-		s.spans[k] = t
+func (s *Summary) Add(order Order) {
+	if s.startedAt == 0 {
+		s.startedAt = order.At
 	}
-	if o.Refused != "" {
-		t.refused[o.Action+", "+o.Refused]++
+	current := s.activityOf(order)
+	if order.Refused != "" {
+		current.refused[order.Action+", "+order.Refused]++
 		return
 	}
-	t.last = max(t.last, o.At)
-	t.left[o.Action]++
-	if o.GrantedAt > 0 {
-		s.waiting.Add(o.At - o.GrantedAt)
+	current.lastAt = max(current.lastAt, order.At)
+	current.sent[order.Action]++
+	if order.GrantedAt > 0 {
+		s.waits.Add(order.At - order.GrantedAt)
+	}
+}
+
+// activityOf gives the activity that an order belongs to, and begins it if need be.
+func (s *Summary) activityOf(order Order) *activity {
+	key := leadershipKey{role: order.Role, term: order.Term}
+	found := s.activities[key]
+	if found == nil {
+		found = &activity{firstAt: order.At, sent: map[string]int{}, refused: map[string]int{}}
+		s.activities[key] = found
 	}
+	return found
 }
 
-// Print prints a line for each duty and term, in the order in which they began.
-func (s *Summary) Print(to io.Writer) error {
-	table := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
-	if _, err := fmt.Fprintln(table, "DUTY\tTERM\tFROM\tTO\tORDERS\tREFUSED"); err != nil {
-		return err
+// columnPadding is the space between two columns of the table.
+const columnPadding = 2
+
+// Print prints a line for each role and term, in the order in which they began. Its error
+// is that of the writer.
+func (s *Summary) Print(out io.Writer) error {
+	table := tabwriter.NewWriter(out, 0, 0, columnPadding, ' ', 0)
+	var rows strings.Builder
+	rows.WriteString("DUTY\tTERM\tFROM\tTO\tORDERS\tREFUSED\n")
+	for _, key := range s.inOrder() {
+		rows.WriteString(s.row(key))
 	}
-	order := slices.SortedFunc(maps.Keys(s.spans), func(a, b tenure) int {
-		return cmp.Or(cmp.Compare(s.spans[a].first, s.spans[b].first), cmp.Compare(a.duty, b.duty), cmp.Compare(a.term, b.term))
-	})
-	for _, k := range order {
-		t := s.spans[k]
-		from, until := (t.first - s.begin).Seconds(), (max(t.last, t.first) - s.begin).Seconds()
-		if _, err := fmt.Fprintf(table, "%s\t%d\t%.3f\t%.3f\t%s\t%s\n", k.duty, k.term, from, until, counts(t.left), counts(t.refused)); err != nil {
-			return err
-		}
+	if _, err := io.WriteString(table, rows.String()); err != nil {
+		return err //nolint:wrapcheck // the command prints this text as it is
 	}
 	if err := table.Flush(); err != nil {
-		return err
+		return err //nolint:wrapcheck // as above
 	}
-	_, err := fmt.Fprintln(to, "from decision to departure:", s.waiting)
-	return err
+	_, err := fmt.Fprintln(out, "from decision to departure:", s.waits)
+	return err //nolint:wrapcheck // as above
+}
+
+// inOrder gives the leaderships in the order in which they began.
+func (s *Summary) inOrder() []leadershipKey {
+	byBeginning := func(a, b leadershipKey) int {
+		return cmp.Or(
+			cmp.Compare(s.activities[a].firstAt, s.activities[b].firstAt),
+			cmp.Compare(a.role, b.role),
+			cmp.Compare(a.term, b.term),
+		)
+	}
+	return slices.SortedFunc(maps.Keys(s.activities), byBeginning)
+}
+
+// row gives a leadership's line of the table, with times in seconds from the first order.
+func (s *Summary) row(key leadershipKey) string {
+	current := s.activities[key]
+	from := (current.firstAt - s.startedAt).Seconds()
+	until := (max(current.lastAt, current.firstAt) - s.startedAt).Seconds()
+	return fmt.Sprintf("%s\t%d\t%.3f\t%.3f\t%s\t%s\n",
+		key.role, key.term, from, until, countsText(current.sent), countsText(current.refused))
 }
 
-// counts gives counts by name.
-func counts(m map[string]int) string {
-	if len(m) == 0 {
+// countsText lists counts by name.
+func countsText(counts map[string]int) string {
+	if len(counts) == 0 {
 		return "-"
 	}
-	text := ""
-	for _, name := range slices.Sorted(maps.Keys(m)) {
-		if text != "" {
-			text += "; "
-		}
-		text += fmt.Sprintf("%s: %d", name, m[name])
+	var entries []string
+	for _, name := range slices.Sorted(maps.Keys(counts)) {
+		entries = append(entries, fmt.Sprintf("%s: %d", name, counts[name]))
 	}
-	return text
+	return strings.Join(entries, "; ")
 }
--- /dev/null
+++ b/internal/jsonhttp/doc.go
@@ -0,0 +1,3 @@
+// Package jsonhttp makes HTTP requests with JSON bodies within a budget, for the clients
+// of the key-value store and the cloud.
+package jsonhttp
--- /dev/null
+++ b/internal/jsonhttp/not_sent_test.go
@@ -0,0 +1,64 @@
+package jsonhttp
+
+import (
+	"errors"
+	"net"
+	"testing"
+	"time"
+
+	"github.com/valyala/fasthttp"
+)
+
+// acceptOnce answers the first request of each connection, and reports how many bytes it
+// read of it.
+func acceptOnce(listener net.Listener, received chan<- int) {
+	for {
+		conn, err := listener.Accept()
+		if err != nil {
+			return
+		}
+		n, _ := conn.Read(make([]byte, 4096))
+		received <- n
+		_, _ = conn.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"))
+		_ = conn.Close()
+	}
+}
+
+// TestNotSent guards against a request that leaves although it was refused once it had
+// its connection: not even its headers may.
+func TestNotSent(t *testing.T) {
+	listener := listen(t)
+	received := make(chan int, 2)
+	go acceptOnce(listener, received)
+	host := &fasthttp.HostClient{Addr: listener.Addr().String(), MaxIdemponentCallAttempts: 1}
+	refusal := errors.New("expired")
+	for _, tc := range []struct {
+		refusal error
+		sent    bool
+	}{
+		{refusal: refusal, sent: false},
+		{refusal: nil, sent: true},
+	} {
+		checks := 0
+		request := Request{
+			URI:     "/txn",
+			Body:    map[string]int{"a": 1},
+			Timeout: 5 * time.Second,
+			BeforeSend: func() error {
+				checks++
+				return tc.refusal
+			},
+		}
+		err := Do(host, request, func(int, []byte) error { return nil })
+		var notSent *NotSentError
+		if errors.As(err, &notSent) == tc.sent || tc.refusal != nil && !errors.Is(err, refusal) {
+			t.Errorf("refused with %v: error %v", tc.refusal, err)
+		}
+		if n := <-received; n > 0 != tc.sent {
+			t.Errorf("refused with %v: %d bytes arrived", tc.refusal, n)
+		}
+		if checks != 1 {
+			t.Errorf("checked %d times", checks)
+		}
+	}
+}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,179 +1,106 @@
-// Package store is the client of the state service: it turns the core's
-// calls into requests, within the settings' budgets.
+// Package store is the client of the key-value store: it turns the state machine's calls
+// into HTTP requests, within the budgets of the settings.
 package store
 
 import (
 	"context"
 	"errors"
-	"net/url"
-	"strconv"
 	"time"
 
-	"spurmoor/internal/message"
-	"spurmoor/internal/records"
-
-	"github.com/go-json-experiment/json"
 	"github.com/valyala/fasthttp"
 	"golang.org/x/time/rate"
 
-	"spurmoor/internal/api"
 	"spurmoor/internal/jsonhttp"
 	"spurmoor/internal/leadership"
+	"spurmoor/internal/message"
 	"spurmoor/internal/settings"
 )
 
-// Client talks to the state service.
+// serviceName names the key-value store in the log.
+const serviceName = "state service"
+
+// budgetWait is how long a call may wait for its budget before it counts as refused, and
+// for a connection after that.
+const budgetWait = 1500 * time.Millisecond
+
+// The connections' limits.
+const (
+	// readTimeout has room for a watch, which the store leaves unanswered while nothing
+	// changes.
+	readTimeout  = 70 * time.Second
+	writeTimeout = 3 * time.Second
+	idleTimeout  = 30 * time.Second
+	// maxReply bounds a reply in bytes: it is held in memory whole.
+	maxReply = 8 << 20
+)
+
+// Each controller may use half of the store's requests and 0.8 of its writes: they are
+// rarely busy all at once, and a 429 is retried. The state machine spends less on what can
+// wait.
+const (
+	requestShare = 0.5
+	writeShare   = 0.8
+)
+
+// Client sends the state machine's calls to the key-value store.
 type Client struct {
-	http   *fasthttp.HostClient
-	urgent *fasthttp.HostClient // of its own: a renewal never waits for a connection
-	reqs   *rate.Limiter
-	writes *rate.Limiter
-	bad    func(who string, err error)
-	gate   leadership.Gate
+	http *jsonhttp.Client
+	gate leadership.Gate
+	// writeLimit is the budget of transactions, one token for each write.
+	writeLimit *rate.Limiter
 }
 
-// New makes a client. Each controller may use half of the requests and 0.8
-// of the changes: they are rarely busy all at once, and a 429 is retried. The
-// core spends less on what can wait. bad is told of every answer that can't be read.
-func New(set *settings.Settings, gate leadership.Gate, bad func(who string, err error)) *Client {
-	s := set.Deployment.Store
-	client := func(conns int) *fasthttp.HostClient {
-		return &fasthttp.HostClient{Addr: set.Endpoints.State, MaxConns: conns, MaxConnWaitTimeout: patience,
-			ReadTimeout: 70 * time.Second, WriteTimeout: 3 * time.Second, MaxIdleConnDuration: 30 * time.Second,
-			MaxIdemponentCallAttempts: 1, MaxResponseBodySize: maxAnswer}
-	}
+// New makes a client. gate is asked before each transaction leaves; onMalformed is called
+// with every reply that can't be read.
+func New(set *settings.Settings, gate leadership.Gate, onMalformed func(service string, err error)) *Client {
+	limits := set.Deployment.Store
+	requestsPerSecond, writesPerSecond := limits.RPS*requestShare, limits.WriteRPS*writeShare
 	return &Client{
-		http: client(set.Sockets.Store), urgent: client(set.Sockets.Lease),
-		reqs:   rate.NewLimiter(rate.Limit(s.RPS/2), max(1, int(s.RPS/2))),
-		bad:    bad,
-		gate:   gate,
-		writes: rate.NewLimiter(rate.Limit(s.WriteRPS*0.8), max(s.MaxTransactionOps, int(s.WriteRPS*0.8))),
+		gate: gate,
+		// The largest transaction must fit into the burst, or it would never leave.
+		writeLimit: rate.NewLimiter(rate.Limit(writesPerSecond), max(limits.MaxTransactionOps, int(writesPerSecond))),
+		http: &jsonhttp.Client{
+			Service: serviceName,
+			Host:    newHost(set.Endpoints.State, set.Sockets.Store),
+			// Of its own: a lease renewal never waits for a connection.
+			UrgentHost:   newHost(set.Endpoints.State, set.Sockets.Lease),
+			RequestLimit: rate.NewLimiter(rate.Limit(requestsPerSecond), max(1, int(requestsPerSecond))),
+			BudgetWait:   budgetWait,
+			OnMalformed:  onMalformed,
+		},
 	}
 }
 
-// maxAnswer bounds an answer: it is held in memory whole.
-const maxAnswer = 8 << 20
-
-// patience is how long a call may wait for its budget before it counts as
-// refused.
-const patience = 1500 * time.Millisecond
-
-func (c *Client) admit(call message.StoreCall) bool {
-	if call.Urgent {
-		c.reqs.Allow()
-		return true
+func newHost(addr string, maxConnections int) *fasthttp.HostClient {
+	return &fasthttp.HostClient{
+		Addr:                      addr,
+		MaxConns:                  maxConnections,
+		MaxConnWaitTimeout:        budgetWait,
+		ReadTimeout:               readTimeout,
+		WriteTimeout:              writeTimeout,
+		MaxIdleConnDuration:       idleTimeout,
+		MaxIdemponentCallAttempts: 1,
+		MaxResponseBodySize:       maxReply,
 	}
-	ctx, stop := context.WithTimeout(context.Background(), patience)
-	defer stop()
-	if c.reqs.Wait(ctx) != nil {
-		return false
-	}
-	return call.Op != message.OpTransaction || c.writes.WaitN(ctx, len(call.Transaction.Body().Writes)) == nil
 }
 
-// Do carries out a call and gives the answer; status 0: none came.
-func (c *Client) Do(call message.StoreCall) *message.StoreReply {
-	r := &message.StoreReply{Call: call.Call}
-	if !c.admit(call) {
-		r.Status = fasthttp.StatusTooManyRequests
-		return r
-	}
-	client := c.http
-	if call.Urgent {
-		client = c.urgent
-	}
-	req := request(call)
-	if call.Op == message.OpTransaction {
-		req.Before = func() error { return c.gate(call.Transaction.Grant(), leadership.Write) }
-	}
-	err := jsonhttp.Do(client, req, func(status int, body []byte) error { return decode(call, status, body, r) })
-	var none *jsonhttp.NoAnswer
-	var kept *jsonhttp.NotSent
-	r.Unsent = errors.As(err, &kept)
+// Do carries out a call and returns its reply, whose status is 0 where none came and 429
+// where the budget did not allow the call.
+func (c *Client) Do(ctx context.Context, call message.StoreCall) *message.StoreReply {
+	reply := &message.StoreReply{Call: call.Call}
+	read := func(status int, body []byte) error { return decode(call.Op, status, body, reply) }
+	err := c.http.Do(ctx, c.request(call), read)
+	var notSent *jsonhttp.NotSentError
+	reply.Unsent = errors.As(err, &notSent)
 	switch {
+	case errors.Is(err, jsonhttp.ErrBudgetExhausted):
+		reply.Status = fasthttp.StatusTooManyRequests
 	case errors.Is(err, fasthttp.ErrBodyTooLarge):
-		c.bad("state service", err)
+		c.http.ReportMalformed(err)
 		if call.Op == message.OpWatch {
-			r.Status = fasthttp.StatusGone // asked again it would be larger still: read by pages instead
+			// Asked again it would be larger still: Gone has everything listed by pages.
+			reply.Status = fasthttp.StatusGone
 		}
-	case err != nil && !errors.As(err, &none):
-		c.bad("state service", err)
-	}
-	return r
-}
-
-// Time for an answer: a renewal that takes longer is sent again.
-const (
-	answerWait  = 2500 * time.Millisecond
-	renewalWait = 1500 * time.Millisecond
-)
-
-// pageSize is how many keys are listed at a time.
-const pageSize = "500"
-
-// request gives the request of a call.
-func request(call message.StoreCall) jsonhttp.Request {
-	r := jsonhttp.Request{Wait: answerWait}
-	switch call.Op {
-	case message.OpGet:
-		r.URI = "/store/" + call.Key
-	case message.OpList:
-		query := url.Values{"Under": {records.LivePrefix}, "Most": {pageSize}}
-		if call.Key != "" {
-			query.Set("Since", call.Key)
-		}
-		r.URI = "/store?" + query.Encode()
-	case message.OpTransaction:
-		r.URI, r.Body = "/txn", call.Transaction.Body()
-	case message.OpGrantLease:
-		r.URI, r.Body = "/holds", api.LeaseRequest{TTLMs: call.TTLMs}
-	case message.OpRenewLease:
-		r.URI, r.Body = "/holds/"+strconv.FormatUint(call.Lease, 10)+"/extend", struct{}{}
-		r.Wait = renewalWait
-	case message.OpWatch:
-		query := url.Values{"Under": {records.LivePrefix}, "Since": {strconv.FormatUint(call.Since, 10)}, "BlockMs": {strconv.Itoa(call.WaitMs)}}
-		r.URI = "/follow?" + query.Encode()
-		r.Wait += time.Duration(call.WaitMs) * time.Millisecond
-	}
-	return r
-}
-
-// decode reads an answer. One that can't be read counts as none.
-func decode(call message.StoreCall, status int, body []byte, r *message.StoreReply) error {
-	var hold api.LeaseResponse
-	if to := target(call.Op, status, r, &hold); to != nil {
-		if err := json.Unmarshal(body, to); err != nil {
-			return err
-		}
-	}
-	r.Lease = hold.Lease
-	unnumbered := call.Op == message.OpTransaction && r.Transaction.Revision == 0 || call.Op == message.OpGrantLease && r.Lease == 0
-	if status == fasthttp.StatusOK && unnumbered {
-		return errors.New("an answer of 200 without its number")
-	}
-	r.Status = status
-	return nil
-}
-
-// target is what an answer's body is read into; nil: it is not looked at.
-func target(op message.StoreOp, status int, r *message.StoreReply, hold *api.LeaseResponse) any {
-	if op == message.OpTransaction && (status == fasthttp.StatusConflict || status == fasthttp.StatusBadRequest) {
-		return &r.Transaction
-	}
-	if status != fasthttp.StatusOK {
-		return nil
-	}
-	switch op {
-	case message.OpTransaction:
-		return &r.Transaction
-	case message.OpGet:
-		return &r.Item
-	case message.OpList:
-		return &r.Page
-	case message.OpGrantLease:
-		return hold
-	case message.OpWatch:
-		return &r.Watch
 	}
-	return nil
+	return reply
 }
