--- a/internal/server/event_loop.go
+++ b/internal/server/event_loop.go
@@ -24,16 +24,18 @@
 	defer close(l.queue.closed)
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
+	// Calls that are under way when the loop ends are not cut short.
+	calls := context.WithoutCancel(ctx)
 	for {
 		next, ok := l.queue.next(ctx, ticker.C)
 		if !ok {
 			return nil
 		}
-		l.step(ctx, next)
+		l.step(calls, next)
 	}
 }
 
-// step has the state machine take one input, at one time.
+// step has the state machine take one input, and carries out its effects: ctx bounds them.
 func (l *eventLoop) step(ctx context.Context, next input) {
 	if next.answerTo != nil {
 		l.effects.pendingRequests[next.requestID] = next.answerTo
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -49,7 +49,7 @@
 }
 
 // newServer makes a server with the given clock.
-func newServer(set *settings.Settings, log *slog.Logger, orders *history.Writer, now timeSource) (*Server, error) {
+func newServer(set *settings.Settings, log *slog.Logger, orders *history.Writer, steady timeSource) (*Server, error) {
 	incarnation, random, err := newIncarnation()
 	if err != nil {
 		return nil, err
@@ -57,13 +57,13 @@
 	limitProcess(set.Deployment.Process.MemMB)
 	malformed := &malformedCounter{log: log}
 	queue := newInputQueue(set.Deployment.Process.MaxConnections)
-	gate := &orderGate{clock: now, queue: queue, orders: orders}
+	gate := &orderGate{clock: steady, queue: queue, orders: orders}
 	effects := &effectExecutor{
 		log:             log,
 		queue:           queue,
 		store:           store.New(set, gate.admit, malformed.report),
 		cloud:           cloud.New(set, gate.admit, malformed.report),
-		workers:         newWorkerClient(set.Sockets.DirectCommands, now, gate, malformed),
+		workers:         newWorkerClient(set.Sockets.DirectCommands, steady, gate, malformed),
 		peers:           newPeerClient(set, log),
 		pendingRequests: map[uint64]chan<- decision{},
 		stopped:         make(chan struct{}),
@@ -72,8 +72,8 @@
 		settings: set,
 		log:      log,
 		queue:    queue,
-		loop:     &eventLoop{core: core.New(set, incarnation, random), clock: now, queue: queue, effects: effects},
-		public:   &publicHandler{settings: set, log: log, queue: queue, clock: now, gate: gate, malformed: malformed},
+		loop:     &eventLoop{core: core.New(set, incarnation, random), clock: steady, queue: queue, effects: effects},
+		public:   &publicHandler{settings: set, log: log, queue: queue, clock: steady, gate: gate, malformed: malformed},
 		internal: &internalHandler{queue: queue, malformed: malformed},
 	}, nil
 }
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -37,7 +37,7 @@
 }
 
 // newTestServer makes a controller whose key-value store and cloud are not there.
-func newTestServer(t *testing.T, now timeSource) (*Server, *settings.Settings) {
+func newTestServer(t *testing.T, steady timeSource) (*Server, *settings.Settings) {
 	t.Helper()
 	unreachable := freeAddr(t)
 	raw := fmt.Sprintf(`{"node_name":"nodo-0","site":"a","public_addr":%q,"internal_addr":%q,"endpoints":{"cloud":%q,"state":%q},
@@ -50,7 +50,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	server, err := newServer(set, slog.New(slog.DiscardHandler), nil, now)
+	server, err := newServer(set, slog.New(slog.DiscardHandler), nil, steady)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/server/worker_client.go
+++ b/internal/server/worker_client.go
@@ -37,10 +37,10 @@
 }
 
 // newWorkerClient makes a client that has at most maxInFlight commands in flight.
-func newWorkerClient(maxInFlight int, now timeSource, gate *orderGate, malformed *malformedCounter) *workerClient {
+func newWorkerClient(maxInFlight int, steady timeSource, gate *orderGate, malformed *malformedCounter) *workerClient {
 	return &workerClient{
 		slots:     make(chan struct{}, maxInFlight),
-		clock:     now,
+		clock:     steady,
 		gate:      gate,
 		malformed: malformed,
 		http: &fasthttp.Client{
