--- a/internal/jsonhttp/client.go
+++ b/internal/jsonhttp/client.go
@@ -27,8 +27,8 @@
 }
 
 // Do makes a request once its budget allows it, and hands the reply to read. Beside the
-// errors of the function Do it returns ErrBudgetExhausted. What is wrong with a reply
-// that did come is reported to OnMalformed too.
+// errors of the function Do it returns ErrBudgetExhausted. ctx bounds the wait for the
+// budget alone. An error of read, or of encoding the body, is reported to OnMalformed too.
 func (c *Client) Do(ctx context.Context, request Request, read ReadFunc) error {
 	if err := c.awaitBudget(ctx, request); err != nil {
 		return err
--- a/internal/jsonhttp/request.go
+++ b/internal/jsonhttp/request.go
@@ -22,7 +22,8 @@
 	// leave; an error keeps it from leaving. Nil: it may always leave. It is only used
 	// with a body.
 	BeforeSend func() error
-	// Urgent requests never wait for their budget, and use Client.UrgentHost.
+	// Urgent requests never wait for their budget, and use Client.UrgentHost. Urgent and
+	// Costs are for a Client; the function Do passes them over.
 	Urgent bool
 	// Costs are the budgets that the request takes from beside Client.RequestLimit; an
 	// urgent one takes nothing from them.
--- a/internal/server/effects.go
+++ b/internal/server/effects.go
@@ -28,31 +28,31 @@
 }
 
 // execute carries out an effect that was decided at the given time, or starts to.
-func (x *effectExecutor) execute(ctx context.Context, effect message.Effect, decidedAt micros.Micros) {
+func (e *effectExecutor) execute(ctx context.Context, effect message.Effect, decidedAt micros.Micros) {
 	switch effect := effect.(type) {
 	case message.Answer:
-		x.answer(effect, decidedAt)
+		e.answer(effect, decidedAt)
 	case message.StoreCall:
-		go func() { x.queue.enqueueUrgent(x.store.Do(ctx, effect)) }()
+		go func() { e.queue.enqueueUrgent(e.store.Do(ctx, effect)) }()
 	case message.CloudCall:
-		go func() { x.queue.enqueue(x.cloud.Do(ctx, effect)) }()
+		go func() { e.queue.enqueue(e.cloud.Do(ctx, effect)) }()
 	case message.SendCommands:
-		go func() { x.queue.enqueue(x.workers.send(effect, decidedAt)) }()
+		go func() { e.queue.enqueue(e.workers.send(effect, decidedAt)) }()
 	case message.Stopped:
-		close(x.stopped)
+		close(e.stopped)
 	case message.Broadcast:
-		x.peers.broadcast(effect.Heartbeat)
+		e.peers.broadcast(effect.Heartbeat)
 	case message.Log:
-		x.log.Log(ctx, effect.Level, effect.Message, effect.Args...)
+		e.log.Log(ctx, effect.Level, effect.Message, effect.Args...)
 	}
 }
 
 // answer hands an answer to the handler that waits for it.
-func (x *effectExecutor) answer(answer message.Answer, decidedAt micros.Micros) {
-	answerTo := x.pendingRequests[answer.RequestID]
+func (e *effectExecutor) answer(answer message.Answer, decidedAt micros.Micros) {
+	answerTo := e.pendingRequests[answer.RequestID]
 	if answerTo == nil {
 		return
 	}
-	delete(x.pendingRequests, answer.RequestID)
+	delete(e.pendingRequests, answer.RequestID)
 	answerTo <- decision{answer: answer, decidedAt: decidedAt}
 }
