--- a/internal/server/input_queue_test.go
+++ b/internal/server/input_queue_test.go
@@ -9,14 +9,14 @@
 
 // TestUrgentFirst guards against a lease's renewal that waits behind heartbeats.
 func TestUrgentFirst(t *testing.T) {
-	queue := newInputQueue(4)
-	for range 3 {
-		queue.enqueue(message.WorkerHeartbeat{})
-	}
-	queue.enqueueUrgent(&message.StoreReply{Call: 7})
-	next, ok := queue.next(t.Context(), nil)
-	if reply, isReply := next.event.(*message.StoreReply); !ok || !isReply || reply.Call != 7 {
-		t.Errorf("taken first is %+v", next.event)
+	queue := newInputQueue(1)
+	queue.enqueue(message.WorkerHeartbeat{})
+	for range 100 { // a select takes either of two channels, at random
+		queue.enqueueUrgent(&message.StoreReply{Call: 7})
+		next, ok := queue.next(t.Context(), nil)
+		if reply, isReply := next.event.(*message.StoreReply); !ok || !isReply || reply.Call != 7 {
+			t.Fatalf("taken first is %+v", next.event)
+		}
 	}
 }
 
--- a/internal/server/staleness_test.go
+++ b/internal/server/staleness_test.go
@@ -87,6 +87,45 @@
 	}
 }
 
+// pausedClock is the clock of a process that is paused after its first reading.
+type pausedClock struct{ readings int }
+
+func (c *pausedClock) Now() micros.Micros {
+	c.readings++
+	if c.readings == 1 {
+		return 0
+	}
+	return staleAfter + 1
+}
+
+func (c *pausedClock) Refresh() micros.Micros { return c.Now() }
+
+// TestPausedWhileConnecting guards against a command that leaves after a pause between its
+// first check and its connection: not a byte of it may.
+func TestPausedWhileConnecting(t *testing.T) {
+	server, _ := newTestServer(t, &pausedClock{})
+	worker := listenOn(t, "127.0.0.1:0")
+	received := make(chan int, 1)
+	go func() {
+		conn, err := worker.Accept()
+		if err != nil {
+			return
+		}
+		size, _ := conn.Read(make([]byte, 4096))
+		received <- size
+		_ = conn.Close()
+	}()
+	grant := leadership.SharedGrant(leadership.ForProbe, leadership.Command)
+	command := message.SendCommands{
+		Addr: worker.Addr().String(),
+		Body: leadership.NewOrder(grant, api.CommandRequest{}),
+	}
+	reply := server.loop.effects.workers.send(command, 0)
+	if size := <-received; size != 0 || !reply.Unsent {
+		t.Errorf("%d bytes arrived, and it counts as unsent: %t", size, reply.Unsent)
+	}
+}
+
 // acceptAndClose closes each connection at once, and reports it before.
 func acceptAndClose(listener net.Listener, connections chan<- struct{}) {
 	for {
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -40,6 +40,8 @@
 	f.Add(int(message.OpTransaction), 200, []byte(`{"Revision":432}`))
 	f.Add(int(message.OpTransaction), 409, []byte(`{"failed":["a/b"],"Revision":431}`))
 	f.Add(int(message.OpTransaction), 200, []byte(`{"Revision":`))
+	f.Add(int(message.OpTransaction), 200, []byte(`{}`))
+	f.Add(int(message.OpGrantLease), 200, []byte(`{}`))
 	f.Add(int(message.OpGrantLease), 200, []byte(`{"Arriendo":"7"}`))
 	f.Add(int(message.OpWatch), 200, []byte(
 		`{"Revision":433,"Log":[{"Write":"c/9","Data":{},"Edicion":433},{"Drop":"c/d","Edicion":432}]}`))
