--- a/internal/simulation/freezes_test.go
+++ b/internal/simulation/freezes_test.go
@@ -25,7 +25,7 @@
 	if *freezes == 0 {
 		t.Skip("no -freezes")
 	}
-	text, err := os.ReadFile("testdata/duties_frozen_with_orders.toml")
+	text, err := os.ReadFile("testdata/roles_paused_leader_with_orders.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simulation/versions_test.go
+++ b/internal/simulation/versions_test.go
@@ -187,7 +187,7 @@
 // be lost by that, and what it reads means the same.
 func TestProductionReads(t *testing.T) {
 	seen := map[string]int{}
-	for _, name := range []string{"pipelines", "pipelines_withdrawn", "limits_lowered"} {
+	for _, name := range []string{"pipelines", "pipelines_cancelled", "store_limits_lowered"} {
 		text, err := os.ReadFile("testdata/" + name + ".toml")
 		if err != nil {
 			t.Fatal(err)
