--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -41,16 +41,16 @@
 }
 
 func newCloud(sim *Simulation) *cloud {
-	c := &cloud{sim: sim, launchedFor: map[string][]string{}}
+	standIn := &cloud{sim: sim, launchedFor: map[string][]string{}}
 	for _, machineType := range sim.scenario.MachineTypes {
-		c.catalog = append(c.catalog, api.MachineType{
+		standIn.catalog = append(standIn.catalog, api.MachineType{
 			Name: machineType.Name, CPUs: machineType.CPUs, GPUs: machineType.GPUs,
 			MemoryGB: machineMemoryGB, CacheGB: machineCacheGB, FetchGBs: machineFetchGBs,
 			Price: machineType.Price, SpotPrice: machineType.Price / spotPriceDivisor,
 			BootS: machineType.BootS, Zones: zones,
 		})
 	}
-	return c
+	return standIn
 }
 
 // call answers a request of a node's.
--- a/internal/simulation/faults_machines.go
+++ b/internal/simulation/faults_machines.go
@@ -6,14 +6,14 @@
 const interruptionNotice = 8 * micros.Second
 
 // injectMachineFaults injects a fault of machines, of one after the other.
-func (s *Simulation) injectMachineFaults(i injection) {
-	for range max(1, i.Count) {
-		busiest := s.busiestWorker(i.Kind == FaultInterruption, i.Zone)
+func (s *Simulation) injectMachineFaults(fault injection) {
+	for range max(1, fault.Count) {
+		busiest := s.busiestWorker(fault.Kind == FaultInterruption, fault.Zone)
 		if busiest == nil {
 			return
 		}
-		s.logf("%s %s", i.Kind, busiest.name)
-		s.injectMachineFault(i.Kind, busiest, i.lasts)
+		s.logf("%s %s", fault.Kind, busiest.name)
+		s.injectMachineFault(fault.Kind, busiest, fault.lasts)
 	}
 }
 
--- a/internal/simulation/faults_messages.go
+++ b/internal/simulation/faults_messages.go
@@ -25,19 +25,19 @@
 	cancelHangLimit     = 8
 )
 
-func (s *Simulation) injectLateWrites(i injection) { s.faults.lateWrites = i.partial() }
+func (s *Simulation) injectLateWrites(fault injection) { s.faults.lateWrites = fault.partial() }
 
-func (s *Simulation) injectLateHeartbeats(i injection) { s.faults.lateHeartbeats = i.partial() }
+func (s *Simulation) injectLateHeartbeats(fault injection) { s.faults.lateHeartbeats = fault.partial() }
 
-func (s *Simulation) injectCancelAtEnd(i injection) { s.faults.cancelAtEnd = i.partial() }
+func (s *Simulation) injectCancelAtEnd(fault injection) { s.faults.cancelAtEnd = fault.partial() }
 
-func (s *Simulation) injectCancelRunning(i injection) {
-	s.cancelRunningJobs(max(1, i.Count), micros.FromSeconds(i.HangS))
+func (s *Simulation) injectCancelRunning(fault injection) {
+	s.cancelRunningJobs(max(1, fault.Count), micros.FromSeconds(fault.HangS))
 }
 
-func (s *Simulation) injectCloseQueries(i injection) { s.faults.closeQueriesUntil = i.until }
+func (s *Simulation) injectCloseQueries(fault injection) { s.faults.closeQueriesUntil = fault.until }
 
-func (s *Simulation) injectInvalidRequests(i injection) { s.sendInvalidRequests(i.until) }
+func (s *Simulation) injectInvalidRequests(fault injection) { s.sendInvalidRequests(fault.until) }
 
 // delayTransaction carries out a transaction that a fault befalls: without a reply, and
 // after newer ones, or at once. It tells whether it did.
--- a/internal/simulation/faults_nodes.go
+++ b/internal/simulation/faults_nodes.go
@@ -17,67 +17,67 @@
 	}
 }
 
-func (s *Simulation) injectCrash(i injection) { s.crash(i.target, i.lasts) }
+func (s *Simulation) injectCrash(fault injection) { s.crash(fault.target, fault.lasts) }
 
-func (s *Simulation) injectCrashAll(i injection) {
+func (s *Simulation) injectCrashAll(fault injection) {
 	for _, node := range s.nodes {
-		s.crash(node, i.lasts)
+		s.crash(node, fault.lasts)
 	}
 }
 
 // injectBriefRestart ends a controller, even one that is down, whose next start is then
 // followed by another.
-func (s *Simulation) injectBriefRestart(i injection) {
-	s.stopAndBoot(i.target, func() micros.Micros {
+func (s *Simulation) injectBriefRestart(fault injection) {
+	s.stopAndBoot(fault.target, func() micros.Micros {
 		return minBriefDowntime + micros.Random(s.rng, briefDowntimeSpread)
 	})
 }
 
 // injectUpgrade restarts a controller with settings that name the store's next limits.
-func (s *Simulation) injectUpgrade(i injection) {
-	i.target.nextLimitsAnnounced = true
-	s.crash(i.target, i.lasts)
+func (s *Simulation) injectUpgrade(fault injection) {
+	fault.target.nextLimitsAnnounced = true
+	s.crash(fault.target, fault.lasts)
 }
 
 // injectPause pauses a controller's process while its clock runs on.
-func (s *Simulation) injectPause(i injection) {
-	incarnation := i.target.incarnation
-	i.target.paused = true
-	s.after(i.lasts, func() {
-		if i.target.incarnation == incarnation {
-			s.resumeNode(i.target)
+func (s *Simulation) injectPause(fault injection) {
+	incarnation := fault.target.incarnation
+	fault.target.paused = true
+	s.after(fault.lasts, func() {
+		if fault.target.incarnation == incarnation {
+			s.resumeNode(fault.target)
 		}
 	})
 }
 
 // injectSendsWait has orders wait in the process, as when connections are short.
-func (s *Simulation) injectSendsWait(i injection) { i.target.sendsBlockedUntil = i.until }
+func (s *Simulation) injectSendsWait(fault injection) { fault.target.sendsBlockedUntil = fault.until }
 
-func (s *Simulation) injectRefusedByStore(i injection) {
-	i.target.refusedByStore = true
-	s.after(i.lasts, func() { i.target.refusedByStore = false })
+func (s *Simulation) injectRefusedByStore(fault injection) {
+	fault.target.refusedByStore = true
+	s.after(fault.lasts, func() { fault.target.refusedByStore = false })
 }
 
 // injectWatchStalled stalls a node's watch; what else the node asks is answered.
-func (s *Simulation) injectWatchStalled(i injection) {
-	i.target.watchStalled = true
-	s.after(i.lasts, func() { i.target.watchStalled = false })
+func (s *Simulation) injectWatchStalled(fault injection) {
+	fault.target.watchStalled = true
+	s.after(fault.lasts, func() { fault.target.watchStalled = false })
 }
 
 // injectLeaseExpiry expires a node's leases at the store, as if it had been cut off for
 // long enough.
-func (s *Simulation) injectLeaseExpiry(i injection) { s.store.expireLeasesOf(i.target) }
+func (s *Simulation) injectLeaseExpiry(fault injection) { s.store.expireLeasesOf(fault.target) }
 
-func (s *Simulation) injectCut(i injection) {
-	s.cutLink(i.target, linkName(i.argument), i.HoldPackets, i.lasts)
+func (s *Simulation) injectCut(fault injection) {
+	s.cutLink(fault.target, linkName(fault.argument), fault.HoldPackets, fault.lasts)
 }
 
 // injectIsolated cuts a controller off from all but its workers.
-func (s *Simulation) injectIsolated(i injection) {
-	s.cutLink(i.target, linkStore, i.HoldPackets, i.lasts)
-	s.cutLink(i.target, linkPeers, i.HoldPackets, i.lasts)
+func (s *Simulation) injectIsolated(fault injection) {
+	s.cutLink(fault.target, linkStore, fault.HoldPackets, fault.lasts)
+	s.cutLink(fault.target, linkPeers, fault.HoldPackets, fault.lasts)
 }
 
-func (s *Simulation) injectZoneCut(i injection) { s.cutZone(i.Zone, i.lasts) }
+func (s *Simulation) injectZoneCut(fault injection) { s.cutZone(fault.Zone, fault.lasts) }
 
-func (s *Simulation) injectSlowLinks(i injection) { s.faults.slowLinksUntil = i.until }
+func (s *Simulation) injectSlowLinks(fault injection) { s.faults.slowLinksUntil = fault.until }
--- a/internal/simulation/faults_services.go
+++ b/internal/simulation/faults_services.go
@@ -7,7 +7,7 @@
 	"spurmoor/internal/records"
 )
 
-func (s *Simulation) injectStoreOutage(i injection) { s.store.outage(i.lasts) }
+func (s *Simulation) injectStoreOutage(fault injection) { s.store.outage(fault.lasts) }
 
 // injectLowerLimits puts the store's next limits in force.
 func (s *Simulation) injectLowerLimits(injection) {
@@ -17,31 +17,31 @@
 }
 
 // injectGarble makes the first entry of a partition's log unreadable.
-func (s *Simulation) injectGarble(i injection) {
-	prefix := fmt.Sprintf("%s%d/", records.LogKey, max(0, i.Partition-1))
+func (s *Simulation) injectGarble(fault injection) {
+	prefix := fmt.Sprintf("%s%d/", records.LogKey, max(0, fault.Partition-1))
 	if keys := s.store.sortedKeys(prefix); len(keys) > 0 {
 		s.store.apply([]api.Write{{Put: keys[0], Value: []byte(`"?"`)}})
 	}
 }
 
-func (s *Simulation) injectCloudOutage(i injection) {
+func (s *Simulation) injectCloudOutage(fault injection) {
 	s.cloud.down = true
-	s.after(i.lasts, func() { s.cloud.down = false })
+	s.after(fault.lasts, func() { s.cloud.down = false })
 }
 
-func (s *Simulation) injectNoCapacity(i injection) {
+func (s *Simulation) injectNoCapacity(fault injection) {
 	s.cloud.noCapacity = true
-	s.after(i.lasts, func() { s.cloud.noCapacity = false })
+	s.after(fault.lasts, func() { s.cloud.noCapacity = false })
 }
 
-func (s *Simulation) injectSlowBoot(i injection) {
-	s.cloud.bootFaultsUntil, s.cloud.bootFailShare, s.cloud.bootFactor = i.until, i.Share, i.Factor
+func (s *Simulation) injectSlowBoot(fault injection) {
+	s.cloud.bootFaultsUntil, s.cloud.bootFailShare, s.cloud.bootFactor = fault.until, fault.Share, fault.Factor
 }
 
 // injectLateLaunch has machines turn up that nobody recorded, as after a launch whose
 // answer was lost.
-func (s *Simulation) injectLateLaunch(i injection) {
-	for range max(1, i.Count) {
+func (s *Simulation) injectLateLaunch(fault injection) {
+	for range max(1, fault.Count) {
 		s.cloud.launch(&api.LaunchRequest{
 			Name: "late", Type: s.scenario.MachineTypes[0].Name, Zone: zones[0], Count: 1,
 		})
--- a/internal/simulation/faults_violations.go
+++ b/internal/simulation/faults_violations.go
@@ -22,15 +22,15 @@
 }
 
 // owner gives the user of the job that the fault names.
-func (s *Simulation) owner(i injection) *user { return s.usersByID[jobID(i.Node)] }
+func (s *Simulation) owner(fault injection) *user { return s.usersByID[jobID(fault.Node)] }
 
 // violateByMuteAnswers has nobody answer the job's user any more.
-func (s *Simulation) violateByMuteAnswers(i injection) { s.faults.mutedJob = jobID(i.Node) }
+func (s *Simulation) violateByMuteAnswers(fault injection) { s.faults.mutedJob = jobID(fault.Node) }
 
 // violateByEarlyStart starts a task before the job's dependencies have ended.
-func (s *Simulation) violateByEarlyStart(i injection) {
+func (s *Simulation) violateByEarlyStart(fault injection) {
 	rogue := s.rogueWorker(s.cloud.catalog[0], zones[0])
-	job := s.owner(i).id
+	job := s.owner(fault).id
 	s.checker.taskStarted(rogue, &workerTask{id: taskID(job, 0), job: job, attempt: 1, worker: rogue})
 }
 
@@ -49,36 +49,36 @@
 }
 
 // violateByOrphanedDependant tells that a job is pending though a dependency is cancelled.
-func (s *Simulation) violateByOrphanedDependant(i injection) {
-	s.checker.stateReported(s.owner(i), api.JobPending)
+func (s *Simulation) violateByOrphanedDependant(fault injection) {
+	s.checker.stateReported(s.owner(fault), api.JobPending)
 }
 
 // violateByUnrequestedCancel tells that a job is cancelled whose user did not ask for it.
-func (s *Simulation) violateByUnrequestedCancel(i injection) {
-	s.checker.stateReported(s.owner(i), api.JobCancelled)
+func (s *Simulation) violateByUnrequestedCancel(fault injection) {
+	s.checker.stateReported(s.owner(fault), api.JobCancelled)
 }
 
 // violateByStaleRead answers with an older state than the user has been told.
-func (s *Simulation) violateByStaleRead(i injection) {
-	owner := s.owner(i)
+func (s *Simulation) violateByStaleRead(fault injection) {
+	owner := s.owner(fault)
 	answer := message.Answer{Status: http.StatusOK, Body: api.JobStatus{ID: owner.id, State: api.JobRunning}}
 	s.checker.checkQuery(owner)(answer, true, owner.finalState)
 }
 
 // violateByAcceptedInvalid accepts an invalid submission.
-func (s *Simulation) violateByAcceptedInvalid(i injection) {
-	s.checker.checkRefused(s.owner(i).id, message.Answer{Status: http.StatusCreated}, http.StatusUnprocessableEntity)
+func (s *Simulation) violateByAcceptedInvalid(fault injection) {
+	s.checker.checkRefused(s.owner(fault).id, message.Answer{Status: http.StatusCreated}, http.StatusUnprocessableEntity)
 }
 
 // violateByStartAfterCancelled sends the start of a job that is cancelled.
-func (s *Simulation) violateByStartAfterCancelled(i injection) {
-	start := api.Command{Op: api.CommandStart, Task: taskID(s.owner(i).id, 0), Attempt: 1}
-	s.checker.checkCommands(i.target, []api.Command{start})
+func (s *Simulation) violateByStartAfterCancelled(fault injection) {
+	start := api.Command{Op: api.CommandStart, Task: taskID(s.owner(fault).id, 0), Attempt: 1}
+	s.checker.checkCommands(fault.target, []api.Command{start})
 }
 
 // violateByStarvedJob adds a job that no controller knows of, beside room on a machine.
-func (s *Simulation) violateByStarvedJob(i injection) {
-	job := s.owner(i).job
+func (s *Simulation) violateByStarvedJob(fault injection) {
+	job := s.owner(fault).job
 	s.jobs[unknownJobID] = job
 	s.users = append(s.users, &user{
 		sim: s, id: unknownJobID, job: job, accepted: true, submittedAt: s.now, lastAnswerAt: s.now,
--- a/internal/simulation/heartbeat.go
+++ b/internal/simulation/heartbeat.go
@@ -13,6 +13,9 @@
 	heartbeatTimeout = 4 * micros.Second
 	// heartbeatRetryDelay is how long it then waits before it tries another node.
 	heartbeatRetryDelay = micros.Second
+	// redirectSpread is within which time it turns to the node that an answer names: workers
+	// that are redirected together do not arrive together.
+	redirectSpread = micros.Second / 2
 	// refusedConnection is how long it takes to notice that a node is down.
 	refusedConnection = micros.Second / 100
 	// Copies of heartbeats arrive up to two leases late, not sooner than after a second.
@@ -148,8 +151,8 @@
 
 // handle extends the worker's lease and executes the commands of an answer with status 200.
 func (c *heartbeatCall) handle(answer message.Answer) {
-	w := c.worker
-	if w.pendingCall != c.number || w.incarnation != c.incarnation {
+	worker := c.worker
+	if worker.pendingCall != c.number || worker.incarnation != c.incarnation {
 		return // given up, or of an earlier incarnation
 	}
 	response, ok := answer.Body.(api.HeartbeatResponse)
@@ -157,27 +160,27 @@
 		c.tryOther(answer)
 		return
 	}
-	c.finish(w.nextHeartbeatAt, w.node)
-	if response.FencingToken < w.fencingToken {
+	c.finish(worker.nextHeartbeatAt, worker.node)
+	if response.FencingToken < worker.fencingToken {
 		return
 	}
-	w.raiseToken(response.FencingToken)
-	w.leaseStart = c.sentAt
-	w.execute(response.Commands)
+	worker.raiseToken(response.FencingToken)
+	worker.leaseStart = c.sentAt
+	worker.execute(response.Commands)
 }
 
 // tryOther has the worker turn to another node: the one that the answer names, or the next.
 func (c *heartbeatCall) tryOther(answer message.Answer) {
-	w, sim := c.worker, c.worker.sim
-	other, wait := w.nextNode(), heartbeatRetryDelay
+	sim := c.worker.sim
+	other, wait := c.worker.nextNode(), heartbeatRetryDelay
 	redirect, ok := answer.Body.(api.Redirect)
 	if ok && answer.Status == http.StatusMisdirectedRequest && redirect.To != "" && redirect.To != c.node.name {
 		for i, node := range sim.nodes {
 			if node.name == redirect.To {
-				other, wait = i, micros.Random(sim.rng, micros.Second/2)
+				other, wait = i, micros.Random(sim.rng, redirectSpread)
 			}
 		}
 	}
 	c.finish(sim.now+wait, other)
-	w.nextHeartbeatAt = sim.now + wait
+	c.worker.nextHeartbeatAt = sim.now + wait
 }
--- a/internal/simulation/invariants_tasks.go
+++ b/internal/simulation/invariants_tasks.go
@@ -68,16 +68,16 @@
 func spreadLimit(spec api.Job) int { return (spec.Tasks + 1) / len(zones) }
 
 // countTask counts a task that is on its machine, by 1, or no longer, by -1.
-func (c *invariantChecker) countTask(task *workerTask, by int) {
+func (c *invariantChecker) countTask(task *workerTask, change int) {
 	spec := c.sim.jobs[task.job].spec(0)
-	c.gpusInUse[spec.Team] += float64(by) * spec.GPUs
+	c.gpusInUse[spec.Team] += float64(change) * spec.GPUs
 	inZone := c.tasksInZone[task.job]
 	if inZone == nil {
 		inZone = map[string]int{}
 		c.tasksInZone[task.job] = inZone
 	}
 	zone := task.worker.zone
-	if inZone[zone] += by; inZone[zone] == 0 {
+	if inZone[zone] += change; inZone[zone] == 0 {
 		delete(inZone, zone)
 	}
 }
--- a/internal/simulation/rate_limiter.go
+++ b/internal/simulation/rate_limiter.go
@@ -12,15 +12,15 @@
 	refused    int // calls, not units
 }
 
-// admit takes n units from the bucket, or refuses if it holds fewer.
-func (l *rateLimiter) admit(now micros.Micros, n int) bool {
+// admit takes units from the bucket, or refuses if it holds fewer.
+func (l *rateLimiter) admit(now micros.Micros, units int) bool {
 	l.level = min(l.rate, l.level+l.rate*(now-l.refilledAt).Seconds())
 	l.refilledAt = now
-	if float64(n) > l.level {
+	if float64(units) > l.level {
 		l.refused++
 		return false
 	}
-	l.level -= float64(n)
-	l.admitted += n
+	l.level -= float64(units)
+	l.admitted += units
 	return true
 }
--- a/internal/simulation/scenario_parse.go
+++ b/internal/simulation/scenario_parse.go
@@ -22,24 +22,51 @@
 	slowLinksSpreadS = 50
 )
 
+// What a scenario file need not name; the units are those of the fields.
+const (
+	defaultSeed           = 1
+	defaultDurationS      = 300
+	defaultLeaseS         = 20
+	defaultCancelS        = 45
+	defaultHeartbeatS     = 3
+	defaultTransactionOps = 12
+	defaultRPS            = 200
+	defaultWriteRPS       = 60
+	defaultValueKB        = 8
+	defaultConnections    = 1000
+	defaultTeamGPUs       = 8
+	defaultMachineCPUs    = 24
+	defaultMachineGPUs    = 4
+	defaultMachinePrice   = 8
+	defaultMachineBootS   = 10
+	defaultMachineCount   = 4
+)
+
 // defaultScenario gives what a scenario file need not name.
 func defaultScenario() *Scenario {
 	return &Scenario{
-		Seed: 1, DurationS: 300,
-		LeaseS: 20, CancelS: 45, HeartbeatS: 3,
-		MaxTransactionOps: 12, RPS: 200, WriteRPS: 60, ValueKB: 8,
-		Connections: 1000,
+		Seed: defaultSeed, DurationS: defaultDurationS,
+		LeaseS: defaultLeaseS, CancelS: defaultCancelS, HeartbeatS: defaultHeartbeatS,
+		MaxTransactionOps: defaultTransactionOps, RPS: defaultRPS, WriteRPS: defaultWriteRPS, ValueKB: defaultValueKB,
+		Connections: defaultConnections,
 	}
 }
 
 // defaultTeams gives the teams of a scenario that names none.
 func defaultTeams() []Team {
-	return []Team{{Name: "norte", GPUs: 8}, {Name: "sur", GPUs: 8}, {Name: "oeste", GPUs: 8}}
+	return []Team{
+		{Name: "norte", GPUs: defaultTeamGPUs},
+		{Name: "sur", GPUs: defaultTeamGPUs},
+		{Name: "oeste", GPUs: defaultTeamGPUs},
+	}
 }
 
 // defaultMachineTypes gives the machine types of a scenario that names none.
 func defaultMachineTypes() []MachineType {
-	return []MachineType{{Name: "g4", CPUs: 24, GPUs: 4, Price: 8, BootS: 10, Count: 4}}
+	return []MachineType{{
+		Name: "g4", CPUs: defaultMachineCPUs, GPUs: defaultMachineGPUs,
+		Price: defaultMachinePrice, BootS: defaultMachineBootS, Count: defaultMachineCount,
+	}}
 }
 
 // Parse reads a scenario file, and draws its random faults. Unknown keys are errors.
@@ -84,9 +111,9 @@
 	fault.AtS = random.FromS + rng.Float64()*(random.ToS-random.FromS)
 	fault.ForS = minFaultS + rng.Float64()*faultSpreadS
 	fault.Kind = random.Kinds[rng.IntN(len(random.Kinds))]
-	fault.HangS = float64(rng.IntN(2)) * randomHangS
+	fault.HangS = float64(rng.IntN(eitherOr)) * randomHangS
 	fault.Node = rng.IntN(controllerCount)
-	fault.HoldPackets = rng.IntN(2) == 0
+	fault.HoldPackets = rng.IntN(eitherOr) == 0
 	fault.Zone = zones[rng.IntN(len(zones))]
 	return fault
 }
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -16,6 +16,8 @@
 	epochStart = 1_700_000_000 * micros.Second
 	// tickPeriod is how often a controller's core gets a tick.
 	tickPeriod = micros.Second / 10
+	// eitherOr is how many outcomes a drawn choice between two has.
+	eitherOr = 2
 	// jobIDFormat is the form of a job's id.
 	jobIDFormat = "wk-%06d"
 	// simulationStream is the generator stream of everything but the controllers' own draws.
@@ -75,7 +77,7 @@
 
 // newSimulation prepares a run of a scenario whose controllers are not started yet.
 func newSimulation(scenario *Scenario, transport transport) *Simulation {
-	s := &Simulation{
+	sim := &Simulation{
 		scenario:       scenario,
 		now:            epochStart,
 		startedAt:      epochStart,
@@ -90,17 +92,17 @@
 		leaderRecords:  map[string]string{},
 		occurrences:    map[string]int{},
 	}
-	s.checker = newInvariantChecker(s)
-	s.store = newKeyValueStore(s)
-	s.cloud = newCloud(s)
+	sim.checker = newInvariantChecker(sim)
+	sim.store = newKeyValueStore(sim)
+	sim.cloud = newCloud(sim)
 	for i := range controllerCount {
-		added := &node{index: i, name: nodeName(i), cutLinks: map[linkName]bool{}, startedAt: s.now}
+		added := &node{index: i, name: nodeName(i), cutLinks: map[linkName]bool{}, startedAt: sim.now}
 		if i < len(scenario.Clocks) {
 			added.clock = scenario.Clocks[i]
 		}
-		s.nodes = append(s.nodes, added)
+		sim.nodes = append(sim.nodes, added)
 	}
-	return s
+	return sim
 }
 
 // Play runs a scenario to its end and gives the invariant violations.
@@ -108,23 +110,23 @@
 
 // playObserved is Play with every effect of the cores shown to an observer as well.
 func playObserved(scenario *Scenario, observe effectObserver) (*Simulation, []string, error) {
-	s := newSimulation(scenario, nil)
-	s.observe = observe
-	for _, node := range s.nodes {
-		if err := s.boot(node); err != nil {
+	sim := newSimulation(scenario, nil)
+	sim.observe = observe
+	for _, node := range sim.nodes {
+		if err := sim.boot(node); err != nil {
 			return nil, nil, err
 		}
 	}
-	s.every(tickPeriod, s.tickNodes)
-	s.every(micros.Second, s.watchFleet)
-	s.addUsers()
+	sim.every(tickPeriod, sim.tickNodes)
+	sim.every(micros.Second, sim.watchFleet)
+	sim.addUsers()
 	for _, fault := range scenario.Faults {
-		s.faultsOverAt = max(s.faultsOverAt, s.startedAt+micros.FromSeconds(fault.AtS+fault.ForS))
-		s.schedule(s.startedAt+micros.FromSeconds(fault.AtS), func() { s.inject(fault) })
+		sim.faultsOverAt = max(sim.faultsOverAt, sim.startedAt+micros.FromSeconds(fault.AtS+fault.ForS))
+		sim.schedule(sim.startedAt+micros.FromSeconds(fault.AtS), func() { sim.inject(fault) })
 	}
-	s.runUntil(s.startedAt + micros.FromSeconds(scenario.DurationS))
-	s.checker.checkAtEnd()
-	return s, s.checker.violations, nil
+	sim.runUntil(sim.startedAt + micros.FromSeconds(scenario.DurationS))
+	sim.checker.checkAtEnd()
+	return sim, sim.checker.violations, nil
 }
 
 // tickNodes gives every controller a tick.
@@ -136,13 +138,13 @@
 
 // watchFleet notes how many machines are up, and looks for starved jobs.
 func (s *Simulation) watchFleet() {
-	up := 0
+	machinesUp := 0
 	for _, worker := range s.workers {
 		if worker.up && !worker.gone {
-			up++
+			machinesUp++
 		}
 	}
-	s.peakMachines = max(s.peakMachines, up)
+	s.peakMachines = max(s.peakMachines, machinesUp)
 	s.checker.checkStarvation()
 }
 
--- a/internal/simulation/user_queries.go
+++ b/internal/simulation/user_queries.go
@@ -19,6 +19,8 @@
 	// cancelAtEndDelay is within which time after that end a fault has the job cancelled.
 	cancelAtEndDelay = 3 * micros.Second
 
+	// validJobTasks is how many tasks the job has that is made invalid.
+	validJobTasks = 2
 	invalidRequestPeriod = micros.Second / 2
 	// firstStranger follows the numbers of all jobs of scenarios.
 	firstStranger = 900000
@@ -86,7 +88,7 @@
 	if owner.finalState == "" && s.faults.cancelAtEnd.befalls(s) {
 		s.countOccurrence(occurredCancelAtEnd)
 		owner.cancelledByFault = true
-		atOnceOrLater := micros.Micros(s.rng.Int64N(2))
+		atOnceOrLater := micros.Micros(s.rng.Int64N(eitherOr))
 		s.after(atOnceOrLater*micros.Random(s.rng, cancelAtEndDelay), owner.cancel)
 	}
 }
@@ -109,6 +111,9 @@
 	{`{`, `[`, http.StatusBadRequest},
 }
 
+// validJob is the job that invalidSubmissions change.
+var validJob = Job{Tasks: validJobTasks, RunS: 5}
+
 // sendInvalidRequests has users send requests that must be refused, until an instant.
 func (s *Simulation) sendInvalidRequests(until micros.Micros) {
 	stranger := firstStranger
@@ -130,7 +135,7 @@
 // about and cancels that job.
 func (s *Simulation) submitInvalidJobs(node *node, number int) {
 	stranger := &user{sim: s, id: jobID(number)}
-	valid := string(submission(Job{Tasks: 2, RunS: 5}.spec(number)))
+	valid := string(submission(validJob.spec(number)))
 	for _, invalid := range invalidSubmissions {
 		body := strings.Replace(valid, invalid.from, invalid.to, 1)
 		if body == valid {
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -55,24 +55,24 @@
 
 // newWorker launches a machine, whose worker starts once the machine has booted.
 func newWorker(sim *Simulation, name string, machineType api.MachineType, zone string, spot bool) *worker {
-	wk := &worker{
+	launched := &worker{
 		sim: sim, name: name, addr: workerHost + strconv.Itoa(workerFirstPort+len(sim.workers)),
 		machineType: machineType, zone: zone, spot: spot,
 		launchedAt: sim.now, incarnation: 1, cachedImages: map[string]bool{}, node: sim.rng.IntN(controllerCount),
 	}
-	sim.workers = append(sim.workers, wk)
+	sim.workers = append(sim.workers, launched)
 	if sim.transport != nil {
-		wk.addr = sim.transport.listen(wk)
+		launched.addr = sim.transport.listen(launched)
 	}
-	sim.workersByAddr[wk.addr] = wk
+	sim.workersByAddr[launched.addr] = launched
 	bootTime := micros.FromSeconds(machineType.BootS * (minBootFactor + bootFactorSpread*sim.rng.Float64()))
 	sim.after(bootTime, func() {
-		if !wk.gone {
-			wk.up, wk.leaseStart = true, sim.now
-			sim.every(workerTick, wk.tick)
+		if !launched.gone {
+			launched.up, launched.leaseStart = true, sim.now
+			sim.every(workerTick, launched.tick)
 		}
 	})
-	return wk
+	return launched
 }
 
 // healthy tells whether a machine is up and no injected fault befalls it.
