--- /dev/null
+++ b/internal/simulation/loopback_services_test.go
@@ -0,0 +1,173 @@
+package simulation
+
+import (
+	"net/http"
+	"net/url"
+	"strconv"
+	"strings"
+
+	"spurmoor/internal/api"
+	"spurmoor/internal/leadership"
+	"spurmoor/internal/message"
+
+	"github.com/go-json-experiment/json"
+)
+
+// reply writes an answer of a stand-in.
+func (l *loopback) reply(writer http.ResponseWriter, status int, body any) {
+	writer.WriteHeader(status)
+	if err := json.MarshalWrite(writer, body); err != nil {
+		l.t.Logf("reply: %v", err)
+	}
+}
+
+// serveStore serves the interface of the key-value store.
+func (l *loopback) serveStore(writer http.ResponseWriter, request *http.Request) {
+	call, err := parseStoreCall(request)
+	if err != nil {
+		l.reply(writer, http.StatusBadRequest, api.Error{Error: err.Error()})
+		return
+	}
+	replies := make(chan *message.StoreReply, 1)
+	l.locked(func() {
+		l.sim.store.call(l.sim.nodes[0], call, func(reply *message.StoreReply) { replies <- reply })
+	})
+	reply := <-replies
+	bodies := map[message.StoreOp]any{
+		message.OpGet:         reply.Item,
+		message.OpList:        reply.Page,
+		message.OpTransaction: reply.Transaction,
+		message.OpGrantLease:  api.LeaseResponse{Lease: reply.Lease},
+		message.OpRenewLease:  struct{}{},
+		message.OpWatch:       reply.Watch,
+	}
+	l.reply(writer, reply.Status, bodies[call.Op])
+}
+
+// parseStoreCall reads a request to the key-value store.
+func parseStoreCall(request *http.Request) (message.StoreCall, error) {
+	path, query := request.URL.Path, request.URL.Query()
+	switch {
+	case path == "/store":
+		return message.StoreCall{Op: message.OpList, Key: query.Get("Since")}, nil
+	case strings.HasPrefix(path, "/store/"):
+		return message.StoreCall{Op: message.OpGet, Key: strings.TrimPrefix(path, "/store/")}, nil
+	case path == "/txn":
+		transaction := &api.Transaction{}
+		err := json.UnmarshalRead(request.Body, transaction)
+		grant := leadership.SharedGrant(leadership.ForUser, leadership.Write)
+		return message.StoreCall{Op: message.OpTransaction, Transaction: leadership.NewOrder(grant, transaction)}, err
+	case path == "/holds":
+		var lease api.LeaseRequest
+		err := json.UnmarshalRead(request.Body, &lease)
+		return message.StoreCall{Op: message.OpGrantLease, TTLMs: lease.TTLMs}, err
+	case strings.HasSuffix(path, "/extend"):
+		lease, _ := strconv.ParseUint(strings.Split(path, "/")[2], 10, 64) // zero is no lease's id
+		return message.StoreCall{Op: message.OpRenewLease, Lease: lease}, nil
+	case path == "/follow":
+		since, wait := queryNumber(query, "Since"), queryNumber(query, "BlockMs")
+		return message.StoreCall{Op: message.OpWatch, Since: uint64(since), WaitMs: wait}, nil
+	}
+	return message.StoreCall{}, nil
+}
+
+// queryNumber gives a number of a query; zero if there is none.
+func queryNumber(query url.Values, name string) int {
+	number, _ := strconv.Atoi(query.Get(name)) // zero if it is missing
+	return number
+}
+
+// serveCloud serves the interface of the cloud to a process.
+func (l *loopback) serveCloud(index int, writer http.ResponseWriter, request *http.Request) {
+	call := parseCloudCall(request)
+	var reply *message.CloudReply
+	l.locked(func() {
+		reply = l.sim.cloud.call(l.sim.nodes[index], call)
+		for i := range reply.Instances.Instances {
+			instance := &reply.Instances.Instances[i]
+			instance.Address = l.workerAddrs[instance.Address][index]
+		}
+	})
+	bodies := map[message.CloudOp]any{
+		message.OpReadCatalog:   reply.Catalog,
+		message.OpLaunch:        api.InstanceNames{Machines: reply.Launched},
+		message.OpDelete:        struct{}{},
+		message.OpListInstances: reply.Instances,
+	}
+	l.reply(writer, reply.Status, bodies[call.Op])
+}
+
+// parseCloudCall reads a request to the cloud. One that can't be read launches or deletes
+// nothing.
+func parseCloudCall(request *http.Request) message.CloudCall {
+	switch {
+	case request.URL.Path == "/catalog":
+		return message.CloudCall{Op: message.OpReadCatalog}
+	case request.URL.Path == "/machines/delete":
+		var names api.InstanceNames
+		_ = json.UnmarshalRead(request.Body, &names)
+		grant := leadership.SharedGrant(leadership.ForFleet, leadership.Delete)
+		return message.CloudCall{Op: message.OpDelete, Delete: leadership.NewOrder(grant, names.Machines)}
+	case request.Method == http.MethodPost:
+		launch := &api.LaunchRequest{}
+		_ = json.UnmarshalRead(request.Body, launch)
+		grant := leadership.SharedGrant(leadership.ForFleet, leadership.Launch)
+		return message.CloudCall{Op: message.OpLaunch, Launch: leadership.NewOrder(grant, launch)}
+	}
+	return message.CloudCall{Op: message.OpListInstances, After: request.URL.Query().Get("Since")}
+}
+
+// listen serves a worker's commands, for each process at an address of its own.
+func (l *loopback) listen(target *worker) string {
+	var addrs [controllerCount]string
+	for i := range addrs {
+		addrs[i] = l.listenAndServe(l.relay.handler(i, func(writer http.ResponseWriter, request *http.Request) {
+			l.serveCommands(target, writer, request)
+		}))
+	}
+	l.workerAddrs[addrs[0]] = addrs
+	return addrs[0]
+}
+
+// serveCommands serves direct commands to a worker.
+func (l *loopback) serveCommands(target *worker, writer http.ResponseWriter, request *http.Request) {
+	var commands api.CommandRequest
+	if json.UnmarshalRead(request.Body, &commands) != nil {
+		l.reply(writer, http.StatusBadRequest, struct{}{})
+		return
+	}
+	var status int
+	var heartbeat *api.Heartbeat
+	l.locked(func() {
+		if target.up && !target.gone {
+			status, heartbeat = target.receiveCommands(commands)
+		}
+	})
+	if heartbeat == nil {
+		panic(http.ErrAbortHandler) // there is no such machine any more
+	}
+	l.reply(writer, status, heartbeat)
+}
+
+// sendHeartbeat carries a worker's heartbeat to a process; the caller holds mu.
+func (l *loopback) sendHeartbeat(index int, heartbeat *api.Heartbeat, receive func(message.Answer)) {
+	sent := *heartbeat
+	sent.Address = l.workerAddrs[heartbeat.Address][index]
+	body, err := json.Marshal(sent)
+	if err != nil {
+		l.t.Error(err)
+		return
+	}
+	go func() {
+		status, raw := l.request(http.MethodPost, index, "/v1/report", body)
+		answer := message.Answer{Status: status}
+		var response api.HeartbeatResponse
+		var redirect api.Redirect
+		if status == http.StatusOK && json.Unmarshal(raw, &response) == nil {
+			answer.Body = response
+		} else if json.Unmarshal(raw, &redirect) == nil {
+			answer.Body = redirect
+		}
+		l.locked(func() { receive(answer) })
+	}()
+}
--- /dev/null
+++ b/internal/simulation/pauses_test.go
@@ -0,0 +1,123 @@
+package simulation
+
+import (
+	"flag"
+	"math/rand/v2"
+	"syscall"
+	"testing"
+	"time"
+
+	"spurmoor/internal/history"
+	"spurmoor/internal/leadership"
+	"spurmoor/internal/micros"
+)
+
+var (
+	freezes         = flag.Int("freezes", 0, "measure so many simulated pauses of a leader, at random moments")
+	loopbackFreezes = flag.Int("loopback-freezes", 0, "measure so many pauses of a real process on loopback")
+)
+
+// TestFreezes measures, over simulated pauses of a leader at random moments, the time
+// until the next leader's first order, and what became of the orders that the paused one
+// had decided. It is off without its flag:
+// go test ./internal/simulation -run TestFreezes -freezes 200 -v.
+func TestFreezes(t *testing.T) {
+	if *freezes == 0 {
+		t.Skip("no -freezes")
+	}
+	text := readFile(t, "testdata/roles_paused_leader_with_orders.toml")
+	failoverTimes := history.NewDistribution()
+	var counts staleOrderCount
+	for seed := range *freezes {
+		scenario := mustParse(t, text)
+		pausedAtS := describePause(scenario, seed)
+		sim, violations, err := Play(scenario)
+		if err != nil || len(violations) > 0 {
+			t.Errorf("seed %d: %v %q", seed, err, violations)
+			continue
+		}
+		counts.add(sim, sim.startedAt+micros.FromSeconds(pausedAtS), failoverTimes)
+	}
+	t.Logf("from the pause to the next leader's first order: %s", failoverTimes)
+	t.Logf("%+v", counts)
+}
+
+// describePause has a scenario pause the first partition's leader once, at a random
+// moment, and gives that moment in seconds.
+func describePause(scenario *Scenario, seed int) float64 {
+	rng := rand.New(rand.NewPCG(uint64(seed), 5))
+	scenario.Seed, scenario.DurationS, scenario.AtLeast = uint64(seed), 150, nil
+	scenario.Expectations, scenario.MayLeaveUnserved = nil, true
+	atS := 15 + rng.Float64()*60
+	scenario.Faults = []Fault{
+		{AtS: atS - 1, ForS: 2, Kind: FaultSendsWait, Partition: 1},
+		{AtS: atS, ForS: 30, Kind: FaultPause, Partition: 1},
+	}
+	if seed%2 == 0 { // what it sent right before is held back in the network as well
+		scenario.Faults = append(scenario.Faults, Fault{
+			AtS: atS - 0.7, ForS: 31, Kind: FaultCut + ":" + FaultKind(linkAll), HoldPackets: true, Partition: 1,
+		})
+	}
+	return atS
+}
+
+// staleOrderCount counts the orders of replaced leaders.
+type staleOrderCount struct {
+	StoppedAtTheGate, RefusedOutside, CarriedOut, Freezes int
+}
+
+// add counts the orders of one run, and adds the time to the next leader's first order.
+func (c *staleOrderCount) add(sim *Simulation, pausedAt micros.Micros, failoverTimes *history.Distribution) {
+	c.Freezes++
+	c.StoppedAtTheGate += sim.occurrences[occurredGateRefusal]
+	var termBefore uint64
+	replacedAt := micros.Micros(0)
+	for _, order := range sim.orders {
+		if order.role != leadership.PartitionRole(0).String() {
+			continue
+		}
+		switch {
+		case order.at < pausedAt:
+			termBefore = max(termBefore, order.term)
+		case order.term > termBefore && replacedAt == 0:
+			replacedAt = order.at
+			failoverTimes.Add(replacedAt - pausedAt)
+		case order.term == termBefore && replacedAt > 0 && order.tookEffect && order.action != leadership.Delete:
+			c.CarriedOut++
+		case order.term == termBefore && replacedAt > 0:
+			c.RefusedOutside++
+		}
+	}
+}
+
+// TestLoopbackFreezes is TestFreezes with real processes that are stopped and go on.
+func TestLoopbackFreezes(t *testing.T) {
+	if *loopbackFreezes == 0 {
+		t.Skip("no -loopback-freezes")
+	}
+	cluster := newLoopback(t, mustParse(t, rolesScenario))
+	cluster.enableRoles("")
+	cluster.startAll(cluster.build("spurmoor", "."))
+	failoverTimes := history.NewDistribution()
+	for round := range *loopbackFreezes {
+		leader := -1
+		cluster.waitUntil("the partition has a leader", func() bool {
+			leader = cluster.leaderOf(0)
+			return leader >= 0
+		})
+		cluster.submit(100+round, Job{Tasks: 2, GPUs: 1, RunS: 2, Team: cluster.teamOf(0)})
+		cluster.signal(leader, syscall.SIGSTOP)
+		pausedAt := time.Now()
+		byNextLeader := func(order *relayedOrder) bool {
+			return order.sender != leader && order.role == leadership.PartitionRole(0).String() && order.arrivedAt.After(pausedAt)
+		}
+		cluster.waitUntil("another gives an order", func() bool { return len(cluster.relay.ordersMatching(byNextLeader)) > 0 })
+		first := cluster.relay.ordersMatching(byNextLeader)[0]
+		failoverTimes.Add(micros.Micros(first.arrivedAt.Sub(pausedAt).Microseconds()))
+		cluster.signal(leader, syscall.SIGCONT)
+		cluster.waitReady(leader)
+	}
+	t.Logf("from the pause to the next leader's first order: %s", failoverTimes)
+	cluster.checkTermsDisjoint()
+	cluster.checkNoViolations()
+}
--- /dev/null
+++ b/internal/simulation/production_records_test.go
@@ -0,0 +1,287 @@
+package simulation
+
+import (
+	"bytes"
+	"encoding/base64"
+	"strings"
+	"testing"
+
+	"spurmoor/internal/api"
+	"spurmoor/internal/message"
+	"spurmoor/internal/micros"
+	"spurmoor/internal/peer"
+	"spurmoor/internal/records"
+
+	"github.com/go-json-experiment/json"
+	"github.com/vmihailenco/msgpack/v5"
+)
+
+// What the version in production (deploy/service.toml) knows of each record: a copy of its
+// own types, which never changes. It ignores fields that it does not know, and writes job
+// records, log entries and partition records back without them.
+type (
+	productionPartition struct {
+		Node string `json:"n"`
+		Inc  uint64 `json:"i"`
+	}
+	productionJob struct {
+		Spec struct {
+			ID          string   `json:"Id"`
+			Class       string   `json:"Clase"`
+			Team        string   `json:"Dueno"`
+			Kind        string   `json:"Forma"`
+			Priority    string   `json:"Prelacion"`
+			Tasks       int      `json:"Tareas"`
+			CPUs        float64  `json:"Vcpus"`
+			GPUs        float64  `json:"Accelerators"`
+			MemoryGB    float64  `json:"MemoryGb"`
+			Image       string   `json:"Imagen"`
+			ImageGB     float64  `json:"SizeGb"`
+			Types       []string `json:"Tipos,omitzero"`
+			Zone        string   `json:"Zona"`
+			OneZone     bool     `json:"Together"`
+			Spread      bool     `json:"Apart"`
+			Spot        bool     `json:"Prestadas"`
+			EstimateS   float64  `json:"EstimadoS"`
+			CheckpointS float64  `json:"RespaldoS"`
+			SaveS       float64  `json:"GuardadoS"`
+			DeadlineS   float64  `json:"PlazoS"`
+		} `json:"j"`
+		At        micros.Micros `json:"a"`
+		Cancelled bool          `json:"x,omitzero"`
+	}
+	productionTerminalState struct {
+		State string `json:"s"`
+		Done  int    `json:"n"`
+	}
+	productionLogEntry struct {
+		Seq  uint64 `json:"q"`
+		Runs []struct {
+			Job     string `json:"j"`
+			From    int    `json:"f,omitzero"`
+			N       int    `json:"n,omitzero"`
+			State   uint8  `json:"s,omitzero"`
+			Attempt uint64 `json:"a,omitzero"`
+			Machine string `json:"m,omitzero"`
+		} `json:"r,omitzero"`
+		Machines []struct {
+			Name  string        `json:"n"`
+			Type  string        `json:"t,omitzero"`
+			Zone  string        `json:"z,omitzero"`
+			Spot  bool          `json:"s,omitzero"`
+			Home  int           `json:"h,omitzero"`
+			Cur   int           `json:"c,omitzero"`
+			At    micros.Micros `json:"a,omitzero"`
+			Gone  bool          `json:"d,omitzero"`
+			Dead  bool          `json:"x,omitzero"`
+			Epoch uint64        `json:"e"`
+			Token uint64        `json:"k,omitzero"`
+		} `json:"m,omitzero"`
+	}
+	productionHeartbeat struct {
+		V       int
+		Node    string
+		StoreOK bool
+		Idle    []struct{ Machine string }
+		Asks    []struct {
+			Machine    string
+			Part       int
+			Reclaim    bool
+			Tier       int
+			Guaranteed bool
+		}
+	}
+)
+
+// TestReadsProduction carries on from records that production wrote in mid-run: jobs
+// placed, a gang at work, one done, one cancelled and over, one cancelled and at work.
+func TestReadsProduction(t *testing.T) {
+	sim := newSimulation(mustParse(t, "duration_s = 400\n"), nil)
+	sim.cloud.nextInstance = 100 // names are never given twice
+	loadProduction(t, sim)
+	for _, node := range sim.nodes {
+		if err := sim.boot(node); err != nil {
+			t.Fatal(err)
+		}
+	}
+	sim.every(tickPeriod, sim.tickNodes)
+	sim.runUntil(sim.now + 300*micros.Second)
+	for _, tc := range []struct {
+		id   string
+		want api.JobState
+	}{
+		{"wk-000001", api.JobDone},
+		{"wk-000002", api.JobDone},
+		{"wk-000003", api.JobDone},
+		{"wk-000004", api.JobCancelled},
+		{"wk-000005", api.JobCancelled},
+	} {
+		var got api.JobState
+		asker := &user{sim: sim, id: tc.id}
+		sim.request(sim.nodes[1], asker.statusInput, func(answer message.Answer) { got = stateIn(answer) })
+		sim.runUntil(sim.now + 3*micros.Second)
+		if got != tc.want {
+			t.Errorf("%s is %q, want %q", tc.id, got, tc.want)
+		}
+	}
+	if len(sim.checker.violations) > 0 {
+		t.Errorf("broken: %q", sim.checker.violations)
+	}
+}
+
+// loadProduction fills the key-value store with production's records.
+func loadProduction(t *testing.T, sim *Simulation) {
+	t.Helper()
+	for line := range strings.Lines(readFile(t, "testdata/production/records.jsonl")) {
+		var record api.KeyValue
+		if err := json.Unmarshal([]byte(line), &record); err != nil {
+			t.Fatal(err)
+		}
+		if record.Key == "peer" {
+			checkReadsHeartbeat(t, record.Value)
+			continue
+		}
+		sim.store.revision = max(sim.store.revision, record.Version)
+		if strings.HasPrefix(record.Key, records.PartitionKey) {
+			continue // the leaders' leases have expired
+		}
+		sim.store.keys[record.Key] = &storedValue{data: record.Value, version: record.Version}
+		var job productionJob
+		if strings.HasPrefix(record.Key, records.JobKey) && json.Unmarshal(record.Value, &job) == nil {
+			sim.jobs[job.Spec.ID] = Job{
+				Kind: api.JobKind(job.Spec.Kind), Team: job.Spec.Team, Priority: api.Priority(job.Spec.Priority),
+				Tasks: job.Spec.Tasks, CPUs: job.Spec.CPUs, GPUs: job.Spec.GPUs, RunS: 20,
+				Spot: job.Spec.Spot, OneZone: job.Spec.OneZone,
+			}
+		}
+	}
+}
+
+// checkReadsHeartbeat checks that a controllers' heartbeat of production's, in base64,
+// means the same here.
+func checkReadsHeartbeat(t *testing.T, value []byte) {
+	t.Helper()
+	var text string
+	if err := json.Unmarshal(value, &text); err != nil {
+		t.Fatal(err)
+	}
+	encoded, err := base64.StdEncoding.DecodeString(text)
+	if err != nil {
+		t.Fatal(err)
+	}
+	heartbeat, err := peer.Decode(encoded)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if heartbeat.Node != "nodo-1" || !heartbeat.Healthy || heartbeat.SchemaVersion != 0 ||
+		len(heartbeat.IdleMachines) != 1 || len(heartbeat.MachineRequests) != 1 || heartbeat.MachineRequests[0].Tier != 7 {
+		t.Errorf("production's heartbeat read as %+v", heartbeat)
+	}
+}
+
+// TestProductionReads has production's types read all that this version writes in runs
+// with pipelines: nothing in a record that production writes back may be lost by that, and
+// what it reads means the same.
+func TestProductionReads(t *testing.T) {
+	seen := map[string]int{}
+	for _, name := range []string{"pipelines", "pipelines_cancelled", "store_limits_lowered"} {
+		scenario := mustParse(t, readFile(t, "testdata/"+name+".toml"))
+		scenario.DurationS = 60 // in mid-run
+		sim, _, err := Play(scenario)
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, key := range sim.store.sortedKeys("") {
+			seen[checkProductionReads(t, sim, name, key)]++
+		}
+	}
+	for _, kind := range []string{"part", "log", "job", "final", "catalogue", "form"} {
+		if seen[kind] == 0 {
+			t.Errorf("no record of the kind %s was written", kind)
+		}
+	}
+	checkProductionReadsHeartbeat(t)
+}
+
+// checkProductionReads has production's type read the value of a key, and gives its kind.
+func checkProductionReads(t *testing.T, sim *Simulation, scenario, key string) string {
+	t.Helper()
+	kind, record, strict := productionRecord(key)
+	if kind == "" {
+		t.Fatalf("%s: production does not know what %s is", scenario, key)
+	}
+	if record == nil {
+		return kind // ignored: no prefix that production knows
+	}
+	value := sim.store.keys[key].data
+	if err := json.Unmarshal(value, record, json.RejectUnknownMembers(strict)); err != nil {
+		t.Fatalf("%s: %s: %v in %s", scenario, key, err, value)
+	}
+	checkSameMeaning(t, sim, scenario+": "+key, key, value, record)
+	return kind
+}
+
+// productionRecord gives a key's kind and production's type for it; strict: production
+// writes the record back, or takes it for its own.
+func productionRecord(key string) (kind string, record any, strict bool) {
+	switch {
+	case strings.HasPrefix(key, "live/p/"):
+		return "part", &productionPartition{}, true
+	case strings.HasPrefix(key, "live/l/"):
+		return "log", &productionLogEntry{}, true
+	case strings.HasPrefix(key, "live/j/"):
+		return "job", &productionJob{}, false
+	case strings.HasPrefix(key, "over/"):
+		return "final", &productionTerminalState{}, false
+	case key == "live/c":
+		return "catalogue", &api.Catalog{}, true
+	case key == "live/a":
+		return "adoptions", &struct{}{}, true
+	case strings.HasPrefix(key, "live/v/"):
+		return "form", nil, false
+	}
+	return "", nil, false
+}
+
+// checkSameMeaning checks what production read of a record.
+func checkSameMeaning(t *testing.T, sim *Simulation, what, key string, value []byte, read any) {
+	t.Helper()
+	switch read := read.(type) {
+	case *productionJob:
+		owner := sim.usersByID[read.Spec.ID]
+		if owner == nil || key != "live/j/"+owner.id || read.Spec.Tasks != max(1, owner.job.Tasks) || read.At == 0 {
+			t.Errorf("%s read as %+v", what, read)
+		}
+	case *productionTerminalState:
+		if !isTerminal(api.JobState(read.State)) {
+			t.Errorf("%s read as %+v", what, read)
+		}
+	case *productionLogEntry:
+		writtenBack, err := json.Marshal(read)
+		if err != nil || !bytes.Equal(writtenBack, value) {
+			t.Errorf("%s: %s would be written back as %s", what, value, writtenBack)
+		}
+	}
+}
+
+// checkProductionReadsHeartbeat checks that a controllers' heartbeat of ours means the same
+// to production.
+func checkProductionReadsHeartbeat(t *testing.T) {
+	t.Helper()
+	encoded, err := peer.Encode(&peer.Heartbeat{
+		Node: "nodo-2", Healthy: true,
+		IdleMachines:    []peer.IdleMachine{{Machine: "n-1"}},
+		MachineRequests: []peer.MachineRequest{{Machine: "n-2", Tier: 4}},
+		SchemaVersion:   records.SchemaVersion,
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	var read productionHeartbeat
+	if err := msgpack.Unmarshal(encoded, &read); err != nil {
+		t.Fatal(err)
+	}
+	if read.V != 3 || read.Node != "nodo-2" || !read.StoreOK || len(read.Idle) != 1 || read.Asks[0].Tier != 4 {
+		t.Errorf("production reads our heartbeat as %+v", read)
+	}
+}
--- a/internal/simulation/relay_test.go
+++ b/internal/simulation/relay_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"io"
+	"maps"
 	"net/http"
 	"net/http/httptest"
 	"strconv"
@@ -12,6 +13,7 @@
 
 	"spurmoor/internal/api"
 	"spurmoor/internal/leadership"
+	"spurmoor/internal/records"
 
 	"github.com/go-json-experiment/json"
 )
@@ -22,8 +24,8 @@
 type relay struct {
 	loopback *loopback
 	mu       sync.Mutex
-	held     [3]map[leadership.Action]bool
-	release  chan struct{} // closed when what is held is delivered
+	held     [controllerCount]map[leadership.Action]bool // what is held back, by sender
+	release  chan struct{}                               // closed when what is held is delivered
 	orders   []*relayedOrder
 }
 
@@ -32,17 +34,17 @@
 	sender      int
 	action      leadership.Action
 	role        string
-	term        uint64 // of a command: its token
-	request     string
-	worker      string
+	term        uint64 // of a command: its fencing token
+	request     string // name of a launch request
+	worker      string // address of the worker that is commanded
 	arrivedAt   time.Time
 	deliveredAt time.Time // zero: not yet
 	held        bool
-	tookEffect  bool // it changed something
+	tookEffect  bool
 }
 
-func newRelay(l *loopback) *relay {
-	r := &relay{loopback: l, release: make(chan struct{})}
+func newRelay(loopback *loopback) *relay {
+	r := &relay{loopback: loopback, release: make(chan struct{})}
 	for i := range r.held {
 		r.held[i] = map[leadership.Action]bool{}
 	}
@@ -50,11 +52,11 @@
 }
 
 // hold has orders of a process held back from now on.
-func (r *relay) hold(node int, actions ...leadership.Action) {
+func (r *relay) hold(sender int, actions ...leadership.Action) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, a := range actions {
-		r.held[node][a] = true
+	for _, action := range actions {
+		r.held[sender][action] = true
 	}
 }
 
@@ -70,78 +72,81 @@
 }
 
 // ordersMatching gives the orders so far that match.
-func (r *relay) ordersMatching(match func(o *relayedOrder) bool) []relayedOrder {
+func (r *relay) ordersMatching(matches func(order *relayedOrder) bool) []relayedOrder {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var list []relayedOrder
-	for _, o := range r.orders {
-		if match(o) {
-			list = append(list, *o)
+	var matching []relayedOrder
+	for _, order := range r.orders {
+		if matches(order) {
+			matching = append(matching, *order)
 		}
 	}
-	return list
+	return matching
 }
 
 // handler passes a process's requests on to a stand-in.
-func (r *relay) handler(node int, next http.HandlerFunc) http.HandlerFunc {
-	return func(rw http.ResponseWriter, req *http.Request) {
-		body, err := io.ReadAll(req.Body)
+func (r *relay) handler(sender int, next http.HandlerFunc) http.HandlerFunc {
+	return func(writer http.ResponseWriter, request *http.Request) {
+		body, err := io.ReadAll(request.Body)
 		if err != nil {
 			return
 		}
-		req.Body = io.NopCloser(bytes.NewReader(body))
-		o := parseOrder(req, body)
-		if o == nil {
-			next(rw, req)
+		request.Body = io.NopCloser(bytes.NewReader(body))
+		order := parseOrder(request, body)
+		if order == nil {
+			next(writer, request)
 			return
 		}
-		o.sender = node
-		r.arrive(o)
+		order.sender = sender
+		r.noteArrival(order)
 		before := r.countMachines()
-		answer := httptest.NewRecorder()
-		func() {
-			defer func() { _ = recover() }() // the stand-in hangs up
-			answer.Code = 0
-			next(answer, req)
-		}()
-		r.noteOutcome(o, answer.Code, before)
+		answer := serveRecorded(next, request)
+		r.noteOutcome(order, answer.Code, before)
 		if answer.Code == 0 {
 			panic(http.ErrAbortHandler)
 		}
-		for k, v := range answer.Header() {
-			rw.Header()[k] = v
-		}
-		rw.WriteHeader(answer.Code)
-		_, _ = rw.Write(answer.Body.Bytes()) // its sender may have given up
+		maps.Copy(writer.Header(), answer.Header())
+		writer.WriteHeader(answer.Code)
+		_, _ = writer.Write(answer.Body.Bytes()) // its sender may have given up
 	}
 }
 
-// arrive notes an order, and waits while its sender's are held back.
-func (r *relay) arrive(o *relayedOrder) {
+// serveRecorded has a stand-in serve a request, and gives its answer; code 0 if it closes
+// the connection.
+func serveRecorded(serve http.HandlerFunc, request *http.Request) (answer *httptest.ResponseRecorder) {
+	answer = httptest.NewRecorder() // a named result, for it must outlast a panic
+	answer.Code = 0
+	defer func() { _ = recover() }() // it closes the connection by a panic
+	serve(answer, request)
+	return answer
+}
+
+// noteArrival notes an order, and waits while its sender's are held back.
+func (r *relay) noteArrival(order *relayedOrder) {
 	r.mu.Lock()
-	o.arrivedAt = time.Now()
-	r.orders = append(r.orders, o)
-	o.held = r.held[o.sender][o.action]
+	order.arrivedAt = time.Now()
+	r.orders = append(r.orders, order)
+	order.held = r.held[order.sender][order.action]
 	release := r.release
 	r.mu.Unlock()
-	if o.held {
+	if order.held {
 		<-release
 	}
 }
 
 // noteOutcome notes what became of an order.
-func (r *relay) noteOutcome(o *relayedOrder, status int, before fleetCount) {
+func (r *relay) noteOutcome(order *relayedOrder, status int, before fleetCount) {
 	after := r.countMachines()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	o.deliveredAt = time.Now()
-	switch o.action {
+	order.deliveredAt = time.Now()
+	switch order.action {
 	case leadership.Launch:
-		o.tookEffect = after.launched > before.launched
+		order.tookEffect = after.launched > before.launched
 	case leadership.Delete:
-		o.tookEffect = after.gone > before.gone
+		order.tookEffect = after.gone > before.gone
 	default:
-		o.tookEffect = status == http.StatusOK
+		order.tookEffect = status == http.StatusOK
 	}
 }
 
@@ -149,57 +154,70 @@
 type fleetCount struct{ launched, gone int }
 
 func (r *relay) countMachines() fleetCount {
-	var n fleetCount
+	var count fleetCount
 	r.loopback.locked(func() {
-		for _, wk := range r.loopback.sim.workers {
-			n.launched++
-			if wk.gone {
-				n.gone++
+		for _, worker := range r.loopback.sim.workers {
+			count.launched++
+			if worker.gone {
+				count.gone++
 			}
 		}
 	})
-	return n
+	return count
 }
 
 // parseOrder reads which order a request is; nil: it is none.
-func parseOrder(req *http.Request, body []byte) *relayedOrder {
-	switch req.URL.Path {
+func parseOrder(request *http.Request, body []byte) *relayedOrder {
+	switch request.URL.Path {
 	case "/txn":
 		return parseWrite(body)
 	case "/machines/delete":
 		return &relayedOrder{action: leadership.Delete}
 	case "/commands":
-		var c api.CommandRequest
-		if json.Unmarshal(body, &c) != nil || c.FencingToken == 0 {
+		var commands api.CommandRequest
+		if json.Unmarshal(body, &commands) != nil || commands.FencingToken == 0 {
 			return nil
 		}
-		return &relayedOrder{action: leadership.Command, term: c.FencingToken, worker: req.Host}
+		return &relayedOrder{action: leadership.Command, term: commands.FencingToken, worker: request.Host}
+	case "/machines":
+		if request.Method == http.MethodPost {
+			return parseLaunch(body)
+		}
 	}
-	var rent api.LaunchRequest
-	if req.URL.Path != "/machines" || req.Method != http.MethodPost || json.Unmarshal(body, &rent) != nil {
+	return nil
+}
+
+// parseLaunch reads under which role and term a launch is: its name tells both.
+func parseLaunch(body []byte) *relayedOrder {
+	var launch api.LaunchRequest
+	if json.Unmarshal(body, &launch) != nil {
 		return nil
 	}
-	part, rest, _ := strings.Cut(strings.TrimPrefix(rent.Name, "p"), "-")
-	term, _, _ := strings.Cut(rest, "-")
-	n, _ := strconv.ParseUint(term, 10, 64)
-	return &relayedOrder{action: leadership.Launch, role: "partition/" + part, term: n, request: rent.Name}
+	partition, rest, _ := strings.Cut(strings.TrimPrefix(launch.Name, "p"), "-")
+	digits, _, _ := strings.Cut(rest, "-")
+	term, _ := strconv.ParseUint(digits, 10, 64) // zero if its name tells none
+	return &relayedOrder{action: leadership.Launch, role: partitionRole(partition), term: term, request: launch.Name}
 }
 
-// parseWrite reads under which duty a transaction is, which it guards; nil: under none.
+// parseWrite reads under which role a transaction is, which it compares; nil: under none.
 func parseWrite(body []byte) *relayedOrder {
-	var txn api.Transaction
-	if json.Unmarshal(body, &txn) != nil {
+	var transaction api.Transaction
+	if json.Unmarshal(body, &transaction) != nil {
 		return nil
 	}
-	for _, w := range txn.Writes {
-		if strings.HasPrefix(w.Put+w.Delete, "live/p/") {
+	for _, write := range transaction.Writes {
+		if strings.HasPrefix(write.Put+write.Delete, records.PartitionKey) {
 			return nil // an election
 		}
 	}
-	for _, g := range txn.Compares {
-		if part, ok := strings.CutPrefix(g.Key, "live/p/"); ok {
-			return &relayedOrder{action: leadership.Write, role: "partition/" + part, term: g.Version}
+	for _, compare := range transaction.Compares {
+		if partition, ok := strings.CutPrefix(compare.Key, records.PartitionKey); ok {
+			return &relayedOrder{action: leadership.Write, role: partitionRole(partition), term: compare.Version}
 		}
 	}
 	return nil
 }
+
+// partitionRole gives the name of the role of leading a partition, whose number is given
+// as text.
+func partitionRole(partition string) string { return "partition/" + partition }
--- a/internal/simulation/upgrade_test.go
+++ b/internal/simulation/upgrade_test.go
@@ -3,7 +3,8 @@
 package simulation
 
 import (
-	"os"
+	"context"
+	"net/http"
 	"os/exec"
 	"path/filepath"
 	"regexp"
@@ -12,15 +13,8 @@
 	"spurmoor/internal/api"
 )
 
-// TestUpgrade builds the version in production (deploy/service.toml) from the
-// repository's history and changes three processes over to these sources while
-// they serve: part after part, with kills in between, take-overs in both
-// directions, machines lent across and the limits of the state service lowered
-// at the end. It needs the history, so CI does not run it:
-//
-//	go test -tags upgrade -run TestUpgrade ./internal/simulation
-func TestUpgrade(t *testing.T) {
-	sc, err := Parse([]byte(`lease_s = 6
+// upgradeScenario has limits of the store that are lowered at the end.
+const upgradeScenario = `lease_s = 6
 cancel_s = 14
 value_kb = 8
 [next]
@@ -34,129 +28,167 @@
 price = 8
 boot_s = 0.5
 count = 4
-`))
-	if err != nil {
-		t.Fatal(err)
+`
+
+// upgrade is a test of the change from the version in production to these sources.
+type upgrade struct {
+	*loopback
+	oldBinary, newBinary string
+	operatorsFile        string // that only the new version knows
+	lastJob              int    // number of the last job of a burst
+	jobs                 []string
+}
+
+// TestUpgrade builds the version in production (deploy/service.toml) from the repository's
+// history and changes three processes over to these sources while they serve: one after
+// the other, with kills in between, failovers in both directions, machines transferred
+// between versions, and the limits of the key-value store lowered at the end. It needs the
+// history, so CI does not run it:
+//
+//	go test -tags upgrade -run TestUpgrade ./internal/simulation
+func TestUpgrade(t *testing.T) {
+	upgrade := newUpgrade(t)
+	for i := range controllerCount {
+		upgrade.startOld(i)
 	}
-	l := newLoopback(t, sc)
-	root, err := filepath.Abs("../..")
-	if err != nil {
-		t.Fatal(err)
+	for i := range controllerCount {
+		upgrade.waitReady(i)
+	}
+	// Long work in every partition, gangs of whole machines, a cancellation; of all that
+	// runs meanwhile nothing may be lost or run twice.
+	service := upgrade.submit(900, Job{Tasks: 2, GPUs: 1, Team: "norte", Kind: api.Service})
+	long := upgrade.submit(901, Job{Tasks: 2, CPUs: 1, RunS: 600, Team: "sur"})
+	upgrade.submitBurst()
+	upgrade.waitForState(service, 0, api.JobRunning)
+	upgrade.waitForState(long, 1, api.JobRunning)
+	transferredBefore := upgrade.machinesTransferred.Load()
+	for i := range controllerCount {
+		upgrade.upgradeProcess(i)
+	}
+	if upgrade.machinesTransferred.Load() == transferredBefore {
+		t.Error("no machine was transferred while both versions served")
+	}
+	upgrade.goBackAndForth()
+	upgrade.lowerLimits()
+	upgrade.submitBurst()
+	dependencies := []int{upgrade.lastJob, upgrade.lastJob - 1, upgrade.lastJob - 2}
+	last := upgrade.submit(951, Job{Tasks: 1, RunS: 1, Team: "oeste", Dependencies: dependencies})
+	dependent := upgrade.submit(952, Job{Tasks: 1, RunS: 1, Team: "norte", Dependencies: []int{901, 951}})
+	for _, id := range append(upgrade.jobs, last) {
+		upgrade.waitForState(id, upgrade.lastJob%controllerCount, api.JobDone)
 	}
-	deploy, err := os.ReadFile(filepath.Join(root, "deploy/service.toml"))
+	upgrade.cancel(long, 1)
+	upgrade.waitForState(dependent, 2, api.JobCancelled)
+	upgrade.cancel(service, 2)
+	upgrade.checkNoViolations()
+}
+
+// newUpgrade builds both versions.
+func newUpgrade(t *testing.T) *upgrade {
+	t.Helper()
+	test := &upgrade{loopback: newLoopback(t, mustParse(t, upgradeScenario))}
+	root, err := filepath.Abs("../..")
 	if err != nil {
 		t.Fatal(err)
 	}
-	named := regexp.MustCompile(`(?m)^production = "([0-9a-f]{40})"$`).FindSubmatch(deploy)
+	service := readFile(t, filepath.Join(root, "deploy/service.toml"))
+	named := regexp.MustCompile(`(?m)^production = "([0-9a-f]{40})"$`).FindStringSubmatch(service)
 	if named == nil {
 		t.Fatal("deploy/service.toml names no commit in production")
 	}
-	tree := filepath.Join(l.dir, "production")
-	if out, err := exec.Command("git", "-C", root, "worktree", "add", "--detach", tree, string(named[1])).CombinedOutput(); err != nil {
-		t.Fatalf("the history of production is not here: %v\n%s", err, out)
+	tree := filepath.Join(test.dir, "production")
+	ctx := context.WithoutCancel(t.Context()) // it outlasts the test: the tree is removed after it
+	git := func(args ...string) *exec.Cmd {
+		return exec.CommandContext(ctx, "git", append([]string{"-C", root, "worktree"}, args...)...)
 	}
-	t.Cleanup(func() { _ = exec.Command("git", "-C", root, "worktree", "remove", "--force", tree).Run() })
-	was, now := l.build("was", tree), l.build("now", ".")
-	l.enableRoles("")
-	operators := l.operators
-	old := func(i int) { // it does not know these settings
-		l.operators = ""
-		l.start(i, was)
-		l.operators = operators
-	}
-	// Duties of the fleet have one holder each only while all know of them.
-	exclusive := func(n int, want bool) {
-		l.waitUntil("one holder for each of the fleet's duties", func() bool {
-			list := l.roleList(n)
-			return list.Node != "" && list.Exclusive == want && list.RecordsRequests == want
-		})
+	if output, err := git("add", "--detach", tree, named[1]).CombinedOutput(); err != nil {
+		t.Fatalf("the history of production is not here: %v\n%s", err, output)
 	}
-	for i := range 3 {
-		old(i)
-	}
-	for i := range 3 {
-		l.waitReady(i)
-	}
-	// Long work in every partition, gangs of whole machines, a cancellation; of all
-	// that runs meanwhile nothing may be lost or run twice.
-	n := 0
-	var ids []string
-	burst := func() {
-		for _, team := range []string{"norte", "sur", "oeste"} {
-			n++
-			ids = append(ids, l.submit(n, Job{Tasks: 8, GPUs: 1, RunS: 4, Team: team}))
-			n++
-			ids = append(ids, l.submit(n, Job{Tasks: 2, GPUs: 4, RunS: 2, Team: team, Kind: api.Gang, Priority: "urgent"}))
-		}
-	}
-	daemon := l.submit(900, Job{Tasks: 2, GPUs: 1, Team: "norte", Kind: api.Service})
-	long := l.submit(901, Job{Tasks: 2, CPUs: 1, RunS: 600, Team: "sur"})
-	burst()
-	l.waitForState(daemon, 0, api.JobRunning)
-	l.waitForState(long, 1, api.JobRunning)
-	holder := func(part int) int {
-		at := -1
-		l.locked(func() {
-			if h := l.sim.leaderOf(part); h != nil {
-				at = h.index
-			}
-		})
-		return at
-	}
-	before := l.machinesTransferred.Load()
-	for i := range 3 {
-		l.kill(i)
-		burst()
-		// Another's version takes the partition over: the old one's here first,
-		// then the new one's of what an old one held.
-		l.waitUntil("another holds the part of "+nodeName(i), func() bool { h := holder(i); return h >= 0 && h != i })
-		if i == 1 { // dies before its turn, and comes back old once more
-			old(1)
-			l.waitReady(1)
-			l.kill(1)
-			l.kill(0)
-			l.start(0, now)
-			l.waitReady(0)
-		}
-		l.start(i, now)
-		l.waitReady(i)
-		if i < 2 {
-			l.waitUntil("jobs that wait for jobs are put off while an old version lives", func() bool {
-				s, _ := l.request("POST", i, "/work", submission(Job{RunS: 1, Dependencies: []int{901}}.spec(950)))
-				return s == 503
-			})
+	t.Cleanup(func() { _ = git("remove", "--force", tree).Run() })
+	test.oldBinary, test.newBinary = test.build("was", tree), test.build("now", ".")
+	test.enableRoles("")
+	test.operatorsFile = test.operators
+	return test
+}
+
+// startOld starts a process of the old version, which does not know the operators'
+// settings for roles.
+func (u *upgrade) startOld(index int) {
+	u.t.Helper()
+	u.operators = ""
+	u.start(index, u.oldBinary)
+	u.operators = u.operatorsFile
+}
+
+// submitBurst submits an array and a gang of each team.
+func (u *upgrade) submitBurst() {
+	u.t.Helper()
+	for _, team := range []string{"norte", "sur", "oeste"} {
+		for _, job := range []Job{
+			{Tasks: 8, GPUs: 1, RunS: 4, Team: team},
+			{Tasks: 2, GPUs: 4, RunS: 2, Team: team, Kind: api.Gang, Priority: "urgent"},
+		} {
+			u.lastJob++
+			u.jobs = append(u.jobs, u.submit(u.lastJob, job))
 		}
-		burst()
-		l.waitUntil(nodeName(i)+" has its part back", func() bool { return holder(i) == i })
-		exclusive(i, i == 2)
 	}
-	if l.machinesTransferred.Load() == before {
-		t.Error("no machine was lent while both versions served")
-	}
-	// A part of the new version's goes to an old process and back: it reads
-	// what was written, and nothing of jobs that wait is there yet.
-	l.kill(0)
-	old(0)
-	l.waitReady(0)
-	exclusive(1, false)
-	l.waitUntil("the old version holds a part again", func() bool { return holder(0) == 0 })
-	burst()
-	l.kill(0)
-	l.start(0, now)
-	l.waitReady(0)
-	exclusive(1, true)
-	l.locked(func() {
-		sc.ValueKB, sc.MaxTransactionOps, sc.WriteRPS = sc.NextLimits.ValueKB, sc.NextLimits.MaxTransactionOps, sc.NextLimits.WriteRPS
-		l.sim.store.writes.rate = sc.WriteRPS
+}
+
+// waitForExclusive waits until the fleet's roles have one leader each, or until they do
+// not: they have only while all controllers know of them.
+func (u *upgrade) waitForExclusive(index int, want bool) {
+	u.t.Helper()
+	u.waitUntil("one leader for each of the fleet's roles", func() bool {
+		roles := u.roles(index)
+		return roles.Node != "" && roles.Exclusive == want && roles.RecordsRequests == want
 	})
-	burst()
-	last := l.submit(951, Job{Tasks: 1, RunS: 1, Team: "oeste", Dependencies: []int{n, n - 1, n - 2}})
-	behind := l.submit(952, Job{Tasks: 1, RunS: 1, Team: "norte", Dependencies: []int{901, 951}})
-	for _, id := range append(ids, last) {
-		l.waitForState(id, n%3, api.JobDone)
+}
+
+// upgradeProcess changes one process over to the new version.
+func (u *upgrade) upgradeProcess(index int) {
+	u.t.Helper()
+	u.kill(index)
+	u.submitBurst()
+	// Another's version takes the partition over: the old one's here first, then the new
+	// one's of what an old one led.
+	u.waitUntil("another leads the partition of "+nodeName(index), func() bool { return u.replaced(index) })
+	if index == 1 { // ends before its turn, and comes back old once more
+		u.startOld(1)
+		u.waitReady(1)
+		u.kill(1)
+		u.kill(0)
+		u.start(0, u.newBinary)
+		u.waitReady(0)
 	}
-	l.cancel(long, 1)
-	l.waitForState(behind, 2, api.JobCancelled)
-	l.cancel(daemon, 2)
-	l.checkNoViolations()
+	u.start(index, u.newBinary)
+	u.waitReady(index)
+	if index < 2 {
+		u.waitUntil("jobs that wait for jobs are put off while an old version lives", func() bool {
+			dependent := submission(Job{RunS: 1, Dependencies: []int{901}}.spec(950))
+			status, _ := u.request(http.MethodPost, index, "/work", dependent)
+			return status == http.StatusServiceUnavailable
+		})
+	}
+	u.submitBurst()
+	u.waitUntil(nodeName(index)+" has its partition back", func() bool { return u.leaderOf(index) == index })
+	u.waitForExclusive(index, index == 2)
 }
+
+// goBackAndForth has a partition go to an old process and back: it reads what the new
+// version wrote, and nothing of jobs that wait is there yet.
+func (u *upgrade) goBackAndForth() {
+	u.t.Helper()
+	u.kill(0)
+	u.startOld(0)
+	u.waitReady(0)
+	u.waitForExclusive(1, false)
+	u.waitUntil("the old version leads a partition again", func() bool { return u.leaderOf(0) == 0 })
+	u.submitBurst()
+	u.kill(0)
+	u.start(0, u.newBinary)
+	u.waitReady(0)
+	u.waitForExclusive(1, true)
+}
+
+// lowerLimits puts the store's next limits in force.
+func (u *upgrade) lowerLimits() { u.locked(func() { u.sim.injectLowerLimits(injection{}) }) }
--- a/internal/simulation/user_queries.go
+++ b/internal/simulation/user_queries.go
@@ -19,8 +19,9 @@
 	// cancelAtEndDelay is within which time after that end a fault has the job cancelled.
 	cancelAtEndDelay = 3 * micros.Second
 
-	// validJobTasks is how many tasks the job has that is made invalid.
-	validJobTasks = 2
+	// The job that is made invalid.
+	validJobTasks        = 2
+	validJobRunS         = 5
 	invalidRequestPeriod = micros.Second / 2
 	// firstStranger follows the numbers of all jobs of scenarios.
 	firstStranger = 900000
@@ -112,7 +113,7 @@
 }
 
 // validJob is the job that invalidSubmissions change.
-var validJob = Job{Tasks: validJobTasks, RunS: 5}
+var validJob = Job{Tasks: validJobTasks, RunS: validJobRunS}
 
 // sendInvalidRequests has users send requests that must be refused, until an instant.
 func (s *Simulation) sendInvalidRequests(until micros.Micros) {
