--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -81,7 +81,7 @@
 	return reply
 }
 
-// list gives the instances whose names follow one. New ones are not listed at once.
+// list returns the instances whose names follow one. New ones are not listed at once.
 func (c *cloud) list(after string) []api.Instance {
 	var instances []api.Instance
 	for _, worker := range c.sim.workers {
@@ -109,7 +109,7 @@
 	})
 }
 
-// delete deletes machines, and tells whether any of them was still there.
+// delete deletes machines, and reports whether any of them was still there.
 func (c *cloud) delete(names []string) bool {
 	deleted := false
 	for _, worker := range c.sim.workers {
@@ -146,7 +146,7 @@
 	return c.launchedFor[request.Name]
 }
 
-// capacity gives how many more machines there may be of those that a request names.
+// capacity returns how many more machines there may be of those that a request names.
 func (c *cloud) capacity(limit int, request *api.LaunchRequest) int {
 	for _, worker := range c.sim.workers {
 		if !worker.gone && worker.machineType.Name == request.Type && worker.zone == request.Zone && worker.spot == request.Spot {
--- a/internal/simulation/determinism_test.go
+++ b/internal/simulation/determinism_test.go
@@ -6,7 +6,7 @@
 )
 
 // TestSameScenarioTwice guards against decisions that depend on the order of a map or on
-// anything else but the inputs: a scenario run twice gives the same log.
+// anything else but the inputs: a scenario run twice produces the same log.
 func TestSameScenarioTwice(t *testing.T) {
 	t.Parallel()
 	scenarios := digestScenarios(t)
--- a/internal/simulation/digest_test.go
+++ b/internal/simulation/digest_test.go
@@ -60,7 +60,7 @@
 // namedScenario is the text of a scenario with its name.
 type namedScenario struct{ name, text string }
 
-// digestScenarios gives every scenario, and the random runs at the end.
+// digestScenarios returns every scenario, and the random runs at the end.
 func digestScenarios(t *testing.T) []namedScenario {
 	t.Helper()
 	var scenarios []namedScenario
--- a/internal/simulation/doc.go
+++ b/internal/simulation/doc.go
@@ -6,5 +6,5 @@
 // Only tests import this package; no program links it. A run depends on nothing but its
 // scenario and the seed in it: events of one instant happen in the order in which they
 // were scheduled, and all randomness is drawn from one seeded generator, so that a
-// scenario run twice gives the same log.
+// scenario run twice produces the same log.
 package simulation
--- a/internal/simulation/effects.go
+++ b/internal/simulation/effects.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// firstInput gives a function that hands a process the first of several inputs, unless
+// firstInput returns a function that hands a process the first of several inputs, unless
 // the process has ended since.
 func (s *Simulation) firstInput(node *node) func(message.Input) {
 	incarnation, answered := node.incarnation, false
@@ -204,7 +204,7 @@
 	})
 }
 
-// executeCommands has a worker execute direct commands, and gives its answer.
+// executeCommands has a worker execute direct commands, and returns its answer.
 func (s *Simulation) executeCommands(
 	node *node, target *worker, commands message.SendCommands, answer message.CommandReply,
 ) message.CommandReply {
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -145,7 +145,7 @@
 	until    micros.Micros
 }
 
-// partial gives the fault as one that befalls a share of something.
+// partial returns the fault as one that befalls a share of something.
 func (i injection) partial() partialFault {
 	share := i.Share
 	if share == 0 {
@@ -228,7 +228,7 @@
 	injector(s, injection{Fault: fault, argument: argument, target: target, lasts: lasts, until: s.now + lasts})
 }
 
-// split gives the kind without its argument, and the argument.
+// split returns the kind without its argument, and the argument.
 func (k FaultKind) split() (FaultKind, string) {
 	separator := strings.IndexAny(string(k), ":/")
 	if separator < 0 {
--- a/internal/simulation/faults_machines.go
+++ b/internal/simulation/faults_machines.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// busiestWorker gives the healthy machine with most tasks, of a zone if one is named; nil:
+// busiestWorker returns the healthy machine with most tasks, of a zone if one is named; nil:
 // none.
 func (s *Simulation) busiestWorker(spotOnly bool, zone string) *worker {
 	var busiest *worker
--- a/internal/simulation/faults_messages.go
+++ b/internal/simulation/faults_messages.go
@@ -19,28 +19,14 @@
 	// keptHeartbeatDelay is how long after a failover the heartbeats kept for it arrive:
 	// before those that the workers send to the new leader.
 	keptHeartbeatDelay = micros.Second / 100
-	// cancelRunningWithin is within which time users cancel jobs that run, cancelHangLimit
-	// how many of their machines then hang.
-	cancelRunningWithin = micros.Second / 5
-	cancelHangLimit     = 8
 )
 
 func (s *Simulation) injectLateWrites(fault injection) { s.faults.lateWrites = fault.partial() }
 
 func (s *Simulation) injectLateHeartbeats(fault injection) { s.faults.lateHeartbeats = fault.partial() }
 
-func (s *Simulation) injectCancelAtEnd(fault injection) { s.faults.cancelAtEnd = fault.partial() }
-
-func (s *Simulation) injectCancelRunning(fault injection) {
-	s.cancelRunningJobs(max(1, fault.Count), micros.FromSeconds(fault.HangS))
-}
-
-func (s *Simulation) injectCloseQueries(fault injection) { s.faults.closeQueriesUntil = fault.until }
-
-func (s *Simulation) injectInvalidRequests(fault injection) { s.sendInvalidRequests(fault.until) }
-
 // delayTransaction carries out a transaction that a fault befalls: without a reply, and
-// after newer ones, or at once. It tells whether it did.
+// after newer ones, or at once. It reports whether it did.
 func (s *Simulation) delayTransaction(sender *node, call message.StoreCall) bool {
 	if call.Op != message.OpTransaction || !s.faults.lateWrites.befalls(s) {
 		return false
@@ -80,7 +66,7 @@
 	})
 }
 
-// noteLeaderRecord notes that a partition has another leader, if a write tells so. The
+// noteLeaderRecord notes that a partition has another leader, if a write says so. The
 // heartbeats kept for it arrive now, before its workers' first ones.
 func (s *Simulation) noteLeaderRecord(key string, value []byte) {
 	previous := s.leaderRecords[key]
--- a/internal/simulation/faults_violations.go
+++ b/internal/simulation/faults_violations.go
@@ -16,12 +16,12 @@
 	rogueIncarnation = 1
 )
 
-// rogueWorker gives a machine that no controller knows of.
+// rogueWorker returns a machine that no controller knows of.
 func (s *Simulation) rogueWorker(machineType api.MachineType, zone string) *worker {
 	return &worker{sim: s, name: rogueMachine, machineType: machineType, zone: zone, incarnation: rogueIncarnation}
 }
 
-// owner gives the user of the job that the fault names.
+// owner returns the user of the job that the fault names.
 func (s *Simulation) owner(fault injection) *user { return s.usersByID[jobID(fault.Node)] }
 
 // violateByMuteAnswers has nobody answer the job's user any more.
@@ -48,17 +48,17 @@
 	}
 }
 
-// violateByOrphanedDependant tells that a job is pending though a dependency is cancelled.
+// violateByOrphanedDependant reports that a job is pending though a dependency is cancelled.
 func (s *Simulation) violateByOrphanedDependant(fault injection) {
 	s.checker.stateReported(s.owner(fault), api.JobPending)
 }
 
-// violateByUnrequestedCancel tells that a job is cancelled whose user did not ask for it.
+// violateByUnrequestedCancel reports that a job is cancelled whose user did not ask for it.
 func (s *Simulation) violateByUnrequestedCancel(fault injection) {
 	s.checker.stateReported(s.owner(fault), api.JobCancelled)
 }
 
-// violateByStaleRead answers with an older state than the user has been told.
+// violateByStaleRead answers with an older state than the user has received.
 func (s *Simulation) violateByStaleRead(fault injection) {
 	owner := s.owner(fault)
 	answer := message.Answer{Status: http.StatusOK, Body: api.JobStatus{ID: owner.id, State: api.JobRunning}}
--- a/internal/simulation/heartbeat.go
+++ b/internal/simulation/heartbeat.go
@@ -23,7 +23,7 @@
 	copyWithinLeases = 2
 )
 
-// heartbeat gives the worker's present state with the next sequence number.
+// heartbeat returns the worker's present state with the next sequence number.
 func (w *worker) heartbeat() *api.Heartbeat {
 	w.sequence++
 	heartbeat := &api.Heartbeat{
@@ -102,7 +102,7 @@
 	}
 }
 
-// nextNode gives the index of the node after the worker's.
+// nextNode returns the index of the node after the worker's.
 func (w *worker) nextNode() int { return (w.node + 1) % controllerCount }
 
 // maybeDuplicateHeartbeat has a copy of a heartbeat arrive later, at any node, for the
--- a/internal/simulation/invariants.go
+++ b/internal/simulation/invariants.go
@@ -15,10 +15,10 @@
 const (
 	invariantRanTwice      invariant = "ran_twice"       // a task runs on one machine at a time
 	invariantTooEarly      invariant = "too_early"       // no task starts before its job's dependencies are done
-	invariantRanCancelled  invariant = "ran_cancelled"   // no task runs past cancel_s after a cancellation was told
+	invariantRanCancelled  invariant = "ran_cancelled"   // no task runs past cancel_s after a cancellation was confirmed
 	invariantWrongPlace    invariant = "wrong_place"     // tasks run where their job permits
 	invariantQuota         invariant = "quota"           // a team stays within its limit
-	invariantStartToldLate invariant = "start_told_late" // no start is sent long after a cancellation was told
+	invariantStartToldLate invariant = "start_told_late" // no start is sent long after a cancellation was confirmed
 	invariantNotDone       invariant = "not_done"        // a job is done when all its tasks are
 	invariantStarved       invariant = "starved"         // no job waits long beside room for it
 	invariantLate          invariant = "late"            // the largest jobs begin in time
@@ -30,7 +30,7 @@
 const (
 	invariantForgotten invariant = "forgotten" // an accepted job stays known, and questions about it are answered
 	invariantWentBack  invariant = "went_back" // no answer is older than one given before
-	invariantOrphaned  invariant = "orphaned"  // dependants of a cancelled job are told to be cancelled in time
+	invariantOrphaned  invariant = "orphaned"  // dependants of a cancelled job are reported cancelled in time
 	invariantBadInput  invariant = "bad_input" // what can't be granted is refused with the right status
 )
 
@@ -56,7 +56,7 @@
 const resourceTolerance = 1e-9
 
 // invariantChecker watches the invariants from outside the controllers: by what the
-// workers do and what the users are told.
+// workers do and what the users receive.
 type invariantChecker struct {
 	sim        *Simulation
 	violations []string // "invariant: details"
@@ -67,8 +67,8 @@
 	gpusInUse   map[string]float64        // team → GPUs
 	tasksInZone map[string]map[string]int // job → zone → tasks
 
-	cancelledAt map[string]micros.Micros // job → when its user was told that it is cancelled
-	endedAt     map[string]micros.Micros // job → when its user was told that it has ended
+	cancelledAt map[string]micros.Micros // job → when its user received that it is cancelled
+	endedAt     map[string]micros.Micros // job → when its user received a terminal state
 }
 
 func newInvariantChecker(sim *Simulation) *invariantChecker {
@@ -96,12 +96,12 @@
 	c.violated(which, fmt.Sprintf(format, args...))
 }
 
-// cancelSpan is within which time after a cancellation was told nothing of it may run.
+// cancelSpan is within which time after a confirmed cancellation nothing of it may run.
 func (c *invariantChecker) cancelSpan() micros.Micros {
 	return micros.FromSeconds(c.sim.scenario.CancelS)
 }
 
-// completed tells whether all tasks of a job have completed.
+// completed reports whether all tasks of a job have completed.
 func (c *invariantChecker) completed(owner *user) bool {
 	for index := range max(1, owner.job.Tasks) {
 		if !c.sim.completedTasks[taskID(owner.id, index)] {
@@ -111,14 +111,13 @@
 	return true
 }
 
-// longCancelled tells whether a user was told more than cancel_s ago that the job is
-// cancelled.
+// longCancelled reports whether a job's cancellation was confirmed more than cancel_s ago.
 func (c *invariantChecker) longCancelled(owner *user) bool {
 	at, ok := c.cancelledAt[owner.id]
 	return ok && c.sim.now > at+c.cancelSpan()
 }
 
-// teamLimit gives the most GPUs that a team may use, and whether it has a limit.
+// teamLimit returns the most GPUs that a team may use, and whether it has a limit.
 func (c *invariantChecker) teamLimit(name string) (float64, bool) {
 	for _, team := range c.sim.scenario.Teams {
 		if team.Name == name && team.GPUsMax > 0 {
@@ -128,5 +127,5 @@
 	return 0, false
 }
 
-// isTerminal tells whether a state is a job's last.
+// isTerminal reports whether a state is a job's last.
 func isTerminal(state api.JobState) bool { return state == api.JobDone || state == api.JobCancelled }
--- a/internal/simulation/invariants_answers.go
+++ b/internal/simulation/invariants_answers.go
@@ -9,7 +9,7 @@
 )
 
 // submissionAnswered checks the answer to a submission, or to its repetition by a user who
-// had been told of this terminal state when it asked. A nil answer is none.
+// knew this terminal state when it sent the request. A nil answer is none.
 func (c *invariantChecker) submissionAnswered(owner *user, answer *message.Answer, finalBefore api.JobState) {
 	if answer == nil {
 		return
@@ -57,7 +57,7 @@
 	c.sim.after(c.cancelSpan(), func() { c.checkNothingRuns(owner) })
 }
 
-// missesChanges tells whether changes at the store do not reach a node.
+// missesChanges reports whether changes at the store do not reach a node.
 func (n *node) missesChanges() bool {
 	return n.refusedByStore || n.watchStalled || n.cutLinks[linkStore] || n.cutLinks[linkAll]
 }
@@ -72,7 +72,7 @@
 	}
 }
 
-// stateReported checks a state that a user is told.
+// stateReported checks a state that a user receives.
 func (c *invariantChecker) stateReported(owner *user, state api.JobState) {
 	if state == api.JobCancelled && !owner.cancelRequested && !owner.dependencyCancelled() {
 		c.violated(invariantWentBack, owner.id+" called cancelled though its user did not ask")
@@ -104,8 +104,8 @@
 	}
 }
 
-// checkQuery gives a check of the answer to a query: it is no older than what the user had
-// been told when it asked.
+// checkQuery returns a check of the answer to a query: it is no older than what the user
+// knew when it sent the query.
 func (c *invariantChecker) checkQuery(owner *user) receiveQuery {
 	forgotten := []int{http.StatusNotFound, http.StatusBadRequest, http.StatusUnprocessableEntity}
 	return func(answer message.Answer, acceptedBefore bool, finalBefore api.JobState) {
--- a/internal/simulation/invariants_end.go
+++ b/internal/simulation/invariants_end.go
@@ -15,7 +15,7 @@
 	firstAnswerAllowance = 5 * micros.Second
 )
 
-// checkAtEnd checks what can be told only at the end, and what the scenario expects.
+// checkAtEnd checks what is known only at the end, and what the scenario expects.
 func (c *invariantChecker) checkAtEnd() {
 	if c.startCount == 0 {
 		c.violated(invariantNothingRan, "no task was started")
@@ -110,7 +110,7 @@
 	}
 }
 
-// cancelledByFaultOrDependency tells whether a job is cancelled because a fault had its
+// cancelledByFaultOrDependency reports whether a job is cancelled because a fault had its
 // user, or the user of a dependency, cancel it.
 func (u *user) cancelledByFaultOrDependency() bool {
 	byFault := func(other *user) bool { return other.cancelledByFault }
--- a/internal/simulation/invariants_service.go
+++ b/internal/simulation/invariants_service.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// waitsBesideRoom tells whether a job could begin: its dependencies are done, none of its
+// waitsBesideRoom reports whether a job could begin: its dependencies are done, none of its
 // tasks is on a machine, and there is room for it.
 func (c *invariantChecker) waitsBesideRoom(owner *user) bool {
 	if !owner.mustBeServed() || owner.finalState != "" {
@@ -46,7 +46,7 @@
 	return !owner.anyDependency(notDone) && c.fitsNow(owner)
 }
 
-// fitsNow tells whether a job has waiting tasks, none on a machine, and the machines have
+// fitsNow reports whether a job has waiting tasks, none on a machine, and the machines have
 // room: for one task of an array, for all of a gang or service.
 func (c *invariantChecker) fitsNow(owner *user) bool {
 	spec := owner.job.spec(0)
--- a/internal/simulation/invariants_tasks.go
+++ b/internal/simulation/invariants_tasks.go
@@ -7,8 +7,8 @@
 	"spurmoor/internal/micros"
 )
 
-// startAfterCancelled is how long after a cancellation was told, by whomever, starts of
-// the job may still be sent.
+// startAfterCancelled is how long after a cancellation was confirmed, by any controller,
+// starts of the job may still be sent.
 const startAfterCancelled = 5 * micros.Second
 
 // taskStarted is called when a task has its image on a machine.
@@ -42,7 +42,7 @@
 	c.checkZonesAndQuota(task, spec, machine.zone)
 }
 
-// permits tells whether a job permits a machine's type, zone and kind.
+// permits reports whether a job permits a machine's type, zone and kind.
 func permits(spec api.Job, machine *worker) bool {
 	return (spec.Types == nil || spec.Types[0] == machine.machineType.Name) &&
 		(spec.Zone == "" || spec.Zone == machine.zone) &&
@@ -93,8 +93,8 @@
 	}
 }
 
-// checkCommands checks commands as they leave a controller: no start of a job whose user
-// was told some time ago, by whomever, that it is cancelled.
+// checkCommands checks commands as they leave a controller: no start of a job whose
+// cancellation any controller confirmed some time ago.
 func (c *invariantChecker) checkCommands(sender *node, commands []api.Command) {
 	for _, command := range commands {
 		job, _, _ := strings.Cut(command.Task, "/")
--- a/internal/simulation/loopback_jobs_test.go
+++ b/internal/simulation/loopback_jobs_test.go
@@ -8,7 +8,7 @@
 	"github.com/go-json-experiment/json"
 )
 
-// submit submits a job to one controller after the other until one accepts it, and gives
+// submit submits a job to one controller after the other until one accepts it, and returns
 // its id.
 func (l *loopback) submit(number int, job Job) string {
 	l.t.Helper()
@@ -55,7 +55,7 @@
 	l.waitUntil(id+" is "+string(state), func() bool { return l.jobState(id, index) == state })
 }
 
-// cancel cancels a job, and checks what its user is told.
+// cancel cancels a job, and checks what its user receives.
 func (l *loopback) cancel(id string, index int) {
 	l.t.Helper()
 	l.locked(func() { l.sim.usersByID[id].cancelRequested = true })
--- a/internal/simulation/loopback_run_test.go
+++ b/internal/simulation/loopback_run_test.go
@@ -117,7 +117,7 @@
 	}
 }
 
-// explanation asks a controller why a job waits, and tells whether it answers.
+// explanation asks a controller why a job waits, and reports whether it answers.
 func (l *loopback) explanation(index int, id string) (api.Explanation, bool) {
 	status, raw := l.request(http.MethodGet, index, "/why/"+id, nil)
 	var explanation api.Explanation
@@ -151,7 +151,7 @@
 }
 
 // checkExplanation submits a job that nothing can run for now, and checks that whoever
-// asks its leader is told so. It gives the job.
+// asks its leader receives an explanation. It returns the job.
 func (l *loopback) checkExplanation() string {
 	l.t.Helper()
 	wide := l.submit(13, Job{Tasks: 30, GPUs: 4, RunS: 60, Team: "norte"})
@@ -197,7 +197,7 @@
 	}
 }
 
-// runCommand runs a command of the program, and gives its output and exit code.
+// runCommand runs a command of the program, and returns its output and exit code.
 func (l *loopback) runCommand(binary string, args ...string) (string, int) {
 	l.t.Helper()
 	command := exec.CommandContext(l.t.Context(), binary, append(args, "--addr", l.publicAddrs[1])...)
@@ -208,7 +208,7 @@
 	return string(output), command.ProcessState.ExitCode()
 }
 
-// writeFile writes a file for the test, and gives its path.
+// writeFile writes a file for the test, and returns its path.
 func (l *loopback) writeFile(name string, content []byte) string {
 	l.t.Helper()
 	path := filepath.Join(l.dir, name)
--- a/internal/simulation/loopback_services_test.go
+++ b/internal/simulation/loopback_services_test.go
@@ -71,7 +71,7 @@
 	return message.StoreCall{}, nil
 }
 
-// queryNumber gives a number of a query; zero if there is none.
+// queryNumber returns a number of a query; zero if there is none.
 func queryNumber(query url.Values, name string) int {
 	number, _ := strconv.Atoi(query.Get(name)) // zero if it is missing
 	return number
--- a/internal/simulation/loopback_test.go
+++ b/internal/simulation/loopback_test.go
@@ -146,7 +146,7 @@
 	}
 }
 
-// writeSettings writes a controller's settings with real addresses, and gives the file.
+// writeSettings writes a controller's settings with real addresses, and returns the file.
 func (l *loopback) writeSettings(index int) string {
 	l.t.Helper()
 	set, err := l.sim.scenario.settingsFor(index, true)
@@ -210,7 +210,7 @@
 	l.t.Fatalf("never: %s", what)
 }
 
-// request sends a request to a controller, and gives the status and body of the answer;
+// request sends a request to a controller, and returns the status and body of the answer;
 // status 0: no answer.
 func (l *loopback) request(method string, index int, path string, body []byte) (int, []byte) {
 	url := "http://" + l.publicAddrs[index] + path
@@ -230,7 +230,7 @@
 	return response.StatusCode, raw
 }
 
-// listenAndServe serves a handler until the test ends, and gives its address.
+// listenAndServe serves a handler until the test ends, and returns its address.
 func (l *loopback) listenAndServe(handler http.HandlerFunc) string {
 	listener, err := (&net.ListenConfig{}).Listen(context.WithoutCancel(l.t.Context()), "tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -243,7 +243,7 @@
 	return listener.Addr().String()
 }
 
-// freePort gives a local address that nobody listens at.
+// freePort returns a local address that nobody listens at.
 func freePort(t *testing.T) string {
 	t.Helper()
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp4", "127.0.0.1:0")
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -53,16 +53,16 @@
 	heldPackets    []func()
 }
 
-// localTime gives the node's own clock at an instant.
+// localTime returns the node's own clock at an instant.
 func (n *node) localTime(now micros.Micros) micros.Micros {
 	drift := micros.Micros(float64(now-n.startedAt) * n.clock.DriftPPM / partsPerMillion)
 	return now + drift + micros.FromSeconds(n.clock.AheadS)
 }
 
-// zone gives the zone that the node is in.
+// zone returns the zone that the node is in.
 func (n *node) zone() string { return zoneOfNode(n.index) }
 
-// reaches tells whether a node is up and its link to a party is not cut.
+// reaches reports whether a node is up and its link to a party is not cut.
 func (n *node) reaches(party linkName) bool {
 	return n.up && !n.cutLinks[party] && !n.cutLinks[linkAll]
 }
@@ -154,7 +154,7 @@
 // randomNode draws a node.
 func (s *Simulation) randomNode() *node { return s.nodes[s.rng.IntN(controllerCount)] }
 
-// leaderOf gives the node that the store names as a partition's leader; nil: none.
+// leaderOf returns the node that the store names as a partition's leader; nil: none.
 func (s *Simulation) leaderOf(partition int) *node {
 	record := s.store.keys[fmt.Sprintf("%s%d", records.PartitionKey, partition)]
 	if record == nil {
@@ -168,6 +168,6 @@
 	return nil
 }
 
-// quoted gives a name as it stands in a record. Records are searched rather than decoded,
+// quoted returns a name as it stands in a record. Records are searched rather than decoded,
 // so that the simulation shares no types with the core.
 func quoted(name string) string { return `"` + name + `"` }
--- a/internal/simulation/orders.go
+++ b/internal/simulation/orders.go
@@ -63,7 +63,7 @@
 	s.highestTerms[key] = max(s.highestTerms[key], order.term)
 }
 
-// refusedBefore tells whether a launch of the same name changed nothing at an earlier time.
+// refusedBefore reports whether a launch of the same name changed nothing at an earlier time.
 func (s *Simulation) refusedBefore(order receivedOrder) bool {
 	return slices.ContainsFunc(s.orders, func(earlier receivedOrder) bool {
 		return earlier.request == order.request && !earlier.tookEffect
@@ -82,7 +82,7 @@
 	}
 }
 
-// recordedAsOpen tells whether a launch request is recorded as open, under whichever term.
+// recordedAsOpen reports whether a launch request is recorded as open, under whichever term.
 func (s *Simulation) recordedAsOpen(order receivedOrder) bool {
 	partition, _, _ := strings.Cut(strings.TrimPrefix(order.request, "p"), "-")
 	record := s.store.keys[records.RequestsKey+partition]
--- a/internal/simulation/paused_leader_test.go
+++ b/internal/simulation/paused_leader_test.go
@@ -55,7 +55,7 @@
 	return byName
 }
 
-// leaderOf gives which process leads a partition; -1: none.
+// leaderOf returns which process leads a partition; -1: none.
 func (l *loopback) leaderOf(partition int) int {
 	index := -1
 	l.locked(func() {
@@ -66,7 +66,7 @@
 	return index
 }
 
-// replaced tells whether another process leads the partition that is a process's own.
+// replaced reports whether another process leads the partition that is a process's own.
 func (l *loopback) replaced(index int) bool {
 	leader := l.leaderOf(index)
 	return leader >= 0 && leader != index
@@ -111,7 +111,7 @@
 	cluster.stopGracefully(2)
 }
 
-// teamOf gives a team of a partition.
+// teamOf returns a team of a partition.
 func (l *loopback) teamOf(partition int) string {
 	l.t.Helper()
 	set, err := l.sim.scenario.settingsFor(0, false)
@@ -128,7 +128,7 @@
 }
 
 // holdOrdersOfEveryKind holds back what a process sends until there is an order of every
-// kind, and gives the jobs that they are for.
+// kind, and returns the jobs that they are for.
 func (l *loopback) holdOrdersOfEveryKind(index int, team string) []string {
 	l.t.Helper()
 	held := func(action leadership.Action) func() bool {
@@ -151,7 +151,7 @@
 }
 
 // interruptIdleMachine gives an interruption notice to an idle machine that sends its
-// heartbeats to a process, and tells whether there is one.
+// heartbeats to a process, and reports whether there is one.
 func (l *loopback) interruptIdleMachine(index int) bool {
 	found := false
 	l.locked(func() {
@@ -195,7 +195,7 @@
 	}
 }
 
-// fencingTokenAt gives the highest fencing token that the worker at an address has seen.
+// fencingTokenAt returns the highest fencing token that the worker at an address has seen.
 func (l *loopback) fencingTokenAt(addr string) uint64 {
 	token := uint64(0)
 	l.locked(func() {
@@ -258,7 +258,7 @@
 	}
 }
 
-// repeatedLaunch tells whether an order is a launch that another leader repeats under its
+// repeatedLaunch reports whether an order is a launch that another leader repeats under its
 // first name.
 func (l *loopback) repeatedLaunch(order relayedOrder) bool {
 	first := l.relay.ordersMatching(func(other *relayedOrder) bool { return other.request == order.request })
--- a/internal/simulation/pauses_test.go
+++ b/internal/simulation/pauses_test.go
@@ -43,7 +43,7 @@
 }
 
 // describePause has a scenario pause the first partition's leader once, at a random
-// moment, and gives that moment in seconds.
+// moment, and returns that moment in seconds.
 func describePause(scenario *Scenario, seed int) float64 {
 	rng := rand.New(rand.NewPCG(uint64(seed), 5))
 	scenario.Seed, scenario.DurationS, scenario.AtLeast = uint64(seed), 150, nil
--- a/internal/simulation/production_records_test.go
+++ b/internal/simulation/production_records_test.go
@@ -203,7 +203,7 @@
 	checkProductionReadsHeartbeat(t)
 }
 
-// checkProductionReads has production's type read the value of a key, and gives its kind.
+// checkProductionReads has production's type read the value of a key, and returns its kind.
 func checkProductionReads(t *testing.T, sim *Simulation, scenario, key string) string {
 	t.Helper()
 	kind, record, strict := productionRecord(key)
@@ -221,7 +221,7 @@
 	return kind
 }
 
-// productionRecord gives a key's kind and production's type for it; strict: production
+// productionRecord returns a key's kind and production's type for it; strict: production
 // writes the record back, or takes it for its own.
 func productionRecord(key string) (kind string, record any, strict bool) {
 	switch {
--- a/internal/simulation/relay_test.go
+++ b/internal/simulation/relay_test.go
@@ -71,7 +71,7 @@
 	r.release = make(chan struct{})
 }
 
-// ordersMatching gives the orders so far that match.
+// ordersMatching returns the orders so far that match.
 func (r *relay) ordersMatching(matches func(order *relayedOrder) bool) []relayedOrder {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -111,7 +111,7 @@
 	}
 }
 
-// serveRecorded has a stand-in serve a request, and gives its answer; code 0 if it closes
+// serveRecorded has a stand-in serve a request, and returns its answer; code 0 if it closes
 // the connection.
 func serveRecorded(serve http.HandlerFunc, request *http.Request) (answer *httptest.ResponseRecorder) {
 	answer = httptest.NewRecorder() // a named result, for it must outlast a panic
@@ -218,6 +218,6 @@
 	return nil
 }
 
-// partitionRole gives the name of the role of leading a partition, whose number is given
+// partitionRole returns the name of the role of leading a partition, whose number is given
 // as text.
 func partitionRole(partition string) string { return "partition/" + partition }
--- a/internal/simulation/scenario_jobs.go
+++ b/internal/simulation/scenario_jobs.go
@@ -16,7 +16,7 @@
 	checkpointSaveS = 2
 )
 
-// spec gives the job with a number as its user submits it.
+// spec returns the job with a number as its user submits it.
 func (j Job) spec(number int) api.Job {
 	spec := api.Job{
 		ID: jobID(number), Team: cmp.Or(j.Team, defaultTeam),
--- a/internal/simulation/scenario_parse.go
+++ b/internal/simulation/scenario_parse.go
@@ -42,7 +42,7 @@
 	defaultMachineCount   = 4
 )
 
-// defaultScenario gives what a scenario file need not name.
+// defaultScenario returns what a scenario file need not name.
 func defaultScenario() *Scenario {
 	return &Scenario{
 		Seed: defaultSeed, DurationS: defaultDurationS,
@@ -52,7 +52,7 @@
 	}
 }
 
-// defaultTeams gives the teams of a scenario that names none.
+// defaultTeams returns the teams of a scenario that names none.
 func defaultTeams() []Team {
 	return []Team{
 		{Name: "norte", GPUs: defaultTeamGPUs},
@@ -61,7 +61,7 @@
 	}
 }
 
-// defaultMachineTypes gives the machine types of a scenario that names none.
+// defaultMachineTypes returns the machine types of a scenario that names none.
 func defaultMachineTypes() []MachineType {
 	return []MachineType{{
 		Name: "g4", CPUs: defaultMachineCPUs, GPUs: defaultMachineGPUs,
--- a/internal/simulation/scenario_settings.go
+++ b/internal/simulation/scenario_settings.go
@@ -26,16 +26,16 @@
 // zones are the zones of the cluster.
 var zones = []string{"alta", "baja"}
 
-// nodeName gives the name of the controller with an index.
+// nodeName returns the name of the controller with an index.
 func nodeName(index int) string { return fmt.Sprintf("nodo-%d", index) }
 
-// zoneOfNode gives the zone of the controller with an index.
+// zoneOfNode returns the zone of the controller with an index.
 func zoneOfNode(index int) string { return zones[index%len(zones)] }
 
-// nodeAddr gives an address of the controller with an index.
+// nodeAddr returns an address of the controller with an index.
 func nodeAddr(index, port int) string { return fmt.Sprintf("10.0.0.%d:%d", index+1, port) }
 
-// partitionOf gives the partition that a user's team belongs to by default.
+// partitionOf returns the partition that a user's team belongs to by default.
 func (s *Scenario) partitionOf(owner *user) int {
 	set, err := s.settingsFor(0, false)
 	if err != nil {
@@ -44,7 +44,7 @@
 	return set.TeamPartition[owner.job.spec(0).Team]
 }
 
-// settingsFor gives the settings of the controller with an index; they announce the
+// settingsFor returns the settings of the controller with an index; they announce the
 // store's next limits if announced is set.
 func (s *Scenario) settingsFor(index int, announced bool) (*settings.Settings, error) {
 	platform := settings.Platform{
@@ -95,7 +95,7 @@
 	process.Cores, process.MemMB, process.MaxConnections = processCores, processMemoryMB, s.Connections
 }
 
-// operators gives the operators' settings.
+// operators returns the operators' settings.
 func (s *Scenario) operators() settings.Operators {
 	operators := settings.Defaults()
 	if s.ExclusiveRoles {
--- a/internal/simulation/scenarios_test.go
+++ b/internal/simulation/scenarios_test.go
@@ -34,7 +34,7 @@
 	return string(text)
 }
 
-// withSeed gives a random scenario with another seed.
+// withSeed returns a random scenario with another seed.
 func withSeed(text string, seed int) string {
 	return strings.Replace(text, "seed = 1\n", "seed = "+strconv.Itoa(seed)+"\n", 1)
 }
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -71,7 +71,7 @@
 type transport interface {
 	// sendHeartbeat sends a heartbeat to a node; receive gets its answer.
 	sendHeartbeat(node int, heartbeat *api.Heartbeat, receive func(message.Answer))
-	// listen serves a worker's commands, and gives the address.
+	// listen serves a worker's commands, and returns the address.
 	listen(worker *worker) string
 }
 
@@ -105,7 +105,7 @@
 	return sim
 }
 
-// Play runs a scenario to its end and gives the invariant violations.
+// Play runs a scenario to its end and returns the invariant violations.
 func Play(scenario *Scenario) (*Simulation, []string, error) { return playObserved(scenario, nil) }
 
 // playObserved is Play with every effect of the cores shown to an observer as well.
@@ -129,7 +129,7 @@
 	return sim, sim.checker.violations, nil
 }
 
-// tickNodes gives every controller a tick.
+// tickNodes hands every controller a tick.
 func (s *Simulation) tickNodes() {
 	for _, node := range s.nodes {
 		s.step(node, message.Tick{})
@@ -154,8 +154,8 @@
 	s.Log = append(s.Log, line)
 }
 
-// jobID gives the id of the job with a number.
+// jobID returns the id of the job with a number.
 func jobID(number int) string { return fmt.Sprintf(jobIDFormat, number) }
 
-// taskID gives the id of a job's task with an index.
+// taskID returns the id of a job's task with an index.
 func taskID(job string, index int) string { return fmt.Sprintf("%s/%d", job, index) }
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -13,7 +13,7 @@
 
 const (
 	// historyLimit is how many events the store keeps: few, so that a controller that was
-	// cut off for a while is told to read everything again.
+	// cut off for a while must read everything again.
 	historyLimit = 150
 	// listPageSize is how many keys a page of a list holds.
 	listPageSize = 200
@@ -173,7 +173,7 @@
 	s.notifyWatches()
 }
 
-// admit gives the status with which a request is refused, or 200.
+// admit returns the status with which a request is refused, or 200.
 func (s *keyValueStore) admit(sender *node, call message.StoreCall) int {
 	if s.sim.now < s.downUntil || sender.refusedByStore {
 		return http.StatusServiceUnavailable
@@ -196,7 +196,7 @@
 	answer.Item = api.KeyValue{Key: key, Value: value.data, Version: value.version}
 }
 
-// list gives a page of the live keys that follow one.
+// list returns a page of the live keys that follow one.
 func (s *keyValueStore) list(after string, answer *message.StoreReply) {
 	answer.Page.Revision = s.revision
 	for _, key := range s.sortedKeys(records.LivePrefix) {
--- a/internal/simulation/store_watch.go
+++ b/internal/simulation/store_watch.go
@@ -10,7 +10,7 @@
 	"spurmoor/internal/records"
 )
 
-// eventsSince gives the events of live keys after a revision.
+// eventsSince returns the events of live keys after a revision.
 func (s *keyValueStore) eventsSince(revision uint64) api.WatchResponse {
 	response := api.WatchResponse{Revision: s.revision}
 	for _, event := range s.history {
@@ -22,7 +22,7 @@
 }
 
 // openWatch answers a watch with the events that there are, or leaves it open until there
-// are some; it tells whether it does the latter.
+// are some; it reports whether it does the latter.
 func (s *keyValueStore) openWatch(
 	sender *node, call message.StoreCall, answer *message.StoreReply, reply func(*message.StoreReply),
 ) bool {
--- a/internal/simulation/user.go
+++ b/internal/simulation/user.go
@@ -39,7 +39,7 @@
 	cancelRequested  bool
 	cancelledByFault bool // a fault had the user cancel, not the scenario
 	lastState        api.JobState
-	finalState       api.JobState // terminal state that the user was told; empty: none
+	finalState       api.JobState // terminal state that the user received; empty: none
 	finalAt          micros.Micros
 	submittedAt      micros.Micros
 	lastAnswerAt     micros.Micros // when a question about the job was last answered
@@ -175,7 +175,7 @@
 	})
 }
 
-// stateIn gives the job's state that an answer tells; empty: none.
+// stateIn returns the job's state that an answer tells; empty: none.
 func stateIn(answer message.Answer) api.JobState {
 	status, _ := answer.Body.(api.JobStatus)
 	return status.State
@@ -196,14 +196,14 @@
 	return message.Cancel{RequestID: requestID, ID: u.id}
 }
 
-// anyDependency tells whether something holds of a direct or indirect dependency.
+// anyDependency reports whether something holds of a direct or indirect dependency.
 func (u *user) anyDependency(holds func(*user) bool) bool {
 	return slices.ContainsFunc(u.dependencies, func(dependency *user) bool {
 		return holds(dependency) || dependency.anyDependency(holds)
 	})
 }
 
-// dependencyCancelled tells whether a dependency is cancelled, or may be: its cancellation
+// dependencyCancelled reports whether a dependency is cancelled, or may be: its cancellation
 // was requested, and not answered with done.
 func (u *user) dependencyCancelled() bool {
 	return u.anyDependency(func(dependency *user) bool {
@@ -211,7 +211,7 @@
 	})
 }
 
-// mustBeServed tells whether a job is to be served: accepted, without a mistake, and not
+// mustBeServed reports whether a job is to be served: accepted, without a mistake, and not
 // cancelled.
 func (u *user) mustBeServed() bool {
 	return u.accepted && !u.cancelRequested && !u.job.AlwaysFails && !u.dependencyCancelled()
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -75,12 +75,12 @@
 	return launched
 }
 
-// healthy tells whether a machine is up and no injected fault befalls it.
+// healthy reports whether a machine is up and no injected fault befalls it.
 func (w *worker) healthy() bool {
 	return w.up && !w.gone && !w.hung && !w.inboundCut && !w.outboundCut && !w.failing
 }
 
-// idle tells whether a machine has no task that has not exited.
+// idle reports whether a machine has no task that has not exited.
 func (w *worker) idle() bool {
 	return !slices.ContainsFunc(w.tasks, func(task *workerTask) bool { return task.state != api.TaskExited })
 }
@@ -189,7 +189,7 @@
 	}
 }
 
-// findTask gives the attempt of a task; nil: not here.
+// findTask returns the attempt of a task; nil: not here.
 func (w *worker) findTask(id string, attempt uint64) *workerTask {
 	for _, task := range w.tasks {
 		if task.id == id && task.attempt == attempt {
@@ -199,7 +199,7 @@
 	return nil
 }
 
-// hasRoom tells whether a task fits beside those that are there.
+// hasRoom reports whether a task fits beside those that are there.
 func (w *worker) hasRoom(spec api.Job) bool {
 	cpus, gpus := spec.CPUs, spec.GPUs
 	for _, task := range w.tasks {
