--- a/internal/simulation/production_records_test.go
+++ b/internal/simulation/production_records_test.go
@@ -195,7 +195,7 @@
 			seen[checkProductionReads(t, sim, name, key)]++
 		}
 	}
-	for _, kind := range []string{"part", "log", "job", "final", "catalogue", "form"} {
+	for _, kind := range []string{"partition", "log", "job", "terminal state", "catalogue", "schema"} {
 		if seen[kind] == 0 {
 			t.Errorf("no record of the kind %s was written", kind)
 		}
@@ -226,19 +226,19 @@
 func productionRecord(key string) (kind string, record any, strict bool) {
 	switch {
 	case strings.HasPrefix(key, "live/p/"):
-		return "part", &productionPartition{}, true
+		return "partition", &productionPartition{}, true
 	case strings.HasPrefix(key, "live/l/"):
 		return "log", &productionLogEntry{}, true
 	case strings.HasPrefix(key, "live/j/"):
 		return "job", &productionJob{}, false
 	case strings.HasPrefix(key, "over/"):
-		return "final", &productionTerminalState{}, false
+		return "terminal state", &productionTerminalState{}, false
 	case key == "live/c":
 		return "catalogue", &api.Catalog{}, true
 	case key == "live/a":
 		return "adoptions", &struct{}{}, true
 	case strings.HasPrefix(key, "live/v/"):
-		return "form", nil, false
+		return "schema", nil, false
 	}
 	return "", nil, false
 }
