--- a/internal/simulation/invariants.go
+++ b/internal/simulation/invariants.go
@@ -18,7 +18,7 @@
 	invariantRanCancelled  invariant = "ran_cancelled"   // no task runs past cancel_s after a cancellation was confirmed
 	invariantWrongPlace    invariant = "wrong_place"     // tasks run where their job permits
 	invariantQuota         invariant = "quota"           // a team stays within its limit
-	invariantStartToldLate invariant = "start_told_late" // no start is sent long after a cancellation was confirmed
+	invariantLateStartSent invariant = "start_told_late" // no start is sent long after a cancellation was confirmed
 	invariantNotDone       invariant = "not_done"        // a job is done when all its tasks are
 	invariantStarved       invariant = "starved"         // no job waits long beside room for it
 	invariantLate          invariant = "late"            // the largest jobs begin in time
--- a/internal/simulation/invariants_tasks.go
+++ b/internal/simulation/invariants_tasks.go
@@ -100,7 +100,7 @@
 		job, _, _ := strings.Cut(command.Task, "/")
 		at, cancelled := c.cancelledAt[job]
 		if cancelled && command.Op == api.CommandStart && c.sim.now > at+startAfterCancelled {
-			c.violatedf(invariantStartToldLate, "%s by %s, %.1f s after its cancellation was told",
+			c.violatedf(invariantLateStartSent, "%s by %s, %.1f s after its cancellation was told",
 				command.Task, sender.name, (c.sim.now - at).Seconds())
 		}
 	}
