--- a/internal/simulation/orders.go
+++ b/internal/simulation/orders.go
@@ -1,149 +1,145 @@
 package simulation
 
 import (
-	"fmt"
+	"net/http"
 	"slices"
 	"strings"
 
-	"spurmoor/internal/message"
-
 	"spurmoor/internal/api"
 	"spurmoor/internal/leadership"
+	"spurmoor/internal/message"
 	"spurmoor/internal/micros"
+	"spurmoor/internal/records"
 )
 
-// order is an order as it arrived at a stand-in.
-type order struct {
-	at      micros.Micros
-	sender  string
-	duty    string
-	term    uint64
-	action  leadership.Action
-	machine string // that it commands
-	request string // of a rental
-	// took: it took effect. Else it was refused, or changed nothing.
-	took bool
+const (
+	// commandMaxAge is how long after they were decided commands may leave a process, as in
+	// internal/server: a job may have been cancelled elsewhere since.
+	commandMaxAge = micros.Second
+	// rolesAgreedWithin is how long after the start controllers may take to learn that all
+	// of them know the records of roles.
+	rolesAgreedWithin = 10 * micros.Second
+)
+
+// receivedOrder is an order as it arrived at a stand-in.
+type receivedOrder struct {
+	at         micros.Micros
+	sender     string
+	role       string
+	term       uint64 // zero: under no term
+	action     leadership.Action
+	machine    string // that it commands
+	request    string // name of a launch request
+	tookEffect bool   // else it was refused, or changed nothing
 }
 
-// arrived notes an order, and checks that what takes effect under a duty does so under
+// noteOrder notes an order, and checks that what takes effect under a role does so under
 // one term at a time: writes altogether, commands at each worker. A deletion is harmless
-// under any term, for it was committed before; so is a rental that is recorded as open,
-// for whoever holds the partition gets its machines.
-func (w *World) arrived(o order) {
-	o.at = w.now
-	if o.action == leadership.Launch {
-		w.rentalArrived(o)
-	}
-	w.orders = append(w.orders, o)
-	if !o.took || o.term == 0 || o.action == leadership.Delete {
-		return
+// under any term, for it was committed before; so is a launch that is recorded as open,
+// for whoever leads the partition gets its machines.
+func (s *Simulation) noteOrder(order receivedOrder) {
+	order.at = s.now
+	if order.action == leadership.Launch {
+		s.checkLaunchRecorded(order)
 	}
-	if o.action == leadership.Launch && (!w.sc.Duties || w.recordedOpen(o)) {
+	s.orders = append(s.orders, order)
+	if !order.tookEffect || order.term == 0 || order.action == leadership.Delete {
 		return
 	}
-	if o.action == leadership.Launch && slices.ContainsFunc(w.orders, func(e order) bool { return e.request == o.request && !e.took }) {
-		w.happened("late copies of refused rentals") // adopted as strays
-		return
+	if order.action == leadership.Launch {
+		if !s.scenario.ExclusiveRoles || s.recordedAsOpen(order) {
+			return
+		}
+		if s.refusedBefore(order) {
+			s.countOccurrence(occurredLateLaunch) // its machines are adopted as orphans
+			return
+		}
 	}
-	key := o.duty + " " + o.machine
-	if last := w.terms[key]; o.term < last {
-		w.check.breaks("stale_order", fmt.Sprintf("%s of %s under term %d of %s took effect after one under term %d", o.action, o.sender, o.term, key, last))
+	key := order.role + " " + order.machine
+	if last := s.highestTerms[key]; order.term < last {
+		s.checker.violatedf(invariantStaleOrder, "%s of %s under term %d of %s took effect after one under term %d",
+			order.action, order.sender, order.term, key, last)
 	}
-	w.terms[key] = max(w.terms[key], o.term)
+	s.highestTerms[key] = max(s.highestTerms[key], order.term)
 }
 
-// agreeWithin is how long after the start controllers may take to learn that all of them
-// know the records of duties.
-const agreeWithin = 10 * micros.Second
+// refusedBefore reports whether a launch of the same name changed nothing at an earlier time.
+func (s *Simulation) refusedBefore(order receivedOrder) bool {
+	return slices.ContainsFunc(s.orders, func(earlier receivedOrder) bool {
+		return earlier.request == order.request && !earlier.tookEffect
+	})
+}
 
-// rentalArrived checks that a rental is recorded when it arrives first.
-func (w *World) rentalArrived(o order) {
-	first := !slices.ContainsFunc(w.orders, func(e order) bool { return e.request == o.request })
-	if w.sc.Duties && first && w.now > w.begun+agreeWithin && !w.recordedOpen(o) {
-		w.check.breaks("unrecorded_rental", fmt.Sprintf("%s of %s under term %d of %s", o.request, o.sender, o.term, o.duty))
+// checkLaunchRecorded checks that a launch is recorded as open when it arrives first.
+func (s *Simulation) checkLaunchRecorded(order receivedOrder) {
+	if !s.scenario.ExclusiveRoles || s.now <= s.startedAt+rolesAgreedWithin {
+		return
+	}
+	repeated := slices.ContainsFunc(s.orders, func(earlier receivedOrder) bool { return earlier.request == order.request })
+	if !repeated && !s.recordedAsOpen(order) {
+		s.checker.violatedf(invariantUnrecordedLaunch, "%s of %s under term %d of %s",
+			order.request, order.sender, order.term, order.role)
 	}
 }
 
-// recordedOpen tells whether a rental is recorded as open, by whoever.
-func (w *World) recordedOpen(o order) bool {
-	part, _, _ := strings.Cut(strings.TrimPrefix(o.request, "p"), "-")
-	record := w.store.keys["live/r/"+part]
-	return record != nil && strings.Contains(string(record.value), `"`+o.request+`"`)
+// recordedAsOpen reports whether a launch request is recorded as open, under whichever term.
+func (s *Simulation) recordedAsOpen(order receivedOrder) bool {
+	partition, _, _ := strings.Cut(strings.TrimPrefix(order.request, "p"), "-")
+	record := s.store.keys[records.RequestsPrefix+partition]
+	return record != nil && strings.Contains(string(record.data), quoted(order.request))
 }
 
-// arrivedUnder notes an order that came with its grant.
-func (w *World) arrivedUnder(n *node, g leadership.Grant, machine string, took bool) {
-	w.arrived(order{sender: n.name, duty: g.RoleName(), term: g.Term(), action: g.Action(), machine: machine, took: took})
+// noteOrderUnder notes an order that came with its grant.
+func (s *Simulation) noteOrderUnder(sender *node, grant leadership.Grant, machine string, tookEffect bool) {
+	s.noteOrder(receivedOrder{
+		sender: sender.name, role: grant.RoleName(), term: grant.Term(), action: grant.Action(),
+		machine: machine, tookEffect: tookEffect,
+	})
 }
 
-// commandsStale is how long after they were decided commands may leave a process, as in
-// internal/server: a job may have been cancelled elsewhere since.
-const commandsStale = micros.Second
-
-// depart lets an order leave a controller's process: after it waited for a connection
-// there, and not while the process stands still. What its grant does not permit by
+// sendOrder lets an order leave a controller's process: after it has waited for a
+// connection, and not while the process is paused. What its grant no longer permits by
 // then is refused, as by the gate of the program.
-func (w *World) depart(n *node, g leadership.Grant, action leadership.Action, leave, refused func()) {
-	epoch, decided := n.epoch, w.now
-	send := func() {
-		if n.epoch != epoch {
+func (s *Simulation) sendOrder(
+	node *node, grant leadership.Grant, action leadership.Action, send, refuse func(),
+) {
+	incarnation, decidedAt := node.incarnation, s.now
+	passGate := func() {
+		if node.incarnation != incarnation {
 			return
 		}
-		if action == leadership.Command && w.now > decided+commandsStale {
-			refused()
+		if action == leadership.Command && s.now > decidedAt+commandMaxAge {
+			refuse()
 			return
 		}
-		reason := g.Check(action, n.time(w.now))
+		reason := grant.Check(action, node.localTime(s.now))
 		if reason == "" {
-			leave()
+			send()
 			return
 		}
-		w.happened("orders refused at the gate")
-		refused()
-		w.step(n, message.OrderRefused{Role: g.RoleName(), Action: action, Reason: reason})
-	}
-	if w.now >= n.connectUntil && !n.frozen {
-		send()
-		return
+		s.countOccurrence(occurredGateRefusal)
+		refuse()
+		s.step(node, message.OrderRefused{Role: grant.RoleName(), Action: action, Reason: reason})
 	}
-	w.after(max(0, n.connectUntil-w.now), func() { n.whenAwake(send) })
-}
-
-// whenAwake does something once a process does not stand still.
-func (n *node) whenAwake(do func()) {
-	if n.frozen {
-		n.asleep = append(n.asleep, do)
+	if s.now >= node.sendsBlockedUntil && !node.paused {
+		passGate()
 		return
 	}
-	do()
-}
-
-// awaken has a process go on that stood still: first what was about to leave it, then
-// what came meanwhile.
-func (w *World) awaken(n *node) {
-	n.frozen = false
-	asleep, queued := n.asleep, n.queued
-	n.asleep, n.queued = nil, nil
-	for _, do := range asleep {
-		do()
-	}
-	for _, in := range queued {
-		w.step(n, in)
-	}
+	s.after(max(0, node.sendsBlockedUntil-s.now), func() { node.whenRunning(passGate) })
 }
 
-// commandsOf gives the commands of an answer to a report, if it is one that may still
-// leave.
-func (w *World) commandsOf(n *node, a message.Answer) message.Answer {
-	o, ok := a.Body.(leadership.Order[api.HeartbeatResponse])
+// gateCommands lets the commands in an answer to a heartbeat pass, if their grant still
+// permits it; else the heartbeat is answered with 503. Other answers pass unchanged.
+func (s *Simulation) gateCommands(node *node, answer message.Answer) message.Answer {
+	order, ok := answer.Body.(leadership.Order[api.HeartbeatResponse])
 	if !ok {
-		return a
+		return answer
 	}
-	if reason := o.Grant().Check(leadership.Command, n.time(w.now)); reason != "" {
-		w.happened("orders refused at the gate")
-		return message.Answer{RequestID: a.RequestID, Status: 503}
+	if reason := order.Grant().Check(leadership.Command, node.localTime(s.now)); reason != "" {
+		s.countOccurrence(occurredGateRefusal)
+		return message.Answer{RequestID: answer.RequestID, Status: http.StatusServiceUnavailable}
 	}
-	a.Body = o.Body()
-	w.check.ordered(n, o.Body().Commands)
-	return a
+	answer.Body = order.Body()
+	s.checker.checkCommands(node, order.Body().Commands)
+	return answer
 }
