--- a/internal/provisioning/instance_list.go
+++ b/internal/provisioning/instance_list.go
@@ -4,21 +4,16 @@
 	"maps"
 	"slices"
 
-	"spurmoor/internal/logkey"
-
+	"spurmoor/internal/api"
 	"spurmoor/internal/cluster"
 	"spurmoor/internal/coordination"
-	"spurmoor/internal/message"
-	"spurmoor/internal/records"
-
-	"spurmoor/internal/api"
 	"spurmoor/internal/leadership"
+	"spurmoor/internal/message"
 	"spurmoor/internal/micros"
-	"spurmoor/internal/peer"
 )
 
-// InstanceList follows the cloud's list of machines: their addresses, those that failed
-// or went, and those of which no record is known.
+// InstanceList follows the cloud's list of instances: their addresses, those that failed
+// or are gone, and orphans, of which no record is known.
 type InstanceList struct {
 	*coordination.Environment
 	cluster   *cluster.State
@@ -26,179 +21,175 @@
 	registry  *cluster.MachineRegistry
 	roles     *coordination.RoleManager
 
-	NextListAt      micros.Micros
-	listInFlight    bool
-	listRound       int
-	listedInstances map[string]*listedInstance
-	sweeping        bool // this controller acts on the list
-	findings        listFindings
+	NextListAt     micros.Micros
+	listInFlight   bool
+	listRound      int                  // counts the readings of the whole list
+	listed         map[string]*sighting // by instance
+	unknownWorkers map[string]*sighting // workers without a record that sent a heartbeat, by machine
+	sweeping       bool                 // this controller acts on the list
+	findings       listFindings
 }
 
-// NewInstanceList makes an instance list.
-func NewInstanceList(env *coordination.Environment, cluster *cluster.State, deletions *cluster.DeletionLog, registry *cluster.MachineRegistry, roles *coordination.RoleManager) *InstanceList {
-	return &InstanceList{Environment: env, cluster: cluster, deletions: deletions, registry: registry, roles: roles,
-		listedInstances: map[string]*listedInstance{}}
+// NewInstanceList makes an instance list of which nothing was read yet.
+func NewInstanceList(
+	env *coordination.Environment,
+	state *cluster.State,
+	deletions *cluster.DeletionLog,
+	registry *cluster.MachineRegistry,
+	roles *coordination.RoleManager,
+) *InstanceList {
+	return &InstanceList{
+		Environment:    env,
+		cluster:        state,
+		deletions:      deletions,
+		registry:       registry,
+		roles:          roles,
+		listed:         map[string]*sighting{},
+		unknownWorkers: map[string]*sighting{},
+	}
 }
 
-// listedInstance is what the cloud's list said of a machine lately.
-type listedInstance struct {
-	firstSeenAt micros.Micros
+// sighting is when an instance was listed, or an unknown worker heard, of late.
+type sighting struct {
+	firstSeenAt micros.Micros // or when it was last acted on
 	lastSeenAt  micros.Micros
-	listRound   int
+	listRound   int // of the list, when it was last seen
 }
 
-// TrackSweeping notes when it becomes or ceases to be this controller's task to act on
-// the cloud's list.
-func (i *InstanceList) TrackSweeping() {
-	if sweeps := i.roles.MayPerform(leadership.InstanceSweeper); sweeps != i.sweeping {
-		i.sweeping, i.NextListAt = sweeps, i.Now
+const (
+	// addressListInterval is how often a controller reads the list that does not act on
+	// it: it only wants the addresses of machines that came up meanwhile.
+	addressListInterval = 60 * micros.Second
+	// minListIntervalS is the least time between two readings, in seconds.
+	minListIntervalS = 5
+	// listRetryInterval is about how long a reading waits that failed.
+	listRetryInterval = 5 * micros.Second
+	// instancesPerPage is how many instances a page of the list holds.
+	instancesPerPage = 500
+	// listCallShare is the share of the cloud's calls that all controllers' lists
+	// together may take.
+	listCallShare = 1.0 / 3
+	// an instance must be absent from more than absentRounds readings of the list,
+	// for the list is not read at one moment, and it lags.
+	absentRounds = 2
+)
+
+// TrackSweeping notes when it becomes or ceases to be this controller's role to act on the
+// cloud's list.
+func (l *InstanceList) TrackSweeping() {
+	if sweeping := l.roles.MayPerform(leadership.InstanceSweeper); sweeping != l.sweeping {
+		l.sweeping = sweeping
+		l.NextListAt = l.Now
 	}
 }
 
 // SweepsExclusively tells whether no other controller acts on the cloud's list.
-func (i *InstanceList) SweepsExclusively() bool {
-	return i.sweeping && i.roles.IsExclusive(leadership.InstanceSweeper)
+func (l *InstanceList) SweepsExclusively() bool {
+	return l.sweeping && l.roles.IsExclusive(leadership.InstanceSweeper)
 }
 
 // ListInstancesWhenDue reads the cloud's list now and then.
-func (i *InstanceList) ListInstancesWhenDue() {
-	if !i.listInFlight && i.Now >= i.NextListAt {
-		i.listInFlight = true
-		i.listRound++
-		i.listInstances("")
+func (l *InstanceList) ListInstancesWhenDue() {
+	if l.listInFlight || l.Now < l.NextListAt {
+		return
 	}
+	l.listInFlight = true
+	l.listRound++
+	l.requestPage("")
 }
 
-func (i *InstanceList) listInstances(after string) {
-	i.CallCloud(message.CloudCall{Op: message.OpListInstances, After: after}, func(r *message.CloudReply) {
-		if r.Status != 200 {
-			i.listInFlight = false
-			i.NextListAt = i.Now + i.Jitter(5*micros.Second)
+// requestPage reads the page of the list that follows an instance, and those after it.
+func (l *InstanceList) requestPage(after string) {
+	call := message.CloudCall{Op: message.OpListInstances, After: after}
+	l.CallCloud(call, func(reply *message.CloudReply) {
+		if reply.Status != statusOK {
+			l.listInFlight = false
+			l.NextListAt = l.Now + l.Jitter(listRetryInterval)
 			return
 		}
-		for _, cm := range r.Instances.Instances {
-			after = cm.ID
-			i.ObserveListed(cm)
+		page := reply.Instances.Instances
+		for _, instance := range page {
+			l.ObserveListed(instance)
 		}
-		if r.Instances.More && len(r.Instances.Instances) > 0 {
-			i.listInstances(after)
+		if reply.Instances.More && len(page) > 0 {
+			l.requestPage(page[len(page)-1].ID)
 			return
 		}
-		i.listInFlight = false
-		i.NextListAt = i.Now + i.Jitter(i.listInterval())
-		i.expireUnlisted()
+		l.listInFlight = false
+		l.NextListAt = l.Now + l.Jitter(l.listInterval())
+		l.expireUnlisted()
 	})
 }
 
-// addressListInterval is how often a controller reads the cloud's list that does not sweep it:
-// it only wants the addresses of machines that came up meanwhile.
-const addressListInterval = 60 * micros.Second
-
-// listInterval is how often the cloud's list is read. All controllers' lists together
-// take at most a third of the calls that the cloud admits, however many machines
-// there are.
-func (i *InstanceList) listInterval() micros.Micros {
-	if !i.sweeping {
+// listInterval is how often the cloud's list is read. All controllers' lists together take
+// at most their share of the calls that the cloud admits, however many machines there are.
+func (l *InstanceList) listInterval() micros.Micros {
+	if !l.sweeping {
 		return addressListInterval
 	}
-	readers := len(i.Settings.Nodes)
-	if i.roles.IsExclusive(leadership.InstanceSweeper) {
+	readers := len(l.Settings.Nodes)
+	if l.roles.IsExclusive(leadership.InstanceSweeper) {
 		readers = 1
 	}
-	pages := float64(1 + len(i.cluster.Machines)/instancesPerPage)
-	paced := pages * float64(readers) / (listCallShare * i.Settings.Deployment.Cloud.RPS)
-	return micros.FromSeconds(max(5, i.Settings.Deployment.Cloud.ListLagS, paced))
+	pages := float64(1 + len(l.cluster.Machines)/instancesPerPage)
+	paced := pages * float64(readers) / (listCallShare * l.Settings.Deployment.Cloud.RPS)
+	return micros.FromSeconds(max(minListIntervalS, l.Settings.Deployment.Cloud.ListLagS, paced))
 }
 
-const (
-	instancesPerPage = 500     // machines in a page of the cloud's list
-	listCallShare    = 1.0 / 3 // of the cloud's calls
-)
-
-// expireUnlisted drops what was listed before and is absent from several lists.
-func (i *InstanceList) expireUnlisted() {
-	for _, name := range slices.Sorted(maps.Keys(i.listedInstances)) {
-		l := i.listedInstances[name]
-		if l.listRound < i.listRound-2 && i.Now > l.lastSeenAt+i.unlistedTimeout() {
-			delete(i.listedInstances, name)
-			if i.sweeping {
-				i.handleUnlistedInstance(name)
-			}
-		}
-	}
-}
-
-// ObserveListed takes in a machine of the cloud's list.
-func (i *InstanceList) ObserveListed(cm api.Instance) {
-	l := i.listedInstances[cm.ID]
-	if l == nil {
-		l = &listedInstance{firstSeenAt: i.Now}
-		i.listedInstances[cm.ID] = l
+// ObserveListed takes in an instance of the cloud's list.
+func (l *InstanceList) ObserveListed(instance api.Instance) {
+	seen := l.listed[instance.ID]
+	if seen == nil {
+		seen = &sighting{firstSeenAt: l.Now}
+		l.listed[instance.ID] = seen
 	}
-	l.lastSeenAt, l.listRound = i.Now, i.listRound
-	if m := i.cluster.Machines[cm.ID]; m != nil {
-		if m.Address == "" {
-			m.Address = cm.Address
-		}
-		m.LaunchedAt = min(m.LaunchedAt, i.Now-micros.FromSeconds(cm.AgeS))
-		if cm.State == api.InstanceFailed && !m.Record.Condemned {
-			i.handleFailedInstance(m)
-		}
+	l.refresh(seen)
+	if machine := l.cluster.Machines[instance.ID]; machine != nil {
+		l.observeKnownInstance(machine, instance)
 		return
 	}
-	// A rental that was not expected: of a late request, or one whose renter
-	// ended before it could record it. Lists lag, so it is given time.
-	if i.sweeping && i.Now > l.firstSeenAt+micros.FromSeconds(2*i.Settings.Deployment.Cloud.ListLagS+orphanGraceS) {
-		i.handleOrphan(cm)
-		l.firstSeenAt = i.Now
+	// It is of a request that was answered late, or whose sender ended before it could
+	// record the machine. Lists lag, so it is given time.
+	if l.sweeping && l.Now > seen.firstSeenAt+l.orphanTimeout() {
+		l.handleOrphan(instance)
+		seen.firstSeenAt = l.Now
 	}
 }
 
-// ObserveUnknownWorker notes a worker that no record is known of.
-func (i *InstanceList) ObserveUnknownWorker(r *api.Heartbeat) {
-	l := i.listedInstances["report "+r.Machine]
-	if l == nil {
-		i.listedInstances["report "+r.Machine] = &listedInstance{firstSeenAt: i.Now, lastSeenAt: i.Now, listRound: i.listRound}
-		return
+// observeKnownInstance takes in what the list says of a machine that has a record.
+func (l *InstanceList) observeKnownInstance(machine *cluster.Machine, instance api.Instance) {
+	if machine.Address == "" {
+		machine.Address = instance.Address
 	}
-	l.lastSeenAt, l.listRound = i.Now, i.listRound
-	if i.Now > l.firstSeenAt+6*micros.Second && i.roles.MayPerform(leadership.OrphanAdopter) {
-		// Only what answers is there: the report may be a late copy of one
-		// from a machine long returned.
-		l.firstSeenAt = i.Now
-		i.Emit(message.ProbeCommand(r.Machine, r.Address, r.Incarnation))
+	machine.LaunchedAt = min(machine.LaunchedAt, l.Now-micros.FromSeconds(instance.AgeS))
+	if instance.State == api.InstanceFailed && !machine.Record.Condemned {
+		l.handleFailedInstance(machine)
 	}
 }
 
-// AdoptOrphan records a stray machine in a partition of ours; it is used or returned
-// like any other. It tells whether that is ours to do.
-func (i *InstanceList) AdoptOrphan(stray peer.Orphan, how string) bool {
-	if !i.roles.MayPerform(leadership.OrphanAdopter) || !i.roles.LeadsAnyPartition() {
-		return false
-	}
-	if i.deletions.RecentlyDeleted(stray.Machine) || i.isBeingRecorded(stray.Machine) {
-		return true
-	}
-	for _, p := range i.cluster.Partitions {
-		if !p.Leads() {
+// refresh notes that something was seen now.
+func (l *InstanceList) refresh(seen *sighting) {
+	seen.lastSeenAt = l.Now
+	seen.listRound = l.listRound
+}
+
+// expireUnlisted drops what was seen before and is absent from several lists, and acts on
+// the instances among it.
+func (l *InstanceList) expireUnlisted() {
+	for _, name := range slices.Sorted(maps.Keys(l.listed)) {
+		if !l.isAbsent(l.listed[name]) {
 			continue
 		}
-		i.LogInfo("orphaned machine adopted", logkey.Machine, stray.Machine, logkey.Type, stray.Type, logkey.Source, how)
-		row := records.MachineRecord{Name: stray.Machine, Type: stray.Type, Zone: stray.Zone, Spot: stray.Spot, HomePartition: p.Index, Partition: p.Index, LaunchedAt: i.Now}
-		p.MachineBatches = append(p.MachineBatches, &cluster.MachineBatch{Records: []records.MachineRecord{row}, Adopt: true, OnRecorded: func() {}})
-		break
+		delete(l.listed, name)
+		if l.sweeping {
+			l.handleUnlistedInstance(name)
+		}
 	}
-	return true
+	maps.DeleteFunc(l.unknownWorkers, func(_ string, seen *sighting) bool { return l.isAbsent(seen) })
 }
 
-// isBeingRecorded tells whether a machine is about to be recorded.
-func (i *InstanceList) isBeingRecorded(name string) bool {
-	for _, p := range i.cluster.Partitions {
-		for _, n := range p.MachineBatches {
-			if slices.ContainsFunc(n.Records, func(r records.MachineRecord) bool { return r.Name == name }) {
-				return true
-			}
-		}
-	}
-	return false
+// isAbsent tells whether something was not seen for several rounds of the list, and for
+// long enough.
+func (l *InstanceList) isAbsent(seen *sighting) bool {
+	return seen.listRound < l.listRound-absentRounds && l.Now > seen.lastSeenAt+l.unlistedTimeout()
 }
--- a/internal/provisioning/list_findings.go
+++ b/internal/provisioning/list_findings.go
@@ -4,17 +4,33 @@
 	"slices"
 
 	"spurmoor/internal/cluster"
-
-	"spurmoor/internal/api"
 	"spurmoor/internal/micros"
 	"spurmoor/internal/peer"
 )
 
-// What the controller that sweeps the cloud's list finds concerns others' machines
-// too. It tells them for a few seconds; nothing rests on it, for each judges by what
-// it knows itself, and a machine's silence is noticed without the list.
+// Why a machine is scaled in by what the cloud's list says, as the log gives it.
+const (
+	reasonFailed   = "failed"
+	reasonUnlisted = "no longer listed"
+)
+
+const (
+	// MaxFindings is how many findings of one kind a message to another controller holds.
+	MaxFindings = 100
+	// findingDuration is how long a finding is told to the other controllers: several
+	// heartbeats, for one may be lost.
+	findingDuration = 5 * micros.Second
+	// orphanGraceS and unlistedGraceS are how many seconds beyond listLags times its lag
+	// the list is given to show a record's machine, or an instance again.
+	orphanGraceS   = 5
+	unlistedGraceS = 10
+	listLags       = 2
+)
 
-// listFindings is what was found in the list and is told to the others.
+// listFindings is what the controller that sweeps the cloud's list found of machines that
+// other controllers lead. They are told for a few seconds. Nothing rests on it, for each
+// judges by what it knows itself, and a machine's missed heartbeats are noticed without
+// the list.
 type listFindings struct {
 	Failed   []listFinding
 	Unlisted []listFinding
@@ -23,106 +39,110 @@
 
 // listFinding is something found in the cloud's list at a time.
 type listFinding struct {
-	instance peer.Orphan // only its name, of a machine that is known
+	instance peer.Orphan // only its name, of a machine that has a record
 	foundAt  micros.Micros
 }
 
-// How long a finding is told, how many of a sort one message holds, and the graces in
-// seconds beyond twice the lag of the list.
-const (
-	findingDuration = 5 * micros.Second
-	MaxFindings     = 100 // of a sort, in one message
-	orphanGraceS    = 5   // beyond twice the lag of the list
-	unlistGraceS    = 10
-)
-
-// addFinding notes something for the others.
-func (i *InstanceList) addFinding(list *[]listFinding, stray peer.Orphan) {
-	known := slices.ContainsFunc(*list, func(f listFinding) bool { return f.instance.Machine == stray.Machine })
+// addFinding notes something for the other controllers, unless it is known or the list is
+// full.
+func (l *InstanceList) addFinding(list *[]listFinding, instance peer.Orphan) {
+	known := slices.ContainsFunc(*list, func(finding listFinding) bool {
+		return finding.instance.Machine == instance.Machine
+	})
 	if !known && len(*list) < MaxFindings {
-		*list = append(*list, listFinding{instance: stray, foundAt: i.Now})
+		*list = append(*list, listFinding{instance: instance, foundAt: l.Now})
 	}
 }
 
 // CurrentFindings drops what was told for long enough and gives the rest.
-func (i *InstanceList) CurrentFindings() listFindings {
-	for _, list := range []*[]listFinding{&i.findings.Failed, &i.findings.Unlisted, &i.findings.Orphans} {
-		*list = slices.DeleteFunc(*list, func(f listFinding) bool { return i.Now > f.foundAt+findingDuration })
-	}
-	return i.findings
+func (l *InstanceList) CurrentFindings() listFindings {
+	expired := func(finding listFinding) bool { return l.Now > finding.foundAt+findingDuration }
+	l.findings.Failed = slices.DeleteFunc(l.findings.Failed, expired)
+	l.findings.Unlisted = slices.DeleteFunc(l.findings.Unlisted, expired)
+	l.findings.Orphans = slices.DeleteFunc(l.findings.Orphans, expired)
+	return l.findings
 }
 
 // FindingNames gives the names of the machines found.
 func FindingNames(list []listFinding) []string {
 	var names []string
-	for _, f := range list {
-		names = append(names, f.instance.Machine)
+	for _, finding := range list {
+		names = append(names, finding.instance.Machine)
 	}
 	return names
 }
 
-// FindingOrphans gives the machines found of which no record is known.
+// FindingOrphans gives the orphans found.
 func FindingOrphans(list []listFinding) []peer.Orphan {
-	var strays []peer.Orphan
-	for _, f := range list {
-		strays = append(strays, f.instance)
+	var orphans []peer.Orphan
+	for _, finding := range list {
+		orphans = append(orphans, finding.instance)
 	}
-	return strays
+	return orphans
 }
 
 // handleFailedInstance acts on a machine that the cloud lists as failed.
-func (i *InstanceList) handleFailedInstance(m *cluster.Machine) {
-	if i.cluster.LedPartition(m) != nil {
-		i.registry.ScaleIn(m, "failed")
+func (l *InstanceList) handleFailedInstance(machine *cluster.Machine) {
+	if l.cluster.LedPartition(machine) != nil {
+		l.registry.ScaleIn(machine, reasonFailed)
 		return
 	}
-	i.addFinding(&i.findings.Failed, peer.Orphan{Machine: m.Name})
+	l.addFinding(&l.findings.Failed, peer.Orphan{Machine: machine.Name})
 }
 
-// handleUnlistedInstance acts on a machine that the cloud listed once and does not any more.
-func (i *InstanceList) handleUnlistedInstance(name string) {
-	m := i.cluster.Machines[name]
-	if m == nil || m.Record.Condemned {
+// handleUnlistedInstance acts on an instance that the cloud listed once and does not list
+// any more. A machine of ours is scaled in only if it sent nothing for as long either.
+func (l *InstanceList) handleUnlistedInstance(name string) {
+	machine := l.cluster.Machines[name]
+	if machine == nil || machine.Record.Condemned {
 		return
 	}
-	if i.cluster.LedPartition(m) == nil {
-		i.addFinding(&i.findings.Unlisted, peer.Orphan{Machine: name})
+	if l.cluster.LedPartition(machine) == nil {
+		l.addFinding(&l.findings.Unlisted, peer.Orphan{Machine: name})
 		return
 	}
-	if i.Now > m.LastSeenAt+i.unlistedTimeout() {
-		i.registry.ScaleIn(m, "no longer listed")
+	if l.Now > machine.LastSeenAt+l.unlistedTimeout() {
+		l.registry.ScaleIn(machine, reasonUnlisted)
 	}
 }
 
 // unlistedTimeout is how long a machine must be absent from the list, and silent, to be
 // taken for gone.
-func (i *InstanceList) unlistedTimeout() micros.Micros {
-	return micros.FromSeconds(2*i.Settings.Deployment.Cloud.ListLagS + unlistGraceS)
+func (l *InstanceList) unlistedTimeout() micros.Micros {
+	return micros.FromSeconds(listLags*l.Settings.Deployment.Cloud.ListLagS + unlistedGraceS)
 }
 
-// handleOrphan acts on a machine in the list of which no record is known.
-func (i *InstanceList) handleOrphan(cm api.Instance) {
-	stray := peer.Orphan{Machine: cm.ID, Type: cm.Type, Zone: cm.Zone, Spot: cm.Spot}
-	if !i.AdoptOrphan(stray, "listed") {
-		i.addFinding(&i.findings.Orphans, stray)
-	}
+// orphanTimeout is how long an instance may be listed without a record before it is taken
+// for an orphan.
+func (l *InstanceList) orphanTimeout() micros.Micros {
+	return micros.FromSeconds(listLags*l.Settings.Deployment.Cloud.ListLagS + orphanGraceS)
 }
 
-// ApplyPeerFindings acts on what another controller found in the list.
-func (i *InstanceList) ApplyPeerFindings(h *peer.Heartbeat) {
-	for _, name := range h.Failed {
-		if m := i.cluster.Machines[name]; m != nil && i.cluster.LedPartition(m) != nil {
-			i.registry.ScaleIn(m, "failed")
+// ApplyPeerFindings acts on what another controller found in the list, where it concerns
+// machines of ours or orphans.
+func (l *InstanceList) ApplyPeerFindings(heartbeat *peer.Heartbeat) {
+	for _, name := range heartbeat.Failed {
+		if machine := l.ledMachine(name); machine != nil {
+			l.registry.ScaleIn(machine, reasonFailed)
 		}
 	}
-	for _, name := range h.Unlisted {
-		if m := i.cluster.Machines[name]; m != nil && i.cluster.LedPartition(m) != nil {
-			i.handleUnlistedInstance(name)
+	for _, name := range heartbeat.Unlisted {
+		if l.ledMachine(name) != nil {
+			l.handleUnlistedInstance(name)
 		}
 	}
-	for _, stray := range h.Orphans {
-		if i.cluster.Machines[stray.Machine] == nil {
-			i.AdoptOrphan(stray, "listed")
+	for _, orphan := range heartbeat.Orphans {
+		if l.cluster.Machines[orphan.Machine] == nil {
+			l.AdoptOrphan(orphan, sourceListed)
 		}
 	}
 }
+
+// ledMachine gives a machine of a partition that we lead; nil: there is none of this name.
+func (l *InstanceList) ledMachine(name string) *cluster.Machine {
+	machine := l.cluster.Machines[name]
+	if machine == nil || l.cluster.LedPartition(machine) == nil {
+		return nil
+	}
+	return machine
+}
