--- a/internal/planning/direct_commands.go
+++ b/internal/planning/direct_commands.go
@@ -3,80 +3,116 @@
 import (
 	"slices"
 
-	"spurmoor/internal/cluster"
-	"spurmoor/internal/message"
-
 	"spurmoor/internal/api"
+	"spurmoor/internal/cluster"
 	"spurmoor/internal/leadership"
+	"spurmoor/internal/message"
 	"spurmoor/internal/micros"
 )
 
-// Commands that are sent to workers directly, beside those in the answers to their
-// reports.
+const (
+	// MaxCommands keeps an answer's one line below 64 KiB.
+	MaxCommands = 400
+	// commandInterval is the least time between two sets of direct commands to a machine,
+	// unless something new is to be said.
+	commandInterval = 2 * micros.Second
+	// commandsRefused is a worker's status for commands of which it carried out none.
+	commandsRefused = 409
+	// commandsUnanswered is the status where no answer came.
+	commandsUnanswered = 0
+)
 
-// sendDueCommands sends a machine the commands that should not wait for its next report.
-// One that is late is asked before it is taken for dead: where two controllers
-// were cut off its report went to both of them first, five seconds each, and two
-// hundred machines at work were deleted.
-func (k *MachineManager) sendDueCommands(m *cluster.Machine) {
-	m.NextCommandAt = k.Now + 2*micros.Second
-	if m.Address == "" || m.RecordChangePending() {
+// sendDueCommands sends a machine the commands that should not wait for its next
+// heartbeat; the others go with the answers to heartbeats. A machine whose heartbeat is
+// late is sent a command before it is taken for dead: where two controllers were cut off
+// its heartbeat went to both of them first, five seconds each, and two hundred machines
+// at work were deleted.
+func (m *MachineManager) sendDueCommands(machine *cluster.Machine) {
+	machine.NextCommandAt = m.Now + commandInterval
+	if machine.Address == "" || machine.RecordChangePending() {
 		return
 	}
-	late := m.FirstHeartbeatAt > 0 && k.Now > m.LastSeenAt+k.Settings.HeartbeatDue()
-	if cmds := k.directCommands(m); !m.TokenConfirmed || late || cmds != nil {
-		k.sendCommands(m, cmds)
+	late := machine.FirstHeartbeatAt > 0 && m.Now > machine.LastSeenAt+m.Settings.HeartbeatDue()
+	commands := m.directCommands(machine)
+	if !machine.TokenConfirmed || late || commands != nil {
+		m.sendCommands(machine, commands)
 	}
 }
 
-// directCommands lists the commands worth sending at once: stops of tasks that must
-// stop and have not begun to, and the first start of each task.
-func (k *MachineManager) directCommands(m *cluster.Machine) []api.Command {
-	var cmds []api.Command
-	for _, id := range m.TaskIDsCopy() {
-		j := k.cluster.Jobs[id.Job]
-		if t := j.Task(id.Index); !t.Observed && t.DirectStartToken == 0 && j.Partition == m.Record.Partition && !k.tasks.MustStop(j, t) && j.IsCommitted(id.Index) && k.tasks.MayStartOn(m, j) && len(cmds) < MaxCommands {
-			t.DirectStartToken = k.cluster.FencingToken(m)
-			m.HighestStartToken = max(m.HighestStartToken, t.DirectStartToken)
-			cmds = append(cmds, api.Command{Op: api.CommandStart, Task: id.String(), Attempt: t.Attempt})
-			continue
+// directCommands lists the commands worth sending at once: stops of tasks that must stop
+// and have not begun to, and the first start of each task.
+func (m *MachineManager) directCommands(machine *cluster.Machine) []api.Command {
+	var commands []api.Command
+	for _, id := range machine.TaskIDsCopy() {
+		if len(commands) >= MaxCommands {
+			break
 		}
-		if t := j.Task(id.Index); t.Observed && t.ReportedState != api.TaskCheckpointing && k.tasks.MustStop(j, t) && len(cmds) < MaxCommands {
-			g := k.tasks.GraceFor(j, t)
-			cmds = append(cmds, api.Command{Op: api.CommandStop, Task: id.String(), Attempt: t.Attempt, GraceS: &g})
+		job := m.cluster.Jobs[id.Job]
+		task := job.Task(id.Index)
+		switch {
+		case m.shouldStartDirectly(machine, job, id.Index):
+			task.DirectStartToken = m.cluster.FencingToken(machine)
+			machine.HighestStartToken = max(machine.HighestStartToken, task.DirectStartToken)
+			commands = append(commands, api.Command{Op: api.CommandStart, Task: id.String(), Attempt: task.Attempt})
+		case m.shouldStopDirectly(job, task):
+			grace := m.tasks.GraceFor(job, task)
+			commands = append(commands, api.Command{Op: api.CommandStop, Task: id.String(), Attempt: task.Attempt, GraceS: &grace})
 		}
 	}
-	return cmds
+	return commands
+}
+
+// shouldStartDirectly tells whether a task waits for its first start, and may be started.
+func (m *MachineManager) shouldStartDirectly(machine *cluster.Machine, job *cluster.Job, index int) bool {
+	task := job.Task(index)
+	if task.Observed || task.DirectStartToken > 0 || job.Partition != machine.Record.Partition {
+		return false
+	}
+	return !m.tasks.MustStop(job, task) && job.IsCommitted(index) && m.tasks.MayStartOn(machine, job)
+}
+
+// shouldStopDirectly tells whether a task runs that must stop.
+func (m *MachineManager) shouldStopDirectly(job *cluster.Job, task *cluster.Task) bool {
+	return task.Observed && task.ReportedState != api.TaskCheckpointing && m.tasks.MustStop(job, task)
 }
 
-// sendCommands sends direct commands; none at all still raise the worker's token.
-func (k *MachineManager) sendCommands(m *cluster.Machine, cmds []api.Command) {
-	m.CommandInFlight = true
-	if cmds == nil {
-		cmds = []api.Command{}
+// sendCommands sends direct commands; none at all still raise the worker's fencing token.
+func (m *MachineManager) sendCommands(machine *cluster.Machine, commands []api.Command) {
+	machine.CommandInFlight = true
+	if commands == nil {
+		commands = []api.Command{}
 	}
-	body := api.CommandRequest{FencingToken: k.cluster.FencingToken(m), Incarnation: max(1, m.Incarnation), Commands: cmds}
-	starts := slices.ContainsFunc(cmds, func(o api.Command) bool { return o.Op == api.CommandStart })
-	k.Emit(message.SendCommands{Machine: m.Name, Addr: m.Address, Starts: starts, Body: leadership.NewOrder(k.storeLease.CommandGrant(k.cluster.Partitions[m.Record.Partition].RoleState), body)})
+	body := api.CommandRequest{
+		FencingToken: m.cluster.FencingToken(machine),
+		Incarnation:  max(1, machine.Incarnation),
+		Commands:     commands,
+	}
+	grant := m.storeLease.CommandGrant(m.cluster.Partitions[machine.Record.Partition].RoleState)
+	m.Emit(message.SendCommands{
+		Machine: machine.Name,
+		Addr:    machine.Address,
+		Starts:  slices.ContainsFunc(commands, isStart),
+		Body:    leadership.NewOrder(grant, body),
+	})
 }
 
+func isStart(command api.Command) bool { return command.Op == api.CommandStart }
+
 // SettleDirectStarts takes in what an answer, or its absence, says of the direct starts
 // that were sent with it.
-func (k *MachineManager) SettleDirectStarts(m *cluster.Machine, v message.CommandReply) {
-	if v.Status == 0 && v.Starts && !v.Unsent {
-		// The start may be carried out minutes late. A higher token, once
-		// the worker has seen it, makes that impossible.
-		m.StartOutcomeUnknown = true
+func (m *MachineManager) SettleDirectStarts(machine *cluster.Machine, reply message.CommandReply) {
+	if reply.Status == commandsUnanswered && reply.Starts && !reply.Unsent {
+		// The start may be carried out minutes late. A higher token, once the worker
+		// has seen it, makes that impossible.
+		machine.StartOutcomeUnknown = true
 	}
-	if v.Status != 409 && !v.Unsent {
+	carriedOutNone := reply.Status == commandsRefused || reply.Unsent
+	if !carriedOutNone {
 		return
 	}
-	for _, id := range m.TaskIDsCopy() { // nothing was carried out
-		if t := k.cluster.Jobs[id.Job].Task(id.Index); t.DirectStartToken == v.Token {
-			t.DirectStartToken = 0
+	for _, task := range tasksOn(m.cluster, machine) {
+		if task.DirectStartToken == reply.Token {
+			task.DirectStartToken = 0
 		}
 	}
 }
-
-// MaxCommands keeps an answer's one line below 64 KiB.
-const MaxCommands = 400
--- a/internal/planning/machine_manager.go
+++ b/internal/planning/machine_manager.go
@@ -4,11 +4,11 @@
 	"spurmoor/internal/cluster"
 	"spurmoor/internal/coordination"
 	"spurmoor/internal/logkey"
-	"spurmoor/internal/micros"
 )
 
-// MachineManager looks after the machines of the partitions that we lead: their leases,
-// commands, drains, and when they are given back.
+// MachineManager looks after the machines of the partitions that we lead, through all of
+// their lives: their leases and commands, their records, drains, moves to other
+// partitions, and when they are scaled in.
 type MachineManager struct {
 	*coordination.Environment
 	boots        *cluster.BootStatistics
@@ -21,161 +21,169 @@
 }
 
 // NewMachineManager makes a machine manager.
-func NewMachineManager(env *coordination.Environment, boots *cluster.BootStatistics, cluster *cluster.State, isolation *IsolationGuard, registry *cluster.MachineRegistry,
-	reservations *ReservationPlanner, lease *coordination.StoreLease, tasks *cluster.TaskLifecycle) *MachineManager {
-	return &MachineManager{Environment: env, boots: boots, cluster: cluster, isolation: isolation, registry: registry,
-		reservations: reservations, storeLease: lease, tasks: tasks}
+func NewMachineManager(
+	env *coordination.Environment,
+	boots *cluster.BootStatistics,
+	state *cluster.State,
+	isolation *IsolationGuard,
+	registry *cluster.MachineRegistry,
+	reservations *ReservationPlanner,
+	lease *coordination.StoreLease,
+	tasks *cluster.TaskLifecycle,
+) *MachineManager {
+	return &MachineManager{
+		Environment:  env,
+		boots:        boots,
+		cluster:      state,
+		isolation:    isolation,
+		registry:     registry,
+		reservations: reservations,
+		storeLease:   lease,
+		tasks:        tasks,
+	}
 }
 
-// ReconcileMachines looks after the machines of the partitions that we hold.
-func (k *MachineManager) ReconcileMachines() {
-	silent, up := 0, 0
-	silence := k.Settings.SilenceTimeout()
-	for _, m := range k.cluster.MachinesByName {
-		p := k.cluster.LedPartition(m)
-		if p == nil {
-			continue
+// ReconcileMachines does what is due of all machines of the partitions that we lead.
+func (m *MachineManager) ReconcileMachines() {
+	machinesUp, silent := m.countMachines()
+	mostSilent := machinesUp >= minMachinesToJudge && silent > machinesUp-silent
+	m.sendAllDueCommands()
+	m.isolation.resignIfIsolated(machinesUp)
+	for _, machine := range m.cluster.MachinesByName {
+		if m.cluster.LedPartition(machine) != nil {
+			m.reconcileMachine(machine, mostSilent)
 		}
-		if m.FirstHeartbeatAt > 0 {
-			up++
-			if k.Now > k.storeLease.SilenceCountsFrom(m.LastSeenAt)+silence*2/3 {
-				silent++
-			}
+	}
+}
+
+// countMachines counts the machines of ours that sent a heartbeat before, and of these the
+// ones that are likely cut off from us.
+func (m *MachineManager) countMachines() (machinesUp, silent int) {
+	cutOff := m.isolation.likelyCutOffSilence()
+	for _, machine := range m.cluster.MachinesByName {
+		if machine.FirstHeartbeatAt == 0 || m.cluster.LedPartition(machine) == nil {
+			continue
 		}
-		if m.NextCommandAt <= k.Now && !m.CommandInFlight && k.storeLease.MayAnswerFor(p.RoleState) {
-			k.sendDueCommands(m)
+		machinesUp++
+		if m.Now > m.storeLease.SilenceCountsFrom(machine.LastSeenAt)+cutOff {
+			silent++
 		}
 	}
-	cut := up >= 2 && silent*2 > up
-	k.isolation.resignIfIsolated(up)
-	for _, m := range k.cluster.MachinesByName {
-		if k.cluster.LedPartition(m) != nil {
-			k.reconcileMachine(m, cut)
+	return machinesUp, silent
+}
+
+// sendAllDueCommands sends direct commands to the machines of ours that they are due for.
+func (m *MachineManager) sendAllDueCommands() {
+	for _, machine := range m.cluster.MachinesByName {
+		partition := m.cluster.LedPartition(machine)
+		if partition == nil || machine.CommandInFlight || m.Now < machine.NextCommandAt {
+			continue
+		}
+		if m.storeLease.MayAnswerFor(partition.RoleState) {
+			m.sendDueCommands(machine)
 		}
 	}
 }
 
-// reconcileMachine looks after one machine of ours. cut: most machines are silent, so
-// that silence says nothing of a single one. Without a lease that is known to hold no
-// machine is judged, for another controller may have it by now; but tasks on one that
-// will be taken are told to save in an outage as well.
-func (k *MachineManager) reconcileMachine(m *cluster.Machine, cut bool) {
-	judges := k.storeLease.LeaseValid()
-	if judges && k.Now > m.LeaseExpiresAt && len(m.TaskIDs) > 0 {
-		k.LogInfo("machine lease expired", logkey.Machine, m.Name, logkey.Tasks, len(m.TaskIDs))
-		k.tasks.ReleaseTasks(m, "its lease expired")
-	}
-	if m.Record.Condemned {
-		k.dropDeletedRecord(m)
+// reconcileMachine does what is due of one machine of ours. mostSilent: most machines are
+// silent, so that silence says nothing of a single one. Without a lease that is known to
+// hold no machine is judged, for another controller may lead its partition by now; but
+// tasks on one that will be interrupted are told to checkpoint in an outage as well.
+func (m *MachineManager) reconcileMachine(machine *cluster.Machine, mostSilent bool) {
+	mayJudge := m.storeLease.LeaseValid()
+	if mayJudge && m.Now > machine.LeaseExpiresAt && len(machine.TaskIDs) > 0 {
+		m.LogInfo("machine lease expired", logkey.Machine, machine.Name, logkey.Tasks, len(machine.TaskIDs))
+		m.tasks.ReleaseTasks(machine, "its lease expired")
+	}
+	if machine.Record.Condemned {
+		m.dropDeletedRecord(machine)
 		return
 	}
-	k.maintainRecord(m)
-	if why := k.removalReason(m, cut); judges && why != "" {
-		k.registry.ScaleIn(m, why)
+	m.maintainRecord(machine)
+	if reason := m.faultReason(machine, mostSilent); mayJudge && reason != "" {
+		m.registry.ScaleIn(machine, reason)
 	} else {
-		k.drainOrRelease(m)
+		m.releaseMachine(machine)
 	}
-	k.expireClaim(m)
+	m.expireClaim(machine)
 }
 
-// dropDeletedRecord has the record of a machine that the cloud deleted forgotten.
-func (k *MachineManager) dropDeletedRecord(m *cluster.Machine) {
-	if !m.DeleteConfirmed || m.RecordChangePending() {
+// dropDeletedRecord has the record dropped of a machine that the cloud deleted.
+func (m *MachineManager) dropDeletedRecord(machine *cluster.Machine) {
+	if !machine.DeleteConfirmed || machine.RecordChangePending() {
 		return
 	}
-	k.tasks.ReleaseTasks(m, "deleted")
-	if k.cluster.IsEmptyAndCommitted(m) {
-		k.cluster.RequestRecordChange(m, cluster.DropRecord)
+	m.tasks.ReleaseTasks(machine, "deleted")
+	if m.cluster.IsEmptyAndCommitted(machine) {
+		m.cluster.RequestRecordChange(machine, cluster.DropRecord)
 	}
 }
 
-// maintainRecord has a machine's record copied into our log, or its token raised.
-func (k *MachineManager) maintainRecord(m *cluster.Machine) {
-	if m.Origin.Partition != m.Record.Partition && !m.RecordChangePending() {
-		k.cluster.RequestRecordChange(m, cluster.CopyRecord)
+// maintainRecord has a machine's record copied into the log of its partition, and its
+// fencing token raised where a direct start had no answer.
+func (m *MachineManager) maintainRecord(machine *cluster.Machine) {
+	if machine.Origin.Partition != machine.Record.Partition && !machine.RecordChangePending() {
+		m.cluster.RequestRecordChange(machine, cluster.CopyRecord)
 	}
-	if m.StartOutcomeUnknown && !m.RecordChangePending() {
-		m.StartOutcomeUnknown = false
-		k.cluster.RequestRecordChange(m, cluster.RaiseToken)
+	if machine.StartOutcomeUnknown && !machine.RecordChangePending() {
+		machine.StartOutcomeUnknown = false
+		m.cluster.RequestRecordChange(machine, cluster.RaiseToken)
 	}
 }
 
-// removalReason says why a machine is returned for what it does not do; "" if it is
-// not.
-func (k *MachineManager) removalReason(m *cluster.Machine, cut bool) string {
-	boot := unknownBootS
-	if m.MachineType != nil {
-		boot = m.MachineType.BootS
-	}
-	waited := k.Now > k.storeLease.SilenceCountsFrom(m.AwaitedSince)+k.Settings.SilenceTimeout()+8*micros.Second
-	switch overdue := waited && k.boots.BootOverdue(m); {
-	case overdue && k.Now > m.LaunchedAt+micros.FromSeconds(boot*3+20):
-		return "never came up"
-	case overdue && !k.cluster.Partitions[m.Record.Partition].HasBlockedJobs:
-		return "overdue, and nothing waits for it"
-	case m.FirstHeartbeatAt > 0 && !cut && k.Now > k.storeLease.SilenceCountsFrom(m.LastSeenAt)+k.Settings.SilenceTimeout():
-		return "silent"
-	case m.IgnoringSince > 0 && k.Now > k.storeLease.SilenceCountsFrom(m.IgnoringSince)+k.Settings.SilenceTimeout()+micros.FromSeconds(k.Settings.Deployment.Workers.ReportS):
-		return "ignores its commands"
-	}
-	return ""
-}
-
-// unknownBootS is the boot time taken for a machine of an unknown type, in seconds.
-const unknownBootS = 60.0
-
-// minIdleAge is how old a machine must be to be returned as idle: one that is deleted
-// costs a minute in any case.
-const minIdleAge = 50 * micros.Second
-
-// drainOrRelease drains a machine, gives it to whom it is meant for, or returns it.
-func (k *MachineManager) drainOrRelease(m *cluster.Machine) {
+// releaseMachine lets go of a machine that is not to go on as it does: it is drained, kept
+// for the gang that it is reserved for, moved to another partition, or scaled in as idle.
+func (m *MachineManager) releaseMachine(machine *cluster.Machine) {
+	moving := machine.MoveToPartition != noPartition
 	switch {
-	case m.InterruptionAt > 0 || m.Quarantined:
-		k.drain(m)
-	case k.reservations.reservedForPartition(m) >= 0 && m.MoveToPartition < 0:
-		k.reservations.enforceReservation(m)
-	case m.MoveToPartition >= 0:
-		k.advanceMove(m)
-	case m.TokenConfirmed && len(m.TaskIDs) == 0 && m.ClaimedBy == "" && k.Now > m.IdleSince+micros.FromSeconds(k.Settings.Operators.IdleReturnS) && k.Now > m.LaunchedAt+minIdleAge:
-		k.registry.ScaleIn(m, "idle")
+	case machine.InterruptionAt > 0 || machine.Quarantined:
+		m.drain(machine)
+	case !moving && m.reservations.isReserved(machine):
+		m.reservations.enforceReservation(machine)
+	case moving:
+		m.advanceMove(machine)
+	case m.hasIdledEnough(machine):
+		m.registry.ScaleIn(machine, reasonIdle)
 	}
 }
 
-// drain empties a machine that will be taken or is faulty, and returns it.
-func (k *MachineManager) drain(m *cluster.Machine) {
-	for _, id := range m.TaskIDsCopy() {
-		j := k.cluster.Jobs[id.Job]
-		if t := j.Task(id.Index); !m.Quarantined && j.Spec.CheckpointIntervalS > 0 && t.StopRequestedAt == 0 {
-			k.tasks.RequestTaskStop(j, t, "the machine is about to be interrupted")
+// drain empties a machine that will be interrupted or is quarantined, and scales it in.
+// Tasks on a quarantined one end by themselves; those that can checkpoint leave one that
+// will be interrupted.
+func (m *MachineManager) drain(machine *cluster.Machine) {
+	for job, task := range tasksOn(m.cluster, machine) {
+		if !machine.Quarantined && job.Spec.CheckpointIntervalS > 0 && task.StopRequestedAt == 0 {
+			m.tasks.RequestTaskStop(job, task, "the machine is about to be interrupted")
 		}
 	}
-	if len(m.TaskIDs) == 0 && m.AllTasksEnded() {
-		k.registry.ScaleIn(m, "drained")
+	if len(machine.TaskIDs) == 0 && machine.AllTasksEnded() {
+		m.registry.ScaleIn(machine, reasonDrained)
 	}
 }
 
-// advanceMove empties a machine that goes to another partition, and lends it there.
-func (k *MachineManager) advanceMove(m *cluster.Machine) {
-	for _, id := range m.TaskIDsCopy() {
-		j := k.cluster.Jobs[id.Job]
-		if t := j.Task(id.Index); m.PreemptForMove {
-			k.tasks.RequestTaskStop(j, t, "the machine goes to another partition")
+// advanceMove empties a machine that goes to another partition, and transfers it once it is
+// empty. Tasks are stopped only where the promise permits that.
+func (m *MachineManager) advanceMove(machine *cluster.Machine) {
+	if machine.PreemptForMove {
+		for job, task := range tasksOn(m.cluster, machine) {
+			m.tasks.RequestTaskStop(job, task, "the machine goes to another partition")
 		}
 	}
-	if len(m.TaskIDs) == 0 && m.TokenConfirmed {
-		k.registry.TransferMachine(m, m.MoveToPartition)
+	if len(machine.TaskIDs) == 0 && machine.TokenConfirmed {
+		m.registry.TransferMachine(machine, machine.MoveToPartition)
 	}
 }
 
-// expireClaim ends a claim with the job's start there (plan), its time, or its need.
-// It ended with the job's first task anywhere once: two partitions then took a machine
-// from each other three times a second.
-func (k *MachineManager) expireClaim(m *cluster.Machine) {
-	if m.ClaimedBy == "" {
+// expireClaim ends a job's claim on a machine with its time, or when all of the job's tasks
+// are placed; the job's start on the machine itself ends it as well. When it ended with
+// the job's first task anywhere, two partitions took a machine from each other three times
+// a second.
+func (m *MachineManager) expireClaim(machine *cluster.Machine) {
+	if machine.ClaimedBy == "" {
 		return
 	}
-	if j := k.cluster.Jobs[m.ClaimedBy]; k.Now > m.ClaimExpiresAt || j == nil || j.PlacedTasks+j.DoneTasks == j.Spec.Tasks {
-		m.ClaimedBy = ""
+	job := m.cluster.Jobs[machine.ClaimedBy]
+	if m.Now > machine.ClaimExpiresAt || job == nil || job.PlacedTasks+job.DoneTasks == job.Spec.Tasks {
+		machine.ClaimedBy = ""
 	}
 }
--- a/internal/planning/scheduling_cycle.go
+++ b/internal/planning/scheduling_cycle.go
@@ -5,10 +5,10 @@
 package planning
 
 import (
-	"spurmoor/internal/api"
+	"maps"
+
 	"spurmoor/internal/cluster"
 	"spurmoor/internal/coordination"
-	"spurmoor/internal/logkey"
 	"spurmoor/internal/micros"
 	"spurmoor/internal/peer"
 	"spurmoor/internal/provisioning"
@@ -32,155 +32,104 @@
 	view         *SchedulerView
 
 	nextCycleAt     micros.Micros
-	earliestPlanAt  micros.Micros            // none before this time
+	earliestPlanAt  micros.Micros            // no cycle before this, whatever triggers one
 	BlockedReasons  map[string]string        // by job, of the last plans
 	ExpectedEnds    map[string]micros.Micros // by job, of the last plans
 	MachineRequests []peer.MachineRequest    // to other partitions' leaders
 }
 
 // NewSchedulingCycle makes a scheduling cycle.
-func NewSchedulingCycle(env *coordination.Environment, boots *cluster.BootStatistics, cache *coordination.WatchCache, catalog *cluster.MachineCatalog, cluster *cluster.State,
-	lending *MachineLending, peers *coordination.PeerTracker, provisioning *provisioning.Provisioner, reservations *ReservationPlanner, tasks *cluster.TaskLifecycle,
-	trigger *cluster.CycleTrigger, urgencies *UrgencyIndex, view *SchedulerView) *SchedulingCycle {
-	return &SchedulingCycle{Environment: env, boots: boots, cache: cache, catalog: catalog, cluster: cluster, lending: lending,
-		peers: peers, provisioning: provisioning, reservations: reservations, tasks: tasks, trigger: trigger,
-		urgencies: urgencies, view: view, BlockedReasons: map[string]string{}}
-}
-
-// RunSchedulingCycle ranks and places for every partition that we hold: every cycle_s, and
-// early when something arrived or ended.
-func (y *SchedulingCycle) RunSchedulingCycle() {
-	if !y.cache.Synced || y.Now < y.nextCycleAt && !y.trigger.Due() {
-		return
-	}
-	if y.Now < y.earliestPlanAt {
-		return // an early cycle is not a cycle for each report
-	}
-	y.nextCycleAt = y.Now + micros.FromSeconds(y.Settings.Operators.CycleIntervalS)
-	y.trigger.Clear()
-	y.earliestPlanAt = y.Now + minPlanInterval(len(y.cluster.Machines), len(y.cluster.Jobs))
-	y.MachineRequests = nil
-	y.BlockedReasons, y.ExpectedEnds = map[string]string{}, map[string]micros.Micros{}
-	if len(y.catalog.MachineTypes) == 0 {
-		return
-	}
-	y.urgencies.computeUrgencies()
-	y.reservations.planReservations()
-	for _, p := range y.cluster.Partitions {
-		if p.Leads() {
-			y.planPartition(p)
-		}
+func NewSchedulingCycle(
+	env *coordination.Environment,
+	boots *cluster.BootStatistics,
+	cache *coordination.WatchCache,
+	catalog *cluster.MachineCatalog,
+	state *cluster.State,
+	lending *MachineLending,
+	peers *coordination.PeerTracker,
+	provisioner *provisioning.Provisioner,
+	reservations *ReservationPlanner,
+	tasks *cluster.TaskLifecycle,
+	trigger *cluster.CycleTrigger,
+	urgencies *UrgencyIndex,
+	view *SchedulerView,
+) *SchedulingCycle {
+	return &SchedulingCycle{
+		Environment:    env,
+		boots:          boots,
+		cache:          cache,
+		catalog:        catalog,
+		cluster:        state,
+		lending:        lending,
+		peers:          peers,
+		provisioning:   provisioner,
+		reservations:   reservations,
+		tasks:          tasks,
+		trigger:        trigger,
+		urgencies:      urgencies,
+		view:           view,
+		BlockedReasons: map[string]string{},
 	}
 }
 
-// minPlanInterval is the least time between cycles: it grows with what a plan looks
-// at, so that planning takes a bounded share of the processor.
+const (
+	// basePlanInterval and planIntervalPerItem give the least time between two cycles.
+	basePlanInterval    = micros.Second / 10
+	planIntervalPerItem = 400 * micros.Microsecond // for each machine and each job
+)
+
+// minPlanInterval is the least time between two cycles: it grows with what a plan goes
+// through, so that planning takes a bounded share of the processor.
 func minPlanInterval(machines, jobs int) micros.Micros {
-	return micros.Second/10 + micros.Micros(machines)*micros.Second/2500 + micros.Micros(jobs)*micros.Second/2500
+	return basePlanInterval + micros.Micros(machines+jobs)*planIntervalPerItem
 }
 
-// planPartition makes and carries out one partition's plan.
-func (y *SchedulingCycle) planPartition(p *cluster.Partition) {
-	v, jobs := y.snapshotFor(p)
-	plan := scheduler.MakePlan(v)
-	y.bindTasks(plan.Bindings, jobs)
-	y.preemptTasks(plan.Preemptions)
-	for _, r := range plan.ScaleOuts {
-		y.provisioning.ScaleOut(p, r.Kind, r.Count)
+// RunSchedulingCycle plans for every partition that we lead, as often as the operators set,
+// and earlier when something was triggered, but no sooner than the least interval after
+// the last cycle. Nothing is planned before the replica and the catalog are complete.
+func (c *SchedulingCycle) RunSchedulingCycle() {
+	due := c.Now >= c.nextCycleAt || c.trigger.Due()
+	if !c.cache.Synced || !due || c.Now < c.earliestPlanAt {
+		return
 	}
-	y.requestMachines(p, plan, jobs)
-	p.HasBlockedJobs = len(plan.BlockedReasons) > 0
-	for id, why := range plan.BlockedReasons {
-		y.BlockedReasons[id] = why
+	c.nextCycleAt = c.Now + micros.FromSeconds(c.Settings.Operators.CycleIntervalS)
+	c.trigger.Clear()
+	c.earliestPlanAt = c.Now + minPlanInterval(len(c.cluster.Machines), len(c.cluster.Jobs))
+	c.MachineRequests = nil
+	c.BlockedReasons = map[string]string{}
+	c.ExpectedEnds = map[string]micros.Micros{}
+	if len(c.catalog.MachineTypes) == 0 {
+		return
 	}
-	for id, end := range plan.ExpectedEnds {
-		if jobs[id] != nil {
-			y.ExpectedEnds[id] = end
+	c.urgencies.computeUrgencies()
+	c.reservations.planReservations()
+	for _, partition := range c.cluster.Partitions {
+		if partition.Leads() {
+			c.planPartition(partition)
 		}
 	}
 }
 
-// bindTasks records the starts of a plan, to be committed.
-func (y *SchedulingCycle) bindTasks(starts []scheduler.Binding, jobs map[string]*cluster.Job) {
-	next, gangAttempt := map[string][]int{}, map[string]uint64{}
-	for _, s := range starts {
-		j := jobs[s.Job.ID]
-		if _, ok := next[j.ID]; !ok {
-			next[j.ID] = j.Placeable(y.Now, y.tasks.MaxTasksPerPlan(j))
-			if j.Spec.Kind == api.Gang {
-				gangAttempt[j.ID] = j.LastAttempt()
-				if !j.IsReassembling() {
-					gangAttempt[j.ID]++
-				}
-				j.StartUncommitted = true
-			}
-		}
-		n := next[j.ID][0]
-		next[j.ID] = next[j.ID][1:]
-		attempt := uint64(1)
-		if t := j.Task(n); t != nil {
-			attempt = t.Attempt + 1
-		}
-		if j.Spec.Kind == api.Gang {
-			attempt = gangAttempt[j.ID]
-		}
-		y.cluster.ChangeTask(j, n, cluster.TaskRecord{State: cluster.TaskPlaced, Attempt: attempt, Machine: s.Machine.Name})
-		y.LogDebug("task placed", logkey.Job, j.ID, logkey.Task, n, logkey.Attempt, attempt, logkey.Machine, s.Machine.Name, logkey.WaitedS, (y.Now - j.EligibleAt()).WholeSeconds())
-		if m := y.cluster.Machines[s.Machine.Name]; m.ClaimedBy == j.ID {
-			m.ClaimedBy = ""
-		}
-	}
-}
-
-// claimDuration is how long a machine is kept for the job that it is emptied for.
-const claimDuration = 40 * micros.Second
-
-// preemptTasks has tasks stopped where a plan says so, and the machines kept for the
-// jobs that they are stopped for.
-func (y *SchedulingCycle) preemptTasks(evictions []scheduler.Preemption) {
-	for _, e := range evictions {
-		m := y.cluster.Machines[e.Machine.Name]
-		again := m.ClaimedBy == e.For.ID
-		m.ClaimedBy, m.ClaimExpiresAt, m.ClaimGuaranteed = e.For.ID, y.Now+claimDuration, e.WithinGuarantee
-		if again {
-			continue
-		}
-		if e.Machine.OtherPartition {
-			y.LogInfo("machine requested", logkey.ForJob, e.For.ID, logkey.Machine, m.Name, logkey.Partition, m.Record.Partition, logkey.Tasks, len(e.Victims))
-			continue
-		}
-		y.LogInfo("tasks preempted", logkey.ForJob, e.For.ID, logkey.Machine, m.Name, logkey.Tasks, len(e.Victims))
-		for _, u := range e.Victims {
-			j := y.cluster.Jobs[u.Job.ID]
-			y.tasks.RequestTaskStop(j, j.Task(u.TaskIndex), "preempted for "+e.For.ID)
-		}
+// planPartition makes one partition's plan and carries it out.
+func (c *SchedulingCycle) planPartition(partition *cluster.Partition) {
+	snapshot, jobs := c.snapshotFor(partition)
+	plan := scheduler.MakePlan(snapshot)
+	c.bindTasks(plan.Bindings, jobs)
+	c.preemptTasks(plan.Preemptions)
+	for _, scaleOut := range plan.ScaleOuts {
+		c.provisioning.ScaleOut(partition, scaleOut.Kind, scaleOut.Count)
 	}
+	c.requestMachines(partition, plan, jobs)
+	c.noteOutlook(partition, plan, jobs)
 }
 
-// MaxMachineRequests bounds what is asked of the others at a time, so that one message holds it;
-// what is still wanted is asked with the next plan.
-const MaxMachineRequests = 500
-
-// requestMachines asks the other partitions for machines of theirs that the partition needs.
-func (y *SchedulingCycle) requestMachines(p *cluster.Partition, plan *scheduler.Plan, jobs map[string]*cluster.Job) {
-	for _, m := range plan.Borrow {
-		if len(y.MachineRequests) >= MaxMachineRequests {
-			break
-		}
-		rec := y.cluster.Machines[m.Name].Record
-		y.MachineRequests = append(y.MachineRequests, peer.MachineRequest{Machine: m.Name, Partition: p.Index, Reclaim: rec.HomePartition == p.Index})
-	}
-	for _, m := range y.cluster.MachinesByName {
-		// Asked again until it comes: a message may be lost.
-		if m.ClaimedBy != "" && m.Record.Partition != p.Index && jobs[m.ClaimedBy] != nil && len(y.MachineRequests) < MaxMachineRequests {
-			y.MachineRequests = append(y.MachineRequests, peer.MachineRequest{Machine: m.Name, Partition: p.Index, Tier: jobs[m.ClaimedBy].Spec.Priority.Tier(), InheritedTier: y.urgencies.effectiveTier(jobs[m.ClaimedBy]), Guaranteed: m.ClaimGuaranteed})
+// noteOutlook keeps what a plan says of the jobs that wait, and of when jobs will end.
+func (c *SchedulingCycle) noteOutlook(partition *cluster.Partition, plan *scheduler.Plan, jobs map[string]*cluster.Job) {
+	partition.HasBlockedJobs = len(plan.BlockedReasons) > 0
+	maps.Copy(c.BlockedReasons, plan.BlockedReasons)
+	for id, end := range plan.ExpectedEnds {
+		if jobs[id] != nil {
+			c.ExpectedEnds[id] = end
 		}
 	}
-	if m := y.chooseSpare(p, jobs, plan.BlockedReasons); m != nil {
-		y.MachineRequests = append(y.MachineRequests, peer.MachineRequest{Machine: m.Name, Partition: p.Index, Spare: true})
-	}
-	if len(y.MachineRequests) > 0 {
-		y.peers.RequestBroadcast()
-		y.lending.HandleMachineRequests(y.MachineRequests)
-	}
 }
--- a/internal/planning/spare_machine.go
+++ b/internal/planning/spare_machine.go
@@ -4,77 +4,109 @@
 	"maps"
 	"slices"
 
-	"spurmoor/internal/logkey"
-
-	"spurmoor/internal/cluster"
-
 	"spurmoor/internal/api"
+	"spurmoor/internal/cluster"
+	"spurmoor/internal/logkey"
 	"spurmoor/internal/micros"
 	"spurmoor/internal/scheduler"
 )
 
-// chooseSpare is a machine of another partition with room for a job of ours that nothing can
-// be rented for, and of which nothing has begun after a sixth of begin_within_s.
-// A machine has one holder, so room beside another partition's tasks is no use to us: in
-// a small, full cluster a team under its limit waited for two minutes beside it.
-// It is asked for to be given when its tasks have ended; one at a time.
-func (y *SchedulingCycle) chooseSpare(p *cluster.Partition, jobs map[string]*cluster.Job, why map[string]string) *cluster.Machine {
-	first := y.oldestWithoutScaleOut(jobs, why)
-	if first == nil {
-		p.RequestedSpare = ""
+// spareAfterDivisor: a spare machine is requested for a job of which nothing has begun
+// after 1/spareAfterDivisor of begin_within_s.
+const spareAfterDivisor = 6
+
+// chooseSpare chooses a machine of another partition with room for a job of ours that has
+// waited and that nothing can be launched for; nil: none is wanted, or there is none. It is
+// requested to be given when its tasks have ended, one machine at a time. A machine has one
+// partition, so room beside another partition's tasks is no use to us: in a small, full
+// cluster a team under its limit waited for two minutes beside it.
+func (c *SchedulingCycle) chooseSpare(
+	partition *cluster.Partition, jobs map[string]*cluster.Job, blockedReasons map[string]string,
+) *cluster.Machine {
+	job := c.oldestWithoutScaleOut(jobs, blockedReasons)
+	if job == nil {
+		partition.RequestedSpare = ""
 		return nil
 	}
-	if m := y.cluster.Machines[p.RequestedSpare]; m != nil && y.mayRequestSpare(m, p, first) {
-		return m // what was asked for goes on emptying
+	requested := c.cluster.Machines[partition.RequestedSpare]
+	if requested != nil && c.mayRequestSpare(requested, partition, job) {
+		return requested // it goes on emptying
 	}
-	var best *cluster.Machine
-	var soonest micros.Micros
-	for _, m := range y.cluster.MachinesByName {
-		if !y.mayRequestSpare(m, p, first) {
-			continue
-		}
-		sm := y.view.schedulerMachine(m)
-		if !sm.Free.Fits(first.Request) {
+	spare := c.soonestSpare(partition, job)
+	if spare == nil {
+		partition.RequestedSpare = ""
+		return nil
+	}
+	partition.RequestedSpare = spare.Name
+	c.LogInfo("spare machine requested",
+		logkey.ForJob, job.ID,
+		logkey.Machine, spare.Name,
+		logkey.Partition, spare.Record.Partition,
+		logkey.Tasks, len(spare.TaskIDs))
+	return spare
+}
+
+// oldestWithoutScaleOut gives the job that has waited longest of those that a single
+// machine would help, and that nothing can be launched for; nil: there is none.
+func (c *SchedulingCycle) oldestWithoutScaleOut(
+	jobs map[string]*cluster.Job, blockedReasons map[string]string,
+) *cluster.Job {
+	var oldest *cluster.Job
+	for _, id := range slices.Sorted(maps.Keys(jobs)) {
+		job := jobs[id]
+		if blockedReasons[id] != scheduler.ReasonNothingToLaunch || !c.needsSpare(job) {
 			continue
 		}
-		y.view.addAllocations(sm, m, nil)
-		end := y.Now
-		for _, u := range sm.Allocations {
-			end = max(end, u.ExpectedEnd)
-		}
-		if best == nil || end < soonest {
-			best, soonest = m, end
+		if oldest == nil || job.AcceptedAt < oldest.AcceptedAt {
+			oldest = job
 		}
 	}
-	p.RequestedSpare = ""
-	if best != nil {
-		p.RequestedSpare = best.Name
-		y.LogInfo("spare machine requested", logkey.ForJob, first.ID, logkey.Machine, best.Name, logkey.Partition, best.Record.Partition, logkey.Tasks, len(best.TaskIDs))
+	return oldest
+}
+
+// needsSpare tells whether a job has waited for long enough to get a spare machine, and a
+// single one would help it.
+func (c *SchedulingCycle) needsSpare(job *cluster.Job) bool {
+	oneMachineHelps := job.Spec.Kind == api.Array || job.Spec.Tasks == 1
+	if !oneMachineHelps || job.HasStarted() || c.tasks.Deprioritized(job) {
+		return false
 	}
-	return best
+	wait := micros.FromSeconds(c.Settings.Operators.BeginWithinS / spareAfterDivisor)
+	return c.Now > job.EligibleAt()+wait
 }
 
-// oldestWithoutScaleOut is the job that has waited longest of those that a single
-// machine would help, and for which nothing can be rented.
-func (y *SchedulingCycle) oldestWithoutScaleOut(jobs map[string]*cluster.Job, why map[string]string) *cluster.Job {
-	var first *cluster.Job
-	for _, id := range slices.Sorted(maps.Keys(jobs)) {
-		j := jobs[id]
-		single := j.Spec.Kind == api.Array || j.Spec.Tasks == 1
-		if why[id] != scheduler.ReasonNothingToLaunch || !single || j.HasStarted() || y.tasks.Deprioritized(j) {
+// soonestSpare gives the machine with room for a job's task that is expected to be empty
+// first; nil: there is none.
+func (c *SchedulingCycle) soonestSpare(partition *cluster.Partition, job *cluster.Job) *cluster.Machine {
+	var soonest *cluster.Machine
+	var soonestEnd micros.Micros
+	for _, machine := range c.cluster.MachinesByName {
+		if !c.mayRequestSpare(machine, partition, job) {
+			continue
+		}
+		shown := c.view.schedulerMachine(machine)
+		if !shown.Free.Fits(job.Request) {
 			continue
 		}
-		if y.Now > j.EligibleAt()+micros.FromSeconds(y.Settings.Operators.BeginWithinS/6) && (first == nil || j.AcceptedAt < first.AcceptedAt) {
-			first = j
+		c.view.addAllocations(shown, machine, nil)
+		end := c.Now
+		for _, allocation := range shown.Allocations {
+			end = max(end, allocation.ExpectedEnd)
+		}
+		if soonest == nil || end < soonestEnd {
+			soonest, soonestEnd = machine, end
 		}
 	}
-	return first
+	return soonest
 }
 
-// mayRequestSpare tells whether a machine of another partition may be asked for, for a job.
-func (y *SchedulingCycle) mayRequestSpare(m *cluster.Machine, p *cluster.Partition, j *cluster.Job) bool {
-	if m.Record.Partition == p.Index || m.MachineType == nil || m.Record.Condemned || m.ClaimedBy != "" || j.FailedMachines[m.Name] || y.reservations.reservedForPartition(m) >= 0 {
+// mayRequestSpare tells whether a machine of another partition may be requested for a job.
+func (c *SchedulingCycle) mayRequestSpare(machine *cluster.Machine, partition *cluster.Partition, job *cluster.Job) bool {
+	if machine.Record.Partition == partition.Index || machine.MachineType == nil || machine.Record.Condemned {
+		return false
+	}
+	if machine.ClaimedBy != "" || job.FailedMachines[machine.Name] || c.reservations.isReserved(machine) {
 		return false
 	}
-	return scheduler.Allowed(&j.Spec, m.Record.Type, m.Record.Zone, m.Record.Spot)
+	return scheduler.Allowed(&job.Spec, machine.Record.Type, machine.Record.Zone, machine.Record.Spot)
 }
--- a/internal/planning/urgency.go
+++ b/internal/planning/urgency.go
@@ -6,8 +6,8 @@
 	"spurmoor/internal/scheduler"
 )
 
-// UrgencyIndex is how urgent each unfinished job is, with what others that depend on it
-// lend to it.
+// UrgencyIndex is how urgent each unfinished job is, with what it inherits from the jobs
+// that depend on it.
 type UrgencyIndex struct {
 	*coordination.Environment
 	catalog      *cluster.MachineCatalog
@@ -17,56 +17,84 @@
 	byJob map[string]urgency
 }
 
-// NewUrgencyIndex makes an urgency index.
-func NewUrgencyIndex(env *coordination.Environment, catalog *cluster.MachineCatalog, cluster *cluster.State, dependencies *cluster.DependencyGraph) *UrgencyIndex {
-	return &UrgencyIndex{Environment: env, catalog: catalog, cluster: cluster, dependencies: dependencies}
+// NewUrgencyIndex makes an empty urgency index.
+func NewUrgencyIndex(
+	env *coordination.Environment,
+	catalog *cluster.MachineCatalog,
+	state *cluster.State,
+	dependencies *cluster.DependencyGraph,
+) *UrgencyIndex {
+	return &UrgencyIndex{Environment: env, catalog: catalog, cluster: state, dependencies: dependencies}
 }
 
-// urgency is what a job is ranked by: its own priority and deadline, or those of
-// the most urgent job that needs it.
+// urgency is what a job is ranked by: its own priority and deadline, or those of the most
+// urgent job that depends on it.
 type urgency struct {
 	tier     int
 	deadline scheduler.Deadline
 }
 
-// computeUrgencies works out every job's, by the replica.
-func (x *UrgencyIndex) computeUrgencies() {
-	x.byJob = map[string]urgency{}
-	slowest := x.catalog.SlowestFetchSPerGB()
-	var of func(j *cluster.Job) urgency
-	of = func(j *cluster.Job) urgency {
-		if u, ok := x.byJob[j.ID]; ok {
-			return u
-		}
-		u := urgency{tier: j.Spec.Priority.Tier()}
-		if j.Spec.DeadlineS > 0 {
-			u.deadline = scheduler.Deadline{SubmittedAt: j.AcceptedAt, WithinS: j.Spec.DeadlineS, Class: j.Spec.Class}
-		}
-		if n := x.dependencies.ByJob[j.ID]; n != nil {
-			for _, d := range n.Dependents {
-				if d.Cancelled || d.Terminal {
-					continue // what it lent goes with it
-				}
-				lent := of(d)
-				u.tier = max(u.tier, lent.tier)
-				lent.deadline.DownstreamS += d.Spec.EstimateS + d.Spec.ImageGB*slowest
-				if lent.deadline.WithinS > 0 && (u.deadline.WithinS == 0 || lent.deadline.Latest() < u.deadline.Latest()) {
-					u.deadline = lent.deadline
-				}
+// computeUrgencies works out the urgency of every job in the replica.
+func (u *UrgencyIndex) computeUrgencies() {
+	u.byJob = map[string]urgency{}
+	slowestFetch := u.catalog.SlowestFetchSPerGB()
+	for _, job := range u.cluster.Jobs {
+		u.urgencyOf(job, slowestFetch)
+	}
+}
+
+// urgencyOf gives a job's urgency, worked out if it was not yet. slowestFetch is how many
+// seconds fetching a gigabyte takes at most.
+func (u *UrgencyIndex) urgencyOf(job *cluster.Job, slowestFetch float64) urgency {
+	if known, ok := u.byJob[job.ID]; ok {
+		return known
+	}
+	result := ownUrgency(job)
+	if dependency := u.dependencies.ByJob[job.ID]; dependency != nil {
+		for _, dependent := range dependency.Dependents {
+			if dependent.Cancelled || dependent.Terminal {
+				continue // what was inherited from it goes with it
 			}
+			inherited := u.urgencyOf(dependent, slowestFetch)
+			inherited.deadline.DownstreamS += dependent.Spec.EstimateS + dependent.Spec.ImageGB*slowestFetch
+			result = result.mostUrgent(inherited)
 		}
-		x.byJob[j.ID] = u
-		return u
 	}
-	for _, j := range x.cluster.Jobs {
-		of(j)
+	u.byJob[job.ID] = result
+	return result
+}
+
+// ownUrgency is a job's urgency without what it inherits.
+func ownUrgency(job *cluster.Job) urgency {
+	own := urgency{tier: job.Spec.Priority.Tier()}
+	if job.Spec.DeadlineS > 0 {
+		own.deadline = scheduler.Deadline{
+			SubmittedAt: job.AcceptedAt,
+			WithinS:     job.Spec.DeadlineS,
+			Class:       job.Spec.Class,
+		}
+	}
+	return own
+}
+
+// mostUrgent gives the higher tier and the earlier deadline of two urgencies; WithinS is 0
+// where there is no deadline.
+func (u urgency) mostUrgent(other urgency) urgency {
+	result := urgency{tier: max(u.tier, other.tier), deadline: u.deadline}
+	if other.deadline.WithinS == 0 {
+		return result
+	}
+	if u.deadline.WithinS == 0 || other.deadline.Latest() < u.deadline.Latest() {
+		result.deadline = other.deadline
 	}
+	return result
 }
 
-// effectiveTier is the tier that a job is treated as having.
-func (x *UrgencyIndex) effectiveTier(j *cluster.Job) int {
-	if u, ok := x.byJob[j.ID]; ok {
-		return u.tier
+// effectiveTier is the tier that a job is treated as having: its own, or a higher one that
+// it inherits.
+func (u *UrgencyIndex) effectiveTier(job *cluster.Job) int {
+	if known, ok := u.byJob[job.ID]; ok {
+		return known.tier
 	}
-	return j.Spec.Priority.Tier()
+	return job.Spec.Priority.Tier()
 }
