--- /dev/null
+++ b/internal/planning/fixture_test.go
@@ -0,0 +1,102 @@
+package planning
+
+import (
+	"math/rand/v2"
+	"testing"
+
+	"spurmoor/internal/api"
+	"spurmoor/internal/cluster"
+	"spurmoor/internal/coordination"
+	"spurmoor/internal/leadership"
+	"spurmoor/internal/micros"
+	"spurmoor/internal/records"
+	"spurmoor/internal/scheduler"
+	"spurmoor/internal/settings"
+)
+
+// bootS is the boot time of the machines in these tests, in seconds.
+const bootS = 30
+
+// fixture is a controller of two partitions that leads the first, as far as the components
+// of this package need one. The time is 1,000 s.
+type fixture struct {
+	env          *coordination.Environment
+	state        *cluster.State
+	peers        *coordination.PeerTracker
+	lending      *MachineLending
+	reservations *ReservationPlanner
+	manager      *MachineManager
+}
+
+func newFixture(t *testing.T) *fixture {
+	t.Helper()
+	operators := settings.Defaults()
+	operators.Partitions = 2
+	set := &settings.Settings{Operators: operators}
+	set.Node = "nodo-1"
+	set.Deployment.Workers.ReportS = 3
+	set.Deployment.Workers.LeaseS = 20
+	set.Deployment.Teams = []settings.Team{{Name: "team", GuaranteedGPUs: 8}}
+	env := coordination.NewEnvironment(set, 1, rand.New(rand.NewPCG(1, 1)))
+	env.Now = 1000 * micros.Second
+
+	roles := coordination.NewRoleManager(env, nil, nil, nil, nil, nil, nil, nil)
+	lease := coordination.NewStoreLease(env, nil, nil)
+	trigger := cluster.NewCycleTrigger(env)
+	state := cluster.NewState(env, nil, roles)
+	own := leadership.Claim{Node: "nodo-1", Process: 1}
+	if !state.Partitions[0].Observe(env.Now, own, 5, own, true) {
+		t.Fatal("the first partition is not led")
+	}
+	peers := coordination.NewPeerTracker(env, nil)
+	tasks := cluster.NewTaskLifecycle(env, state, lease, trigger)
+	boots := cluster.NewBootStatistics(env)
+	urgencies := NewUrgencyIndex(env, nil, state, nil)
+	view := NewSchedulerView(env, state, tasks, urgencies)
+	reservations := NewReservationPlanner(env, boots, state, nil, tasks, urgencies, view)
+	return &fixture{
+		env:          env,
+		state:        state,
+		peers:        peers,
+		reservations: reservations,
+		lending:      NewMachineLending(env, state, peers, nil, reservations, urgencies, view),
+		manager:      NewMachineManager(env, boots, state, nil, nil, reservations, lease, tasks),
+	}
+}
+
+// idleMachine adds a machine of the first partition that was up for long, and heard just
+// now, with nothing to do.
+func (f *fixture) idleMachine(t *testing.T) *cluster.Machine {
+	t.Helper()
+	longAgo := f.env.Now - 300*micros.Second
+	machine := &cluster.Machine{
+		Name:             "n-1",
+		Record:           records.MachineRecord{Name: "n-1", Type: "g4", Zone: "alta"},
+		MachineType:      &api.MachineType{Name: "g4", GPUs: 4, BootS: bootS},
+		TokenConfirmed:   true,
+		LaunchedAt:       longAgo,
+		AwaitedSince:     longAgo,
+		FirstHeartbeatAt: longAgo,
+		IdleSince:        longAgo,
+		LastSeenAt:       f.env.Now,
+		LastHeartbeatAt:  f.env.Now,
+		MoveToPartition:  noPartition,
+	}
+	f.state.Machines[machine.Name] = machine
+	f.state.MachinesByName = append(f.state.MachinesByName, machine)
+	return machine
+}
+
+// run adds a job of the second partition with one task on a machine, placed long ago.
+func (f *fixture) run(machine *cluster.Machine, id string, spec api.Job) *cluster.Task {
+	spec.Team = "team"
+	spec.Tasks = 1
+	job := f.state.AddJob(id, spec)
+	job.Spec = spec
+	job.Request = scheduler.ResourcesOf(0, 4, 0)
+	job.Partition = 1
+	task := job.EnsureTask(0)
+	task.PlacedAt = f.env.Now - 300*micros.Second
+	machine.TaskIDs = append(machine.TaskIDs, cluster.TaskID{Job: id, Index: 0})
+	return task
+}
--- /dev/null
+++ b/internal/planning/lending_test.go
@@ -0,0 +1,193 @@
+package planning
+
+import (
+	"testing"
+
+	"spurmoor/internal/api"
+	"spurmoor/internal/cluster"
+	"spurmoor/internal/peer"
+	"spurmoor/internal/scheduler"
+)
+
+// lendingCases are changes of an idle machine of ours, and what may be done with it then.
+var lendingCases = []struct {
+	name     string
+	change   func(f *fixture, machine *cluster.Machine)
+	lendable bool
+	offered  bool
+}{
+	{name: "idle", change: func(*fixture, *cluster.Machine) {}, lendable: true, offered: true},
+	{name: "idle just now", change: func(f *fixture, machine *cluster.Machine) { machine.IdleSince = f.env.Now }, lendable: true},
+	{name: "led by another", change: func(_ *fixture, machine *cluster.Machine) { machine.Record.Partition = 1 }},
+	{name: "token not confirmed", change: func(_ *fixture, machine *cluster.Machine) { machine.TokenConfirmed = false }},
+	{name: "with a task", change: func(f *fixture, machine *cluster.Machine) { f.run(machine, "wk-1", api.Job{Kind: api.Array}) }},
+	{name: "task left, not committed", change: func(f *fixture, machine *cluster.Machine) {
+		machine.DepartedJobs = map[string]bool{"wk-1": true}
+		f.state.AddJob("wk-1", api.Job{}).ChangedTasks = 1
+	}},
+	{name: "task left, committed", change: func(f *fixture, machine *cluster.Machine) {
+		machine.DepartedJobs = map[string]bool{"wk-1": true}
+		f.state.AddJob("wk-1", api.Job{})
+	}, lendable: true, offered: true},
+	{name: "worker still shows a task", change: func(_ *fixture, machine *cluster.Machine) {
+		machine.ReportedTasks = []api.TaskStatus{{Task: "wk-1/0", State: api.TaskRunning}}
+	}},
+	{name: "record changes", change: func(_ *fixture, machine *cluster.Machine) { machine.PendingChange = cluster.CopyRecord }},
+	{name: "condemned", change: func(_ *fixture, machine *cluster.Machine) { machine.Record.Condemned = true }},
+	{name: "quarantined", change: func(_ *fixture, machine *cluster.Machine) { machine.Quarantined = true }},
+	{name: "to be interrupted", change: func(f *fixture, machine *cluster.Machine) { machine.InterruptionAt = f.env.Now }},
+	{name: "ignores commands", change: func(f *fixture, machine *cluster.Machine) { machine.IgnoringSince = f.env.Now }},
+	{name: "not heard", change: func(f *fixture, machine *cluster.Machine) {
+		machine.LastSeenAt = f.env.Now - f.env.Settings.ContactTimeout()
+	}},
+	{name: "claimed by its own partition", change: func(f *fixture, machine *cluster.Machine) {
+		f.state.AddJob("wk-1", api.Job{}).Partition = 0
+		machine.ClaimedBy = "wk-1"
+	}},
+	{name: "claimed by another partition", change: func(f *fixture, machine *cluster.Machine) {
+		f.state.AddJob("wk-1", api.Job{}).Partition = 1
+		machine.ClaimedBy = "wk-1"
+	}, lendable: true, offered: true},
+	{name: "reserved", change: func(f *fixture, machine *cluster.Machine) {
+		f.state.AddJob("wk-1", api.Job{})
+		f.reservations.byMachine = map[string]scheduler.AdvanceReservation{machine.Name: {Job: &scheduler.Job{ID: "wk-1"}}}
+	}},
+	{name: "reserved for a gang that has begun", change: func(f *fixture, machine *cluster.Machine) {
+		f.state.AddJob("wk-1", api.Job{}).PlacedTasks = 1
+		f.reservations.byMachine = map[string]scheduler.AdvanceReservation{machine.Name: {Job: &scheduler.Job{ID: "wk-1"}}}
+	}, lendable: true, offered: true},
+}
+
+// TestWhichMachinesMayBeLent guards against lending a machine that something runs on or is
+// meant for, that is not ours to lend, or that would not serve the borrower.
+func TestWhichMachinesMayBeLent(t *testing.T) {
+	t.Parallel()
+	for _, tc := range lendingCases {
+		t.Run(tc.name, func(t *testing.T) {
+			t.Parallel()
+			fix := newFixture(t)
+			machine := fix.idleMachine(t)
+			tc.change(fix, machine)
+			if got := fix.lending.isLendable(machine); got != tc.lendable {
+				t.Errorf("lendable: %t, want %t", got, tc.lendable)
+			}
+			if got := len(fix.lending.IdleOffers()) == 1; got != tc.offered {
+				t.Errorf("offered: %t, want %t", got, tc.offered)
+			}
+			if machine.Record.Partition != 0 {
+				return // whether it may be borrowed is then another controller's to say
+			}
+			if got := fix.lending.isBorrowable(machine); got != tc.offered {
+				t.Errorf("borrowable: %t, want %t", got, tc.offered)
+			}
+		})
+	}
+}
+
+// TestOffersOfOthersExpire guards against requests for machines that another controller
+// offered long ago.
+func TestOffersOfOthersExpire(t *testing.T) {
+	t.Parallel()
+	fix := newFixture(t)
+	machine := fix.idleMachine(t)
+	machine.Record.Partition = 1
+	if fix.lending.isBorrowable(machine) {
+		t.Error("borrowable without an offer")
+	}
+	fix.peers.ObservePeer(&peer.Heartbeat{Node: "nodo-2", Healthy: true, IdleMachines: []peer.IdleMachine{{Machine: machine.Name}}})
+	fix.env.Now += offerDuration - 1
+	if !fix.lending.isBorrowable(machine) {
+		t.Error("offered, and not borrowable")
+	}
+	fix.env.Now++
+	if fix.lending.isBorrowable(machine) {
+		t.Error("borrowable by an offer that has expired")
+	}
+}
+
+// TestPromisesFollowPreemption guards against stopping tasks for another partition where
+// the rules for preemption forbid it.
+func TestPromisesFollowPreemption(t *testing.T) {
+	t.Parallel()
+	array := func(priority api.Priority) api.Job { return api.Job{Kind: api.Array, Priority: priority} }
+	low, high := array(api.PriorityBestEffort), array(api.PriorityProduction)
+	lowTier, highTier := low.Priority.Tier(), high.Priority.Tier()
+	request := func(tier, inheritedTier int, guaranteed bool) peer.MachineRequest {
+		return peer.MachineRequest{Tier: tier, InheritedTier: inheritedTier, Guaranteed: guaranteed}
+	}
+	gang := low
+	gang.Kind = api.Gang
+	for _, tc := range []struct {
+		name    string
+		spec    api.Job
+		recent  bool // the task started just now
+		used    float64
+		request peer.MachineRequest
+		want    bool
+	}{
+		{name: "lower tier", spec: low, request: request(highTier, 0, false), want: true},
+		{name: "lower tier, just started", spec: low, recent: true, request: request(highTier, 0, false), want: true},
+		{name: "higher tier", spec: high, used: 100, request: request(lowTier, 0, true)},
+		{name: "same tier", spec: low, used: 100, request: request(lowTier, 0, false)},
+		{name: "same tier, into a guarantee", spec: low, used: 12, request: request(lowTier, 0, true), want: true},
+		{name: "same tier, both need their guarantee", spec: low, used: 11, request: request(lowTier, 0, true)},
+		{name: "same tier, just started", spec: low, recent: true, used: 100, request: request(lowTier, 0, true)},
+		{name: "inherited tier", spec: low, request: request(lowTier, highTier, false), want: true},
+		{name: "inherited tier, just started", spec: low, recent: true, request: request(lowTier, highTier, false)},
+		{name: "inherited tier, gang", spec: gang, request: request(lowTier, highTier, false)},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			t.Parallel()
+			fix := newFixture(t)
+			machine := fix.idleMachine(t)
+			task := fix.run(machine, "wk-1", tc.spec)
+			if tc.recent {
+				task.PlacedAt = fix.env.Now - recentStart + 1
+			}
+			*fix.state.TeamUsage["team"] = scheduler.ResourcesOf(0, tc.used, 0)
+			if got := fix.lending.mayPreemptAll(machine, tc.request); got != tc.want {
+				t.Errorf("may be preempted: %t, want %t", got, tc.want)
+			}
+		})
+	}
+}
+
+// TestWhatIsPromised guards against a machine with tasks that is promised twice, or to a
+// partition without a right to it.
+func TestWhatIsPromised(t *testing.T) {
+	t.Parallel()
+	spare := peer.MachineRequest{Partition: 1, Spare: true}
+	reclaim := peer.MachineRequest{Partition: 1, Reclaim: true}
+	fromHome := func(machine *cluster.Machine) { machine.Record.HomePartition = 1 }
+	quarantine := func(machine *cluster.Machine) { machine.Quarantined = true }
+	promise := func(machine *cluster.Machine) { machine.MoveToPartition = 0 }
+	for _, tc := range []struct {
+		name    string
+		change  func(machine *cluster.Machine)
+		request peer.MachineRequest
+		moveTo  int
+	}{
+		{name: "spare", request: spare, moveTo: 1},
+		{name: "reclaimed", change: fromHome, request: reclaim, moveTo: 1},
+		{name: "reclaimed by another", request: reclaim, moveTo: noPartition},
+		{name: "to its own partition", request: peer.MachineRequest{Partition: 0, Spare: true}, moveTo: noPartition},
+		{name: "to no partition", request: peer.MachineRequest{Partition: 2, Spare: true}, moveTo: noPartition},
+		{name: "quarantined", change: quarantine, request: spare, moveTo: noPartition},
+		{name: "promised before", change: promise, request: spare, moveTo: 0},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			t.Parallel()
+			fix := newFixture(t)
+			machine := fix.idleMachine(t)
+			fix.run(machine, "wk-1", api.Job{Kind: api.Array})
+			if tc.change != nil {
+				tc.change(machine)
+			}
+			tc.request.Machine = machine.Name
+			fix.lending.HandleMachineRequests([]peer.MachineRequest{tc.request})
+			if machine.MoveToPartition != tc.moveTo || machine.PreemptForMove {
+				t.Errorf("moves to %d, preempting %t; want %d", machine.MoveToPartition, machine.PreemptForMove, tc.moveTo)
+			}
+		})
+	}
+}
