--- a/internal/provisioning/instance_list.go
+++ b/internal/provisioning/instance_list.go
@@ -27,7 +27,7 @@
 	listed         map[string]*sighting // by instance
 	unknownWorkers map[string]*sighting // workers without a record that sent a heartbeat, by machine
 	sweeping       bool                 // this controller acts on the list
-	findings       listFindings
+	findings       ListFindings
 }
 
 // NewInstanceList makes an instance list of which nothing was read yet.
--- /dev/null
+++ b/internal/provisioning/instance_list_test.go
@@ -0,0 +1,123 @@
+package provisioning
+
+import (
+	"math/rand/v2"
+	"strconv"
+	"testing"
+
+	"spurmoor/internal/api"
+	"spurmoor/internal/cluster"
+	"spurmoor/internal/coordination"
+	"spurmoor/internal/leadership"
+	"spurmoor/internal/message"
+	"spurmoor/internal/micros"
+	"spurmoor/internal/peer"
+	"spurmoor/internal/settings"
+)
+
+// newTestList makes the instance list of one of three controllers, which leads the only
+// partition and sweeps the list as the others do. The time is 1,000 s.
+func newTestList(t *testing.T) *InstanceList {
+	t.Helper()
+	operators := settings.Defaults()
+	operators.Partitions = 1
+	set := &settings.Settings{Operators: operators, Nodes: []string{"nodo-1", "nodo-2", "nodo-3"}}
+	set.Node = "nodo-1"
+	set.Deployment.Cloud.RPS = 6
+	set.Deployment.Cloud.ListLagS = 2
+	env := coordination.NewEnvironment(set, 1, rand.New(rand.NewPCG(1, 1)))
+	env.Now = 1000 * micros.Second
+	roles := coordination.NewRoleManager(env, nil, nil, nil, nil, nil, nil, nil)
+	state := cluster.NewState(env, nil, roles)
+	own := leadership.Claim{Node: "nodo-1", Process: 1}
+	if !state.Partitions[0].Observe(env.Now, own, 5, own, true) {
+		t.Fatal("the partition is not led")
+	}
+	list := NewInstanceList(env, state, cluster.NewDeletionLog(env), nil, roles)
+	list.sweeping = true
+	return list
+}
+
+// TestListInterval guards against lists that take more than a third of the cloud's calls,
+// or that are read more often than they change.
+func TestListInterval(t *testing.T) {
+	t.Parallel()
+	for _, tc := range []struct {
+		name     string
+		machines int
+		lagS     float64
+		sweeping bool
+		want     micros.Micros
+	}{
+		{name: "one page", machines: 499, sweeping: true, want: 5 * micros.Second},
+		{name: "a list that lags", machines: 499, lagS: 8, sweeping: true, want: 8 * micros.Second},
+		{name: "nine pages", machines: 4000, sweeping: true, want: 13500 * micros.Millisecond},
+		{name: "for addresses alone", machines: 4000, want: 60 * micros.Second},
+	} {
+		list := newTestList(t)
+		list.sweeping = tc.sweeping
+		list.Settings.Deployment.Cloud.ListLagS = tc.lagS
+		for i := range tc.machines {
+			list.cluster.Machines[strconv.Itoa(i)] = &cluster.Machine{}
+		}
+		if got := list.listInterval(); got != tc.want {
+			t.Errorf("%s: %d, want %d", tc.name, got, tc.want)
+		}
+	}
+}
+
+// TestUnknownWorkersAreProbed guards against adopting a machine by a late copy of its
+// heartbeat: only one that goes on sending some is probed, each time after a while.
+func TestUnknownWorkersAreProbed(t *testing.T) {
+	t.Parallel()
+	list := newTestList(t)
+	heartbeat := &api.Heartbeat{Machine: "n-1", Address: "10.1.0.1:9000", Incarnation: 3}
+	for _, tc := range []struct {
+		after micros.Micros
+		want  int // probes
+	}{
+		{after: 0, want: 0},
+		{after: unknownWorkerGrace, want: 0},
+		{after: 1, want: 1},
+		{after: unknownWorkerGrace, want: 0},
+		{after: 1, want: 1},
+	} {
+		list.Now += tc.after
+		list.Effects = nil
+		list.ObserveUnknownWorker(heartbeat)
+		if len(list.Effects) != tc.want {
+			t.Fatalf("at %d: %d effects, want %d", list.Now, len(list.Effects), tc.want)
+		}
+		for _, effect := range list.Effects {
+			if probe, ok := effect.(message.SendCommands); !ok || probe.Machine != "n-1" || probe.Starts {
+				t.Errorf("sent: %+v, want a probe", effect)
+			}
+		}
+	}
+}
+
+// TestOrphansAreAdoptedOnce guards against an orphan that is recorded twice, or again after
+// it was deleted.
+func TestOrphansAreAdoptedOnce(t *testing.T) {
+	t.Parallel()
+	list := newTestList(t)
+	partition := list.cluster.Partitions[0]
+	listed := api.Instance{ID: "n-1", Type: "g4", Zone: "alta"}
+	list.ObserveListed(listed)
+	list.Now += list.orphanTimeout()
+	list.ObserveListed(listed)
+	if len(partition.MachineBatches) != 0 {
+		t.Fatal("adopted before the list's lag is over")
+	}
+	for range 2 {
+		list.Now += list.orphanTimeout() + 1
+		list.ObserveListed(listed)
+	}
+	if len(partition.MachineBatches) != 1 || !partition.MachineBatches[0].Adopt {
+		t.Fatalf("%d batches to record, want one", len(partition.MachineBatches))
+	}
+	list.deletions.RecordDeletion("n-2")
+	if !list.AdoptOrphan(peer.Orphan{Machine: "n-2"}, sourceListed) || len(partition.MachineBatches) != 1 {
+		t.Error("adopted although it was just deleted")
+	}
+}
--- a/internal/provisioning/list_findings.go
+++ b/internal/provisioning/list_findings.go
@@ -27,36 +27,36 @@
 	listLags       = 2
 )
 
-// listFindings is what the controller that sweeps the cloud's list found of machines that
+// ListFindings is what the controller that sweeps the cloud's list found of machines that
 // other controllers lead. They are told for a few seconds. Nothing rests on it, for each
 // judges by what it knows itself, and a machine's missed heartbeats are noticed without
 // the list.
-type listFindings struct {
-	Failed   []listFinding
-	Unlisted []listFinding
-	Orphans  []listFinding
+type ListFindings struct {
+	Failed   []ListFinding
+	Unlisted []ListFinding
+	Orphans  []ListFinding
 }
 
-// listFinding is something found in the cloud's list at a time.
-type listFinding struct {
+// ListFinding is something found in the cloud's list at a time.
+type ListFinding struct {
 	instance peer.Orphan // only its name, of a machine that has a record
 	foundAt  micros.Micros
 }
 
 // addFinding notes something for the other controllers, unless it is known or the list is
 // full.
-func (l *InstanceList) addFinding(list *[]listFinding, instance peer.Orphan) {
-	known := slices.ContainsFunc(*list, func(finding listFinding) bool {
+func (l *InstanceList) addFinding(list *[]ListFinding, instance peer.Orphan) {
+	known := slices.ContainsFunc(*list, func(finding ListFinding) bool {
 		return finding.instance.Machine == instance.Machine
 	})
 	if !known && len(*list) < MaxFindings {
-		*list = append(*list, listFinding{instance: instance, foundAt: l.Now})
+		*list = append(*list, ListFinding{instance: instance, foundAt: l.Now})
 	}
 }
 
 // CurrentFindings drops what was told for long enough and gives the rest.
-func (l *InstanceList) CurrentFindings() listFindings {
-	expired := func(finding listFinding) bool { return l.Now > finding.foundAt+findingDuration }
+func (l *InstanceList) CurrentFindings() ListFindings {
+	expired := func(finding ListFinding) bool { return l.Now > finding.foundAt+findingDuration }
 	l.findings.Failed = slices.DeleteFunc(l.findings.Failed, expired)
 	l.findings.Unlisted = slices.DeleteFunc(l.findings.Unlisted, expired)
 	l.findings.Orphans = slices.DeleteFunc(l.findings.Orphans, expired)
@@ -64,7 +64,7 @@
 }
 
 // FindingNames gives the names of the machines found.
-func FindingNames(list []listFinding) []string {
+func FindingNames(list []ListFinding) []string {
 	var names []string
 	for _, finding := range list {
 		names = append(names, finding.instance.Machine)
@@ -73,7 +73,7 @@
 }
 
 // FindingOrphans gives the orphans found.
-func FindingOrphans(list []listFinding) []peer.Orphan {
+func FindingOrphans(list []ListFinding) []peer.Orphan {
 	var orphans []peer.Orphan
 	for _, finding := range list {
 		orphans = append(orphans, finding.instance)
