--- /dev/null
+++ b/internal/core/commit_test.go
@@ -0,0 +1,57 @@
+package core
+
+import (
+	"slices"
+	"testing"
+
+	"spurmoor/internal/api"
+	"spurmoor/internal/cluster"
+	"spurmoor/internal/records"
+)
+
+// TestCommitOfStartComparesJob guards against a start that is committed after its job's
+// cancellation was: each commit with a start of a job compares that job's key.
+func TestCommitOfStartComparesJob(t *testing.T) {
+	f := newLeaderFixture(t)
+	f.clearTask()
+	f.cluster.ChangeTask(f.job, 0, cluster.TaskRecord{State: cluster.TaskPlaced, Attempt: 2, Machine: f.machine.Name})
+	commit := f.partitionLog.BuildCommit(f.partition, 10)
+	if commit == nil || !slices.Contains(commit.Request.Compares, f.jobCompare()) {
+		t.Errorf("a start is committed without its job's key: %+v", commit)
+	}
+}
+
+// TestCommitOfEndComparesJob guards against an end that is recorded after its job's
+// cancellation was told, by a transaction that comes late: it compares the version of the
+// job's key that it follows.
+func TestCommitOfEndComparesJob(t *testing.T) {
+	f := newLeaderFixture(t)
+	f.cluster.ChangeTask(f.job, 0, cluster.TaskRecord{State: cluster.TaskDone, Attempt: 1, Machine: ""})
+	commit := f.partitionLog.BuildCommit(f.partition, 10)
+	if commit == nil || len(commit.TerminalJobs) != 1 || !slices.Contains(commit.Request.Compares, f.jobCompare()) {
+		t.Errorf("an end is recorded without its job's key: %+v", commit)
+	}
+}
+
+// TestCommitComparesTermAndSlot guards against a commit that is carried out after its
+// partition was taken by another controller, or after a newer commit of the same term.
+func TestCommitComparesTermAndSlot(t *testing.T) {
+	f := newLeaderFixture(t)
+	f.cluster.SetTask(f.job, 0, cluster.TaskRecord{})
+	f.cluster.ChangeTask(f.job, 0, cluster.TaskRecord{State: cluster.TaskPlaced, Attempt: 2, Machine: f.machine.Name})
+	commit := f.partitionLog.BuildCommit(f.partition, 10)
+	slotKey := records.SlotKey(f.partition.Index, commit.Entries[0].Slot)
+	for _, compare := range []api.Compare{
+		{Key: f.partition.Key(), Version: f.partition.Term},
+		{Key: slotKey, Version: commit.PreviousSlotVersion},
+	} {
+		if !slices.Contains(commit.Request.Compares, compare) {
+			t.Errorf("a commit does not compare %+v: %+v", compare, commit.Request.Compares)
+		}
+	}
+}
+
+// jobCompare is the condition that the job's key is as it was read.
+func (f *leaderFixture) jobCompare() api.Compare {
+	return api.Compare{Key: records.JobKey + f.job.ID, Version: f.job.Version}
+}
--- a/internal/core/components.go
+++ b/internal/core/components.go
@@ -76,18 +76,18 @@
 // name; random serves jitter alone.
 func New(set *settings.Settings, incarnation uint64, random *rand.Rand) *Controller {
 	env := coordination.NewEnvironment(set, incarnation, random)
-	c := &Controller{Environment: env}
-	c.makeCoordination(env)
-	c.makeReplica(env)
-	c.makeProvisioning(env)
-	c.makePlanning(env)
-	c.makeHandlers(env)
-	c.makeUserHandlers(env)
+	controller := &Controller{Environment: env}
+	controller.makeCoordination(env)
+	controller.makeReplica(env)
+	controller.makeProvisioning(env)
+	controller.makePlanning(env)
+	controller.makeHandlers(env)
+	controller.makeUserHandlers(env)
 	// These are notified by components made before them.
-	c.cache.Sink = c.applier
-	c.roles.Observer = c.failover
-	c.storeLease.Observer = c.roles
-	return c
+	controller.cache.Sink = controller.applier
+	controller.roles.Observer = controller.failover
+	controller.storeLease.Observer = controller.roles
+	return controller
 }
 
 // makeCoordination makes what knows nothing of jobs and machines, and the small records of
--- /dev/null
+++ b/internal/core/explanation_test.go
@@ -0,0 +1,37 @@
+package core
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"spurmoor/internal/api"
+	"spurmoor/internal/cluster"
+	"spurmoor/internal/message"
+)
+
+// TestExplanationOfSuspectJob guards that the owner of a job with a mistake is told so, and
+// how often it failed.
+func TestExplanationOfSuspectJob(t *testing.T) {
+	f := newLeaderFixture(t)
+	f.cluster.SetTask(f.job, 0, cluster.TaskRecord{})
+	for i := range 3 {
+		name := fmt.Sprintf("n-%d", 2+i)
+		attempt := uint64(i + 1)
+		f.recordMachine(name)
+		f.cluster.SetTask(f.job, 0, cluster.TaskRecord{State: cluster.TaskPlaced, Attempt: attempt, Machine: name})
+		exited := api.TaskStatus{Task: testTask, Attempt: attempt, State: api.TaskExited, ExitReason: api.ExitFailed}
+		f.tasks.TaskExited(f.job, 0, f.job.Task(0), f.cluster.Machines[name], exited)
+	}
+	effects := f.answerReads(f.Now, f.Step(f.Now, message.Explain{RequestID: 9, ID: f.job.ID}))
+	answer, _ := answerTo(effects, 9)
+	explanation, ok := answer.Body.(api.Explanation)
+	if !ok {
+		t.Fatalf("answered %+v", answer)
+	}
+	for _, part := range []string{"fails on every machine", "3 failures", "tried again in"} {
+		if !strings.Contains(explanation.Reason, part) {
+			t.Errorf("the owner is told %q, without %q", explanation.Reason, part)
+		}
+	}
+}
--- /dev/null
+++ b/internal/core/failure_attribution_test.go
@@ -0,0 +1,82 @@
+package core
+
+import (
+	"slices"
+	"testing"
+)
+
+// TestFailuresAreAttributed guards against quarantining healthy machines for a job's
+// mistake, and the other way round: of 44 machines quarantined on a recorded day all had
+// only met jobs that failed everywhere.
+func TestFailuresAreAttributed(t *testing.T) {
+	type failure struct{ job, machine string }
+	for _, tc := range []struct {
+		name        string
+		sound       []string // jobs of which a task was done before
+		failures    []failure
+		proven      []string // jobs of which a task is done on m-4 afterwards
+		quarantined []string
+		suspect     []string
+	}{
+		{
+			name:     "several tasks of one job on one machine",
+			failures: []failure{{"a", "m-0"}, {"a", "m-0"}, {"a", "m-0"}},
+		},
+		{
+			name:     "a job on every machine that it meets",
+			failures: []failure{{"a", "m-0"}, {"a", "m-0"}, {"a", "m-1"}, {"a", "m-1"}, {"a", "m-2"}},
+			suspect:  []string{"a"},
+		},
+		{
+			name:     "two such jobs on the same machines",
+			failures: []failure{{"a", "m-0"}, {"a", "m-1"}, {"b", "m-1"}, {"b", "m-2"}, {"b", "m-3"}, {"a", "m-2"}},
+			suspect:  []string{"a", "b"},
+		},
+		{
+			name:        "two jobs that failed nowhere else",
+			failures:    []failure{{"a", "m-0"}, {"b", "m-0"}},
+			quarantined: []string{"m-0"},
+		},
+		{
+			name:        "two tasks of a sound job",
+			sound:       []string{"a"},
+			failures:    []failure{{"a", "m-0"}, {"a", "m-0"}},
+			quarantined: []string{"m-0"},
+		},
+		{
+			name:        "three jobs that failed elsewhere too, one after the other",
+			failures:    []failure{{"a", "m-0"}, {"a", "m-1"}, {"b", "m-0"}, {"b", "m-2"}, {"c", "m-3"}, {"c", "m-0"}},
+			quarantined: []string{"m-0"},
+		},
+		{
+			name:        "two jobs on two machines, done elsewhere then",
+			failures:    []failure{{"a", "m-0"}, {"a", "m-1"}, {"b", "m-0"}, {"b", "m-1"}},
+			proven:      []string{"a", "b"},
+			quarantined: []string{"m-0", "m-1"},
+		},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			controller := newMachinesFixture(t)
+			jobs, machines := controller.cluster.Jobs, controller.cluster.Machines
+			for _, id := range tc.sound {
+				jobs[id].DoneTasks = 1
+			}
+			for _, failed := range tc.failures {
+				controller.tasks.TaskFailed(jobs[failed.job], machines[failed.machine], failed.job+"/0")
+			}
+			for _, id := range tc.proven {
+				controller.tasks.TaskSucceeded(jobs[id], machines["m-4"])
+			}
+			for name, machine := range machines {
+				if want := slices.Contains(tc.quarantined, name); machine.Quarantined != want {
+					t.Errorf("%s is quarantined: %t", name, machine.Quarantined)
+				}
+			}
+			for id, job := range jobs {
+				if want := slices.Contains(tc.suspect, id); job.Suspect != want {
+					t.Errorf("job %s is suspect: %t", id, job.Suspect)
+				}
+			}
+		})
+	}
+}
--- a/internal/core/heartbeat_reconciliation.go
+++ b/internal/core/heartbeat_reconciliation.go
@@ -35,7 +35,7 @@
 	// now. Counted from our own answers alone, a machine was taken for dead that had
 	// booted for longer than a lease and was heard through a direct command first.
 	h.extendWorkerLease(machine)
-	r := &heartbeatReconciliation{
+	reconciliation := &heartbeatReconciliation{
 		workerHandler: h,
 		machine:       machine,
 		heartbeat:     heartbeat,
@@ -44,23 +44,23 @@
 		commands:      []api.Command{},
 	}
 	if heartbeat.FencingToken != h.cluster.FencingToken(machine) {
-		r.stopCancelled()
-		return r.commands
+		reconciliation.stopCancelled()
+		return reconciliation.commands
 	}
-	r.observeMachine()
-	r.decideForgetting()
+	reconciliation.observeMachine()
+	reconciliation.decideForgetting()
 	for _, reported := range heartbeat.Tasks {
-		r.reconcileReported(reported)
+		reconciliation.reconcileReported(reported)
 	}
 	for _, id := range machine.TaskIDsCopy() {
-		if !r.observed[id] {
-			r.reconcileAbsent(id)
+		if !reconciliation.observed[id] {
+			reconciliation.reconcileAbsent(id)
 		}
 	}
 	if renewsLease {
-		machine.TrackRepeatedCommands(h.Now, r.commands)
+		machine.TrackRepeatedCommands(h.Now, reconciliation.commands)
 	}
-	return r.commands
+	return reconciliation.commands
 }
 
 // addCommand adds a command for the worker. What exceeds planning.MaxCommands is left to
--- a/internal/core/record_applier.go
+++ b/internal/core/record_applier.go
@@ -50,13 +50,13 @@
 	schema *coordination.SchemaTracker,
 	trigger *cluster.CycleTrigger,
 ) *recordApplier {
-	a := &recordApplier{
+	applier := &recordApplier{
 		Environment: env, cache: cache, catalog: catalog, cluster: cluster, dependencies: dependencies,
 		partitionLog: partitionLog, provisioning: provisioning, registry: registry, roles: roles, schema: schema,
 		trigger: trigger,
 	}
-	a.kinds = a.keyKinds()
-	return a
+	applier.kinds = applier.keyKinds()
+	return applier
 }
 
 // keyKind is a kind of key of the store: what all its keys begin with, and what takes them
