--- /dev/null
+++ b/internal/core/submission_test.go
@@ -0,0 +1,71 @@
+package core
+
+import (
+	"testing"
+
+	"spurmoor/internal/api"
+	"spurmoor/internal/coordination"
+	"spurmoor/internal/message"
+	"spurmoor/internal/micros"
+	"spurmoor/internal/records"
+)
+
+// TestRepeatedSubmissionCostsNoWrite guards against a transaction, which counts against the
+// budget of writes, for a submission of a job that the replica knows.
+func TestRepeatedSubmissionCostsNoWrite(t *testing.T) {
+	fixture := newSyncedFixture(t)
+	withDependency := []byte(string(fixture.submission[:len(fixture.submission)-1]) + `,"Espera":["` + testJob + `"]}`)
+	for index, tc := range []struct {
+		name string
+		body []byte
+	}{
+		{name: "as before", body: fixture.submission},
+		{name: "with another body", body: withDependency},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			submit := message.Submit{RequestID: uint64(index + 1), Body: tc.body}
+			effects := fixture.Step(micros.Micros(index+1)*micros.Second, submit)
+			if transactionWriting(effects, records.JobPrefix+testJob) != nil {
+				t.Error("a transaction is sent for a job that is known")
+			}
+			for _, answer := range effectsOf[message.Answer](effects) {
+				if answer.Status >= statusBadRequest && answer.Status < statusTooManyRequests {
+					t.Errorf("a repeated submission was refused: %+v", answer)
+				}
+			}
+		})
+	}
+}
+
+// TestSlowSubmissionIsReadAgain guards against the answer to a submission whose write was
+// held up: the job may have been cancelled by then, and its user told so elsewhere.
+func TestSlowSubmissionIsReadAgain(t *testing.T) {
+	for _, tc := range []struct {
+		name           string
+		writeTook      micros.Micros
+		answeredAtOnce bool
+	}{
+		{name: "quick", writeTook: 1, answeredAtOnce: true},
+		{name: "slow", writeTook: coordination.MaxReadAge + 1, answeredAtOnce: false},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			fixture := newSyncedFixture(t)
+			delete(fixture.cluster.Jobs, testJob)
+			fixture.Now = micros.Second
+			requestID := fixture.NextCall + 1000
+			effects := fixture.Step(fixture.Now+1, message.Submit{RequestID: requestID, Body: fixture.submission})
+			write := transactionWriting(effects, records.JobPrefix+testJob)
+			if write == nil {
+				t.Fatal("no record was sent")
+			}
+			fixture.answerReads(fixture.Now+1, effects)
+			written := &message.StoreReply{
+				Call: write.Call, Status: statusOK, Transaction: api.TransactionResult{Revision: fixture.cache.Revision + 1},
+			}
+			_, answered := answerTo(fixture.Step(fixture.Now+tc.writeTook, written), requestID)
+			if answered != tc.answeredAtOnce {
+				t.Errorf("answered at once: %t", answered)
+			}
+		})
+	}
+}
