--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -3,6 +3,7 @@
 import (
 	"os"
 	"path/filepath"
+	"slices"
 	"strings"
 	"testing"
 )
@@ -40,7 +41,10 @@
 		{`"txn_ops":48`, `"txn_ops":48,"next":{"write_rps":-2.5}`, `field facts.state.next.write_rps: must be above 0, is -2.5`},
 		{`"txn_ops":48`, `"txn_ops":48,"next":{"value_kb":0,"txn_ops":0}`, `field facts.state.next.value_kb: must be above 0, is 0`},
 		{`"txn_ops":48`, `"txn_ops":48,"next":{"txn_ops":2}`, `field facts.state.next.txn_ops: must be at least 3, is 2`},
-		{`"txn_ops":48`, `"txn_ops":48,"next":[2]`, `settings: json: cannot unmarshal JSON array into Go settings.NextStoreLimits within "/facts/state/next"`},
+		{
+			`"txn_ops":48`, `"txn_ops":48,"next":[2]`,
+			`settings: json: cannot unmarshal JSON array into Go settings.NextStoreLimits within "/facts/state/next"`,
+		},
 		{`"cancel_s":48`, `"cancel_s":19.5`, `field facts.workers.cancel_s: 19.5 leaves no room after lease_s 18`},
 		{`"zones":["a","b"]`, `"zones":[]`, `field facts.zones is missing`},
 		{`{"name":"x","gpus":8},{"name":"y","gpus":4},{"name":"z","gpus":4}`, ``, `field facts.teams is missing`},
@@ -69,8 +73,14 @@
 		{"[weights]\nhunger = 1", `unknown key weights.hunger`},
 		{"cycle_s = ", `toml: expected value, not end of input`},
 		{"cycle_s = 7\ncycle_s = 7", `key cycle_s: toml: key cycle_s is already defined`},
-		{"queue_jobs = \"plenty\"", `key queue_jobs: toml: cannot decode TOML string into struct field settings.Operators.MaxQueuedJobs of type int`},
-		{"[duties]\nexclusive = \"strays\"", `key duties.exclusive: toml: cannot decode TOML string into struct field settings.RoleSettings.Exclusive of type []string`},
+		{
+			"queue_jobs = \"plenty\"",
+			`key queue_jobs: toml: cannot decode TOML string into struct field settings.Operators.MaxQueuedJobs of type int`,
+		},
+		{
+			"[duties]\nexclusive = \"strays\"",
+			`key duties.exclusive: toml: cannot decode TOML string into struct field settings.RoleSettings.Exclusive of type []string`,
+		},
 		{"parts = 1", `parts = 1 is out of range: at least two, or 0 for one per controller`},
 		{"parts = -1", `parts = -1 is out of range 0 to 64`},
 		{"parts = 65", `parts = 65 is out of range 0 to 64`},
@@ -97,12 +107,26 @@
 		{"queue_jobs = -9", `queue_jobs = -9 is out of range 10 to 1000000, or 0 for as many as memory holds`},
 		{"queue_jobs = 1000001", `queue_jobs = 1000001 is out of range 10 to 1000000, or 0 for as many as memory holds`},
 		{"[duties]\nexclusive = [\"dusting\"]", `duties.exclusive = "dusting": "dusting" is no duty; allowed are strays, sweep, catalogue`},
-		{"[duties]\nexclusive = [\"strays\", \"strays\"]", `duties.exclusive = "strays" is given twice; allowed is each of strays, sweep, catalogue once`},
-		{"[duties]\nexclusive = [\"sweep\"]", `duties.exclusive = "sweep" without "strays": every controller would adopt what the one finds; allowed is "strays" beside it or neither`},
-		{"parts = 1\n[duties]\nexclusive = [\"sweep\"]", `duties.exclusive = "sweep" without "strays": every controller would adopt what the one finds; allowed is "strays" beside it or neither`},
+		{
+			"[duties]\nexclusive = [\"strays\", \"strays\"]",
+			`duties.exclusive = "strays" is given twice; allowed is each of strays, sweep, catalogue once`,
+		},
+		{
+			"[duties]\nexclusive = [\"sweep\"]",
+			`duties.exclusive = "sweep" without "strays": every controller would adopt what the one finds; ` +
+				`allowed is "strays" beside it or neither`,
+		},
+		{
+			"parts = 1\n[duties]\nexclusive = [\"sweep\"]",
+			`duties.exclusive = "sweep" without "strays": every controller would adopt what the one finds; ` +
+				`allowed is "strays" beside it or neither`,
+		},
 		{"queue_jobs = 9\nparts = 1", `queue_jobs = 9 is out of range 10 to 1000000, or 0 for as many as memory holds`},
 		{"queue_jobs = 9\n[weights]\nwait = 2", `weights.wait = 2 is out of range 0 to 1`},
-		{"[duties]\nrecord_rentals = 1", `key duties.record_rentals: toml: cannot decode TOML integer into struct field settings.RoleSettings.RecordRequests of type bool`},
+		{
+			"[duties]\nrecord_rentals = 1",
+			`key duties.record_rentals: toml: cannot decode TOML integer into struct field settings.RoleSettings.RecordRequests of type bool`,
+		},
 	} {
 		_, err := ParseOperators([]byte(tc.text))
 		if got := errorText(err); got != tc.want {
@@ -147,10 +171,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, want := strings.Join(parsed.Warnings(), "\n"), `facts.machine_limits.max_connections is below 200: workers and users will be turned away
-facts.machine_limits.mem_mb is below 48: the process may be ended for its memory
-facts.workers.cancel_s leaves 2.2 s beside a lease: when the state service is away for longer, or a controller ends, workers' tasks end`; got != want {
-		t.Errorf("warnings\n%s, want\n%s", got, want)
+	want := []string{
+		`facts.machine_limits.max_connections is below 200: workers and users will be turned away`,
+		`facts.machine_limits.mem_mb is below 48: the process may be ended for its memory`,
+		`facts.workers.cancel_s leaves 2.2 s beside a lease: when the state service is away for longer, ` +
+			`or a controller ends, workers' tasks end`,
+	}
+	if got := parsed.Warnings(); !slices.Equal(got, want) {
+		t.Errorf("warnings %q, want %q", got, want)
 	}
 }
 
--- /dev/null
+++ b/internal/settings/operators_validation.go
@@ -0,0 +1,115 @@
+package settings
+
+import (
+	"fmt"
+	"strings"
+
+	"spurmoor/internal/leadership"
+)
+
+// Bounds of queue_jobs, where it is set.
+const (
+	minQueuedJobs = 10
+	maxQueuedJobs = 1_000_000
+)
+
+// validate tells which key is not valid: the first one, as a *FieldError.
+func (o *Operators) validate() error {
+	return firstError(
+		o.validateRanges(),
+		o.validateQueuedJobs(),
+		o.Roles.validate(),
+		o.validatePartitions(),
+	)
+}
+
+// validateRanges checks what has a least and a greatest value.
+func (o *Operators) validateRanges() error {
+	for _, setting := range []struct {
+		key       string
+		value     float64
+		low, high float64
+	}{
+		{"parts", float64(o.Partitions), 0, 64},
+		{"cycle_s", o.CycleIntervalS, 0.5, 60},
+		{"reference_wait_s", o.ReferenceWaitS, 1, 86400},
+		{"idle_return_s", o.IdleReturnS, 0, 86400},
+		{"silent_s", o.SilenceS, 5, 600},
+		{"hold_ttl_s", o.LeaseTTLS, 2, 60},
+		{"refusal_memory_s", o.RefusalMemoryS, 1, 600},
+		{"late_penalty", o.LatePenalty, 0, 10},
+		{"large_penalty", o.LargePenalty, 0, 10},
+		{"price_ceiling", o.PriceCeiling, 1, 1000},
+		{"idle_price_ceiling", o.IdlePriceCeiling, 1, 1000},
+		{"ceiling_growth_s", o.CeilingGrowthS, 1, 86400},
+		{"begin_within_s", o.BeginWithinS, 1, 86400},
+		{"weights.priority", o.Weights.Priority, 0, 1},
+		{"weights.wait", o.Weights.Wait, 0, 1},
+		{"weights.deficit", o.Weights.Deficit, 0, 1},
+		{"weights.zone_fit", o.Weights.ZoneFit, 0, 1},
+		{"weights.readiness", o.Weights.Readiness, 0, 1},
+		{"weights.backlog", o.Weights.Backlog, 0, 1},
+	} {
+		if err := inRange(setting.key, setting.value, setting.low, setting.high); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// validateQueuedJobs checks the number of unfinished jobs, where one is set.
+func (o *Operators) validateQueuedJobs() error {
+	jobs := o.MaxQueuedJobs
+	if jobs == 0 || jobs >= minQueuedJobs && jobs <= maxQueuedJobs {
+		return nil
+	}
+	allowed := fmt.Sprintf("%d to %d, or 0 for as many as memory holds", minQueuedJobs, maxQueuedJobs)
+	return invalid("queue_jobs", jobs, allowed, "queue_jobs = %v is out of range %s", jobs, allowed)
+}
+
+// validatePartitions checks what the range of parts lets pass.
+func (o *Operators) validatePartitions() error {
+	if o.Partitions == 0 || o.Partitions >= minPartitions {
+		return nil
+	}
+	const allowed = "at least two, or 0 for one per controller"
+	return invalid("parts", o.Partitions, allowed, "parts = %d is out of range: %s", o.Partitions, allowed)
+}
+
+// exclusiveKey is where the operators name the roles that have one leader.
+const exclusiveKey = "duties.exclusive"
+
+// validate checks that each role named is one, that it is named once, and that roles
+// which need each other are named together.
+func (r *RoleSettings) validate() error {
+	seen := map[string]bool{}
+	for _, name := range r.Exclusive {
+		if err := validateRoleName(name, seen); err != nil {
+			return err
+		}
+		seen[name] = true
+	}
+	sweeper, adopter := leadership.InstanceSweeper, leadership.OrphanAdopter
+	if !seen[sweeper.String()] || seen[adopter.String()] {
+		return nil
+	}
+	allowed := fmt.Sprintf("%q beside it or neither", adopter)
+	return invalid(exclusiveKey, r.Exclusive, allowed,
+		"duties.exclusive = %q without %q: every controller would adopt what the one finds; allowed is %s", sweeper, adopter, allowed)
+}
+
+// validateRoleName checks that a name is that of a role, and not among those seen.
+func validateRoleName(name string, seen map[string]bool) error {
+	names := strings.Join(leadership.FleetRoleNames(), ", ")
+	if _, err := leadership.ParseFleetRole(name); err != nil {
+		return &FieldError{
+			Field: exclusiveKey, Value: name, Allowed: names, Cause: err,
+			text: fmt.Sprintf("duties.exclusive = %q: %v", name, err),
+		}
+	}
+	if !seen[name] {
+		return nil
+	}
+	allowed := fmt.Sprintf("each of %s once", names)
+	return invalid(exclusiveKey, name, allowed, "duties.exclusive = %q is given twice; allowed is %s", name, allowed)
+}
--- a/internal/settings/sockets.go
+++ b/internal/settings/sockets.go
@@ -1,45 +1,62 @@
 package settings
 
-import "fmt"
-
-// Sockets deals a process's sockets out among its uses, each with room of its
-// own, so that none takes the last one from another: a lease is renewed and
-// the balancer answered however many workers there are.
+// Sockets allocates a process's sockets to its uses, each with room of its own, so
+// that none takes the last one from another: a lease is renewed and the load balancer
+// answered however many workers there are.
 type Sockets struct {
-	Public         int // users, health checks and workers' reports
+	Public         int // users, health checks and workers' heartbeats
 	Crowded        int // open public connections beyond which a worker's is closed once answered
 	Internal       int // the other controllers' messages
 	DirectCommands int // direct commands to workers, closed once answered
 	Peers          int // to each other controller
-	Store          int // requests to the state service
+	Store          int // requests to the key-value store
 	Lease          int // the same, for lease renewals and the reads that users wait for
-	Cloud          int
+	Cloud          int // requests to the cloud
 }
 
-// sockets deals max_connections out. Two are the listeners', and a reserve is
-// left for connections that are being closed.
-func (s *Settings) sockets() Sockets {
-	most := s.Deployment.Process.MaxConnections
-	k := Sockets{Internal: max(8, 4*len(s.Peers)), DirectCommands: min(256, max(8, most/16)), Peers: 2,
-		Store: min(64, max(8, most/32)), Lease: 4, Cloud: 4}
-	rest := 2 + k.Internal + k.DirectCommands + k.Peers*len(s.Peers) + k.Store + k.Lease + k.Cloud
-	k.Public = max(16, most-rest-most/32)
-	k.Crowded = k.Public * 4 / 5
-	return k
-}
+// How many sockets each use gets of those that a process may open.
+const (
+	listenerSockets = 2 // public and internal
 
-// Warnings names what will hardly work though it is no error: the controller
-// starts all the same and serves as far as it can.
-func (s *Settings) Warnings() []string {
-	var list []string
-	if n := s.Deployment.Process.MaxConnections; n < 200 {
-		list = append(list, "facts.machine_limits.max_connections is below 200: workers and users will be turned away")
-	}
-	if s.Deployment.Process.MemMB < 48 {
-		list = append(list, "facts.machine_limits.mem_mb is below 48: the process may be ended for its memory")
-	}
-	if h := s.Deployment.AnswerWindowS(); h < s.Operators.LeaseTTLS+2 {
-		list = append(list, fmt.Sprintf("facts.workers.cancel_s leaves %.1f s beside a lease: when the state service is away for longer, or a controller ends, workers' tasks end", h))
+	minInternalSockets     = 8
+	internalSocketsPerPeer = 4
+
+	minDirectCommandSockets   = 8
+	maxDirectCommandSockets   = 256
+	directCommandSocketsShare = 16 // one in so many
+
+	minStoreSockets   = 8
+	maxStoreSockets   = 64
+	storeSocketsShare = 32 // one in so many
+
+	peerSockets  = 2
+	leaseSockets = 4
+	cloudSockets = 4
+
+	minPublicSockets = 16
+	// One socket in closingSocketsShare is left for connections that are being closed.
+	closingSocketsShare = 32
+	// Beyond 4 of 5 public sockets, workers' connections are not kept open.
+	crowdedSockets, crowdedSocketsOf = 4, 5
+)
+
+// allocateSockets spreads the sockets that a process may open over their uses. The
+// public ones are what is left; with very few in all, the sum is above the limit.
+func allocateSockets(limit, peers int) Sockets {
+	sockets := Sockets{
+		Internal:       max(minInternalSockets, internalSocketsPerPeer*peers),
+		DirectCommands: min(maxDirectCommandSockets, max(minDirectCommandSockets, limit/directCommandSocketsShare)),
+		Peers:          peerSockets,
+		Store:          min(maxStoreSockets, max(minStoreSockets, limit/storeSocketsShare)),
+		Lease:          leaseSockets,
+		Cloud:          cloudSockets,
 	}
-	return list
+	sockets.Public = max(minPublicSockets, limit-sockets.besidePublic(peers)-limit/closingSocketsShare)
+	sockets.Crowded = sockets.Public * crowdedSockets / crowdedSocketsOf
+	return sockets
+}
+
+// besidePublic is how many sockets are not for the public, with so many peers.
+func (s Sockets) besidePublic(peers int) int {
+	return listenerSockets + s.Internal + s.DirectCommands + s.Peers*peers + s.Store + s.Lease + s.Cloud
 }
--- a/internal/settings/sockets_test.go
+++ b/internal/settings/sockets_test.go
@@ -12,7 +12,7 @@
 		s := &Settings{}
 		s.Peers = make([]Peer, 2)
 		s.Deployment.Process.MaxConnections = c.most
-		k := s.sockets()
+		k := allocateSockets(c.most, len(s.Peers))
 		sum := 2 + k.Public + k.Internal + k.DirectCommands + k.Peers*len(s.Peers) + k.Store + k.Lease + k.Cloud
 		if sum > c.most && c.most >= 100 {
 			t.Errorf("%d sockets: %d dealt out", c.most, sum)
