--- a/cmd/spurmoor/main.go
+++ b/cmd/spurmoor/main.go
@@ -12,13 +12,11 @@
 	"runtime/debug"
 	"syscall"
 
-	"spurmoor/internal/logkey"
-
-	"spurmoor/internal/records"
-
 	"github.com/spf13/cobra"
 
 	"spurmoor/internal/history"
+	"spurmoor/internal/logkey"
+	"spurmoor/internal/records"
 	"spurmoor/internal/server"
 	"spurmoor/internal/settings"
 )
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -448,7 +448,7 @@
 		respond(ctx, message.Answer{Status: 400, Body: api.Error{Error: err.Error()}})
 		return
 	}
-	if int(s.open()) > s.set.Sockets.Crowded {
+	if int(s.open()) > s.set.Sockets.KeepAliveLimit {
 		// A worker asks again within seconds; users must find room, and so
 		// must more workers than there are sockets.
 		ctx.SetConnectionClose()
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -106,8 +106,8 @@
 		kept++
 		defer func() { _ = conn.Close() }()
 	}
-	if kept < set.Sockets.Crowded/2 || kept > set.Sockets.Crowded+1 {
-		t.Errorf("%d connections of workers are kept, of %d that may be", kept, set.Sockets.Crowded)
+	if kept < set.Sockets.KeepAliveLimit/2 || kept > set.Sockets.KeepAliveLimit+1 {
+		t.Errorf("%d connections of workers are kept, of %d that may be", kept, set.Sockets.KeepAliveLimit)
 	}
 	conn, resp := ask("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")
 	defer func() { _ = conn.Close() }()
--- /dev/null
+++ b/internal/settings/field_error_test.go
@@ -0,0 +1,43 @@
+package settings
+
+import (
+	"errors"
+	"reflect"
+	"strings"
+	"testing"
+)
+
+// TestFieldError guards that errors say in fields what is wrong, not only in their text.
+func TestFieldError(t *testing.T) {
+	_, notValid := Parse([]byte(strings.Replace(sound, `"lease_s":18`, `"lease_s":0`, 1)), Defaults())
+	_, missing := Parse([]byte(strings.Replace(sound, `10.2.0.2:1`, ``, 1)), Defaults())
+	_, outOfRange := ParseOperators([]byte("cycle_s = 0.1"))
+	_, unknown := ParseOperators([]byte("cycles = 7"))
+	for _, tc := range []struct {
+		err  error
+		want FieldError
+	}{
+		{notValid, FieldError{Field: "facts.workers.lease_s", Value: 0.0, Allowed: "above 0"}},
+		{missing, FieldError{Field: "endpoints.cloud", Allowed: "an IPv4 address with a port"}},
+		{outOfRange, FieldError{Field: "cycle_s", Value: 0.1, Allowed: "0.5 to 60"}},
+		{unknown, FieldError{Field: "cycles", Allowed: "no such key"}},
+	} {
+		var got *FieldError
+		if !errors.As(tc.err, &got) {
+			t.Errorf("%v is no FieldError", tc.err)
+			continue
+		}
+		if got.Field != tc.want.Field || !reflect.DeepEqual(got.Value, tc.want.Value) || got.Allowed != tc.want.Allowed {
+			t.Errorf("%v: field %q, value %v, allowed %q; want %+v", got, got.Field, got.Value, got.Allowed, tc.want)
+		}
+	}
+}
+
+// TestFieldErrorCause guards that what reading a value failed with can be found.
+func TestFieldErrorCause(t *testing.T) {
+	_, err := ParseOperators([]byte("[duties]\nexclusive = [\"dusting\"]"))
+	var field *FieldError
+	if !errors.As(err, &field) || field.Cause == nil || !errors.Is(err, field.Cause) {
+		t.Errorf("%v has no cause", err)
+	}
+}
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -81,6 +81,20 @@
 			"[duties]\nexclusive = \"strays\"",
 			`key duties.exclusive: toml: cannot decode TOML string into struct field settings.RoleSettings.Exclusive of type []string`,
 		},
+		{
+			"[duties]\nrecord_rentals = 1",
+			`key duties.record_rentals: toml: cannot decode TOML integer into struct field ` +
+				`settings.RoleSettings.RecordRequests of type bool`,
+		},
+	} {
+		checkOperatorsError(t, tc.text, tc.want)
+	}
+}
+
+// TestOperatorRangeTexts does the same for values that are out of range or that do not
+// go together.
+func TestOperatorRangeTexts(t *testing.T) {
+	for _, tc := range []struct{ text, want string }{
 		{"parts = 1", `parts = 1 is out of range: at least two, or 0 for one per controller`},
 		{"parts = -1", `parts = -1 is out of range 0 to 64`},
 		{"parts = 65", `parts = 65 is out of range 0 to 64`},
@@ -123,15 +137,17 @@
 		},
 		{"queue_jobs = 9\nparts = 1", `queue_jobs = 9 is out of range 10 to 1000000, or 0 for as many as memory holds`},
 		{"queue_jobs = 9\n[weights]\nwait = 2", `weights.wait = 2 is out of range 0 to 1`},
-		{
-			"[duties]\nrecord_rentals = 1",
-			`key duties.record_rentals: toml: cannot decode TOML integer into struct field settings.RoleSettings.RecordRequests of type bool`,
-		},
 	} {
-		_, err := ParseOperators([]byte(tc.text))
-		if got := errorText(err); got != tc.want {
-			t.Errorf("%q: error\n%s, want\n%s", tc.text, got, tc.want)
-		}
+		checkOperatorsError(t, tc.text, tc.want)
+	}
+}
+
+// checkOperatorsError checks the text of the error that an operators' file gives.
+func checkOperatorsError(t *testing.T, file, want string) {
+	t.Helper()
+	_, err := ParseOperators([]byte(file))
+	if got := errorText(err); got != want {
+		t.Errorf("%q: error\n%s, want\n%s", file, got, want)
 	}
 }
 
--- a/internal/settings/operators.go
+++ b/internal/settings/operators.go
@@ -7,9 +7,9 @@
 	"slices"
 	"strings"
 
-	"spurmoor/internal/leadership"
-
 	"github.com/pelletier/go-toml/v2"
+
+	"spurmoor/internal/leadership"
 )
 
 // Operators holds what operators may tune; docs/operations.md lists it. Times are in
--- a/internal/settings/platform.go
+++ b/internal/settings/platform.go
@@ -32,7 +32,7 @@
 		ReportS   float64 `json:"report_s"`    // between two heartbeats
 		LeaseS    float64 `json:"lease_s"`     // after the last answer a worker ends its tasks
 		GangWaitS float64 `json:"gang_wait_s"` // a gang's task waits for the rest of it
-		GangPeerS float64 `json:"gang_peer_s"` // a gang's task runs on after another one's end
+		GangPeerS float64 `json:"gang_peer_s"` // the rest of a gang runs on after the end of a task
 		CancelS   float64 `json:"cancel_s"`    // a cancelled job's tasks must have ended
 	} `json:"workers"`
 	Store StoreLimits `json:"state"`
@@ -57,13 +57,20 @@
 	MaxGPUs        float64 `json:"gpus_max"`
 }
 
+// Kinds of objectives, with the platform's words.
+const (
+	ObjectiveWait     = "wait"     // begun within so many seconds of the submission
+	ObjectiveFinished = "finished" // done within so many seconds of the submission
+	ObjectiveDeadline = "deadline" // done within so many times the deadline asked for
+)
+
 // Objective is a service-level objective for a class of jobs.
 type Objective struct {
-	Kind           string  `json:"kind"`
+	Kind           string  `json:"kind"` // kinds that are not known are passed over
 	Class          string  `json:"class"`
 	WithinS        float64 `json:"within_s"`
-	Share          float64 `json:"share"` // of the class's jobs, from 0 to 1
-	DeadlineFactor float64 `json:"times"` // times the job's estimated run time
+	Share          float64 `json:"share"` // of the class's jobs that must meet it
+	DeadlineFactor float64 `json:"times"` // of a deadline: times what the job asks for
 }
 
 // StoreLimits is what the key-value store admits.
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -16,12 +16,13 @@
 "machine_limits":{"cores":0.12,"mem_mb":98,"max_connections":1200},"time_bound_ms":5}}`
 
 func TestParse(t *testing.T) {
-	s, err := Parse([]byte(sound), Defaults())
+	settings, err := Parse([]byte(sound), Defaults())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Operators.Partitions != 2 || s.TeamPartition["x"] == s.TeamPartition["y"] || s.TeamPartition["y"] != s.TeamPartition["z"] {
-		t.Errorf("guarantees 8, 4, 4 dealt into %d parts as %v", s.Operators.Partitions, s.TeamPartition)
+	partitions, of := settings.Operators.Partitions, settings.TeamPartition
+	if partitions != 2 || of["x"] == of["y"] || of["y"] != of["z"] {
+		t.Errorf("guarantees 8, 4, 4 assigned to %d partitions as %v", partitions, of)
 	}
 	bad := map[string][2]string{
 		"node_name":                     {`"node_name":"nodo-0",`, ``},
@@ -101,18 +102,18 @@
 	}
 }
 
-// TestMostJobs guards against a fixed number of unfinished jobs below what a fleet of
-// thousands of machines runs.
-func TestMostJobs(t *testing.T) {
-	for _, c := range []struct {
-		named int
-		memMB float64
-		want  int
+// TestMaxUnfinishedJobs guards against a fixed number of unfinished jobs below what a
+// fleet of thousands of machines runs.
+func TestMaxUnfinishedJobs(t *testing.T) {
+	for _, tc := range []struct {
+		queueJobs int
+		memMB     float64
+		want      int
 	}{{0, 20, 4000}, {0, 98, 9800}, {0, 342, 34200}, {50, 342, 50}} {
-		s := &Settings{Operators: Operators{MaxQueuedJobs: c.named}}
-		s.Deployment.Process.MemMB = c.memMB
-		if got := s.MaxUnfinishedJobs(); got != c.want {
-			t.Errorf("queue_jobs %d, mem_mb %v: %d, want %d", c.named, c.memMB, got, c.want)
+		settings := &Settings{Operators: Operators{MaxQueuedJobs: tc.queueJobs}}
+		settings.Deployment.Process.MemMB = tc.memMB
+		if got := settings.MaxUnfinishedJobs(); got != tc.want {
+			t.Errorf("queue_jobs %d, mem_mb %v: %d, want %d", tc.queueJobs, tc.memMB, got, tc.want)
 		}
 	}
 }
@@ -120,40 +121,40 @@
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(sound))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		s, err := Parse(raw, Defaults())
+		settings, err := Parse(raw, Defaults())
 		if err != nil {
 			return
 		}
-		if s.Operators.Partitions < 2 || s.Deployment.Workers.CancelS <= s.Deployment.Workers.LeaseS {
-			t.Errorf("senseless settings were taken: %+v", s)
+		if settings.Operators.Partitions < 2 || settings.Deployment.Workers.CancelS <= settings.Deployment.Workers.LeaseS {
+			t.Errorf("senseless settings were taken: %+v", settings)
 		}
-		if _, err := json.Marshal(s.Platform); err != nil {
+		if _, err := json.Marshal(settings.Platform); err != nil {
 			t.Error(err)
 		}
 	})
 }
 
-// TestAnswerDeadline guards that a task kept alive by the last answer within the answer deadline
-// is gone before cancel_s, by a slow clock too, and that settings which leave little
-// of it are named.
-func TestAnswerDeadline(t *testing.T) {
-	for _, c := range []struct {
+// TestAnswerWindow guards that a task kept alive by the last answer within the answer
+// window is gone before cancel_s, by a slow clock too, and that settings which leave
+// little of it are named.
+func TestAnswerWindow(t *testing.T) {
+	for _, tc := range []struct {
 		lease, cancel string
 		warned        bool
 	}{{"31", "61", false}, {"38", "58", false}, {"18", "48", false}, {"18", "28.5", true}, {"18", "21", true}, {"600", "2000", false}} {
-		text := strings.Replace(strings.Replace(sound, `"lease_s":18`, `"lease_s":`+c.lease, 1), `"cancel_s":48`, `"cancel_s":`+c.cancel, 1)
-		s, err := Parse([]byte(text), Defaults())
+		text := strings.NewReplacer(`"lease_s":18`, `"lease_s":`+tc.lease, `"cancel_s":48`, `"cancel_s":`+tc.cancel).Replace(sound)
+		settings, err := Parse([]byte(text), Defaults())
 		if err != nil {
 			t.Fatal(err)
 		}
-		w := s.Deployment.Workers
-		h := s.Deployment.AnswerWindowS()
-		slow := (h + w.LeaseS) * 1.0005 // the most that clocks drift apart
-		if h <= 0 || slow >= w.CancelS-0.2 {
-			t.Errorf("lease_s %s, cancel_s %s: answer deadline %.2f, all gone after %.2f", c.lease, c.cancel, h, slow)
+		workers := settings.Deployment.Workers
+		window := settings.Deployment.AnswerWindowS()
+		slow := (window + workers.LeaseS) * 1.0005 // the most that clocks drift apart
+		if window <= 0 || slow >= workers.CancelS-0.2 {
+			t.Errorf("lease_s %s, cancel_s %s: answer window %.2f, all gone after %.2f", tc.lease, tc.cancel, window, slow)
 		}
-		if got := strings.Contains(strings.Join(s.Warnings(), "; "), "cancel_s"); got != c.warned {
-			t.Errorf("lease_s %s, cancel_s %s: warned %t", c.lease, c.cancel, got)
+		if got := strings.Contains(strings.Join(settings.Warnings(), "; "), "cancel_s"); got != tc.warned {
+			t.Errorf("lease_s %s, cancel_s %s: warned %t", tc.lease, tc.cancel, got)
 		}
 	}
 }
--- a/internal/settings/sockets.go
+++ b/internal/settings/sockets.go
@@ -5,7 +5,7 @@
 // answered however many workers there are.
 type Sockets struct {
 	Public         int // users, health checks and workers' heartbeats
-	Crowded        int // open public connections beyond which a worker's is closed once answered
+	KeepAliveLimit int // open public connections beyond which a worker's is closed once answered
 	Internal       int // the other controllers' messages
 	DirectCommands int // direct commands to workers, closed once answered
 	Peers          int // to each other controller
@@ -37,7 +37,7 @@
 	// One socket in closingSocketsShare is left for connections that are being closed.
 	closingSocketsShare = 32
 	// Beyond 4 of 5 public sockets, workers' connections are not kept open.
-	crowdedSockets, crowdedSocketsOf = 4, 5
+	keepAliveShare, keepAliveShareOf = 4, 5
 )
 
 // allocateSockets spreads the sockets that a process may open over their uses. The
@@ -52,7 +52,7 @@
 		Cloud:          cloudSockets,
 	}
 	sockets.Public = max(minPublicSockets, limit-sockets.besidePublic(peers)-limit/closingSocketsShare)
-	sockets.Crowded = sockets.Public * crowdedSockets / crowdedSocketsOf
+	sockets.KeepAliveLimit = sockets.Public * keepAliveShare / keepAliveShareOf
 	return sockets
 }
 
--- a/internal/settings/sockets_test.go
+++ b/internal/settings/sockets_test.go
@@ -3,30 +3,60 @@
 import "testing"
 
 // TestSockets guards against one use taking the sockets of another: with one
-// controller left, each machine's worker reports there and is told its new token
-// directly within seconds.
+// controller left, each machine's worker sends its heartbeats there and
+// gets its new fencing token directly within seconds.
 func TestSockets(t *testing.T) {
-	for _, c := range []struct{ most, machines int }{
+	for _, tc := range []struct{ limit, machines int }{
 		{2274, 1382}, {2274, 2070}, {3362, 2088}, {1200, 72}, {4000, 42}, {200, 20}, {60, 10},
 	} {
-		s := &Settings{}
-		s.Peers = make([]Peer, 2)
-		s.Deployment.Process.MaxConnections = c.most
-		k := allocateSockets(c.most, len(s.Peers))
-		sum := 2 + k.Public + k.Internal + k.DirectCommands + k.Peers*len(s.Peers) + k.Store + k.Lease + k.Cloud
-		if sum > c.most && c.most >= 100 {
-			t.Errorf("%d sockets: %d dealt out", c.most, sum)
+		const peers = 2
+		sockets := allocateSockets(tc.limit, peers)
+		sum := 2 + sockets.Public + sockets.Internal + sockets.DirectCommands + sockets.Peers*peers +
+			sockets.Store + sockets.Lease + sockets.Cloud
+		if sum > tc.limit && tc.limit >= 100 {
+			t.Errorf("%d sockets: %d allocated", tc.limit, sum)
 		}
-		// Beyond Crowded a worker's connection lasts for one report only, so
+		// Beyond KeepAliveLimit a worker's connection lasts for one heartbeat only, so
 		// there is room for more workers than sockets.
-		if k.Crowded < c.machines*3/4 || k.Public-k.Crowded < 3 || k.Lease < 2 || k.DirectCommands < 8 {
-			t.Errorf("%d sockets, %d machines: %+v", c.most, c.machines, k)
+		closedOnceAnswered := sockets.Public - sockets.KeepAliveLimit
+		if sockets.KeepAliveLimit < tc.machines*3/4 || closedOnceAnswered < 3 || sockets.Lease < 2 || sockets.DirectCommands < 8 {
+			t.Errorf("%d sockets, %d machines: %+v", tc.limit, tc.machines, sockets)
 		}
 		// Too few of them are no reason not to start, but are said.
-		s.Deployment.Process.MemMB = 186
-		s.Deployment.Workers.LeaseS, s.Deployment.Workers.CancelS = 18, 48
-		if said := len(s.Warnings()); said != 0 && c.most >= 200 || said == 0 && c.most < 200 {
-			t.Errorf("%d sockets: %d warnings", c.most, said)
+		settings := &Settings{}
+		settings.Deployment.Process.MaxConnections = tc.limit
+		settings.Deployment.Process.MemMB = 186
+		settings.Deployment.Workers.LeaseS, settings.Deployment.Workers.CancelS = 18, 48
+		if said := len(settings.Warnings()); said != 0 && tc.limit >= 200 || said == 0 && tc.limit < 200 {
+			t.Errorf("%d sockets: %d warnings", tc.limit, said)
+		}
+	}
+}
+
+// TestSocketsAllocated guards the numbers themselves.
+func TestSocketsAllocated(t *testing.T) {
+	for _, tc := range []struct {
+		peers, limit int
+		want         Sockets
+	}{
+		{0, 60, Sockets{25, 20, 8, 8, 2, 8, 4, 4}},
+		{0, 200, Sockets{156, 124, 8, 12, 2, 8, 4, 4}},
+		{0, 1200, Sockets{1033, 826, 8, 75, 2, 37, 4, 4}},
+		{0, 3362, Sockets{2965, 2372, 8, 210, 2, 64, 4, 4}},
+		{0, 9000, Sockets{8381, 6704, 8, 256, 2, 64, 4, 4}},
+		{2, 60, Sockets{21, 16, 8, 8, 2, 8, 4, 4}},
+		{2, 200, Sockets{152, 121, 8, 12, 2, 8, 4, 4}},
+		{2, 1200, Sockets{1029, 823, 8, 75, 2, 37, 4, 4}},
+		{2, 3362, Sockets{2961, 2368, 8, 210, 2, 64, 4, 4}},
+		{2, 9000, Sockets{8377, 6701, 8, 256, 2, 64, 4, 4}},
+		{6, 60, Sockets{16, 12, 24, 8, 2, 8, 4, 4}},
+		{6, 200, Sockets{128, 102, 24, 12, 2, 8, 4, 4}},
+		{6, 1200, Sockets{1005, 804, 24, 75, 2, 37, 4, 4}},
+		{6, 3362, Sockets{2937, 2349, 24, 210, 2, 64, 4, 4}},
+		{6, 9000, Sockets{8353, 6682, 24, 256, 2, 64, 4, 4}},
+	} {
+		if got := allocateSockets(tc.limit, tc.peers); got != tc.want {
+			t.Errorf("%d sockets, %d peers: %+v, want %+v", tc.limit, tc.peers, got, tc.want)
 		}
 	}
 }
