--- /dev/null
+++ b/internal/api/cloud.go
@@ -0,0 +1,62 @@
+package api
+
+// MachineType is one type of machine that the cloud offers.
+type MachineType struct {
+	Name        string   `json:"Label"`
+	CPUs        float64  `json:"Vcpus"`
+	GPUs        float64  `json:"Accelerators"`
+	MemoryGB    float64  `json:"MemoryGb"`
+	CacheGB     float64  `json:"LocalGb"`     // room for images
+	FetchGBPerS float64  `json:"FetchGbPerS"` // how fast images are fetched
+	Price       float64  `json:"Price"`
+	SpotPrice   float64  `json:"MarketPrice"`
+	BootS       float64  `json:"BootS"`
+	Zones       []string `json:"Zonas"`
+}
+
+// Catalog lists the machine types.
+type Catalog struct {
+	Types []MachineType `json:"Tipos"`
+}
+
+// LaunchRequest requests machines from the cloud. The cloud carries out a request of a
+// name once, however often it is sent.
+type LaunchRequest struct {
+	Name  string `json:"Pedido"`
+	Type  string `json:"Tipo"`
+	Zone  string `json:"Zona"`
+	Spot  bool   `json:"Prestadas"`
+	Count int    `json:"HowMany"`
+}
+
+// InstanceNames lists machines by name.
+type InstanceNames struct {
+	Machines []string `json:"Maquinas"`
+}
+
+// InstanceState is what the cloud says of a machine.
+type InstanceState string
+
+// States of machines in the cloud's list, with the protocol's words.
+const (
+	InstanceBooting InstanceState = "starting"
+	InstanceRunning InstanceState = "running"
+	InstanceFailed  InstanceState = "failed"
+)
+
+// Instance is one machine in the cloud's list.
+type Instance struct {
+	ID      string        `json:"Id"`
+	Address string        `json:"Endpoint"`
+	Type    string        `json:"Tipo"`
+	Zone    string        `json:"Zona"`
+	Spot    bool          `json:"Prestadas"`
+	State   InstanceState `json:"Estado"`
+	AgeS    float64       `json:"AgeS"`
+}
+
+// InstancePage is a page of the cloud's list.
+type InstancePage struct {
+	Instances []Instance `json:"Maquinas"`
+	More      bool       `json:"Truncated"`
+}
--- a/internal/api/golden_test.go
+++ b/internal/api/golden_test.go
@@ -152,7 +152,7 @@
 func goldenCloudForms() []goldenForm {
 	return []goldenForm{
 		{"catalog", &Catalog{Types: []MachineType{{
-			Name: "g8", CPUs: 96, GPUs: 8, MemoryGB: 512, CacheGB: 1000, FetchGBs: 0.25,
+			Name: "g8", CPUs: 96, GPUs: 8, MemoryGB: 512, CacheGB: 1000, FetchGBPerS: 0.25,
 			Price: 12.5, SpotPrice: 4.75, BootS: 90, Zones: []string{"a", "b"},
 		}, {}}}},
 		{"catalog without fields", &Catalog{}},
--- /dev/null
+++ b/internal/api/job_validation.go
@@ -0,0 +1,241 @@
+package api
+
+import (
+	"errors"
+	"fmt"
+	"math"
+
+	"github.com/go-json-experiment/json"
+	"github.com/go-json-experiment/json/jsontext"
+)
+
+// Bounds of a submission's fields; the reasons of FieldError name them too.
+const (
+	maxTasks     = 100_000
+	maxTypes     = 100
+	maxTextBytes = 200
+	maxAmount    = 1e9
+)
+
+// What is wrong with a body as a whole.
+var (
+	errBodyTooLarge = errors.New("body over 64 KiB")
+	errNoObject     = errors.New("not a JSON object")
+)
+
+// Reasons that several fields share.
+const (
+	reasonMissing   = "is missing"
+	reasonTextBytes = "must have 1 to 200 bytes"
+	reasonAmount    = "must be between 0 and 1e9"
+)
+
+// FieldError is a field of a submission that is missing or not valid.
+type FieldError struct {
+	Field  string // its name in JSON
+	Value  any    // what was sent; nil where the field is missing
+	Reason string // what is wrong with it
+}
+
+func (e *FieldError) Error() string { return fmt.Sprintf("field %s: %s", e.Field, e.Reason) }
+
+// submission is a job as users send it: pointers tell fields that are missing or null.
+type submission struct {
+	ID                  *string   `json:"Id"`
+	Class               *string   `json:"Clase"`
+	Team                *string   `json:"Dueno"`
+	Kind                *JobKind  `json:"Forma"`
+	Priority            *Priority `json:"Prelacion"`
+	Tasks               *int      `json:"Tareas"`
+	CPUs                *float64  `json:"Vcpus"`
+	GPUs                *float64  `json:"Accelerators"`
+	MemoryGB            *float64  `json:"MemoryGb"`
+	Image               *string   `json:"Imagen"`
+	ImageGB             *float64  `json:"SizeGb"`
+	Types               *[]string `json:"Tipos"`
+	Zone                *string   `json:"Zona"`
+	OneZone             *bool     `json:"Together"`
+	Spread              *bool     `json:"Apart"`
+	Spot                *bool     `json:"Prestadas"`
+	EstimateS           *float64  `json:"EstimadoS"`
+	CheckpointIntervalS *float64  `json:"RespaldoS"`
+	CheckpointSaveS     *float64  `json:"GuardadoS"`
+	DeadlineS           *float64  `json:"PlazoS"`
+	Dependencies        []string  `json:"Espera"`
+}
+
+// ParseJob reads and checks a submission. A field that is missing or not valid is a
+// *FieldError, the first one in the order of the fields. Fields that are not known are
+// passed over.
+func ParseJob(body []byte) (*Job, error) {
+	if len(body) > MaxBody {
+		return nil, errBodyTooLarge
+	}
+	if jsontext.Value(body).Kind() != jsontext.KindBeginObject {
+		return nil, errNoObject
+	}
+	var submitted submission
+	if err := json.Unmarshal(body, &submitted); err != nil {
+		return nil, fmt.Errorf("not a valid job: %w", err)
+	}
+	job, checker := &Job{}, &fieldChecker{}
+	checker.identity(&submitted, job)
+	checker.requirements(&submitted, job)
+	checker.times(&submitted, job)
+	job.Dependencies = checker.dependencies("Espera", submitted.Dependencies)
+	if checker.err != nil {
+		return nil, checker.err
+	}
+	return job, nil
+}
+
+// fieldChecker keeps the first error of the fields that it checks. Its methods give a
+// field's value, where it is valid.
+type fieldChecker struct{ err error }
+
+// identity checks who sends what kind of job.
+func (c *fieldChecker) identity(submitted *submission, job *Job) {
+	job.ID = c.id("Id", submitted.ID)
+	job.Class = text(c, "Clase", submitted.Class)
+	job.Team = text(c, "Dueno", submitted.Team)
+	job.Kind = c.kind("Forma", submitted.Kind)
+	job.Priority = c.priority("Prelacion", submitted.Priority)
+	job.Tasks = c.tasks("Tareas", submitted.Tasks)
+}
+
+// requirements checks what a task takes and where it may run.
+func (c *fieldChecker) requirements(submitted *submission, job *Job) {
+	job.CPUs = c.amount("Vcpus", submitted.CPUs)
+	job.GPUs = c.amount("Accelerators", submitted.GPUs)
+	job.MemoryGB = c.amount("MemoryGb", submitted.MemoryGB)
+	job.Image = text(c, "Imagen", submitted.Image)
+	job.ImageGB = c.amount("SizeGb", submitted.ImageGB)
+	job.Types = c.types("Tipos", submitted.Types)
+	if submitted.Zone != nil {
+		job.Zone = text(c, "Zona", submitted.Zone)
+	}
+	job.OneZone = c.flag("Together", submitted.OneZone)
+	job.Spread = c.flag("Apart", submitted.Spread)
+	job.Spot = c.flag("Prestadas", submitted.Spot)
+}
+
+// times checks run time, checkpoints and deadline.
+func (c *fieldChecker) times(submitted *submission, job *Job) {
+	job.EstimateS = c.amount("EstimadoS", submitted.EstimateS)
+	job.CheckpointIntervalS = c.amount("RespaldoS", submitted.CheckpointIntervalS)
+	job.CheckpointSaveS = c.amount("GuardadoS", submitted.CheckpointSaveS)
+	if submitted.DeadlineS != nil {
+		job.DeadlineS = c.amount("PlazoS", submitted.DeadlineS)
+	}
+}
+
+// fail notes that a field is not valid, unless one before it was not.
+func (c *fieldChecker) fail(field string, value any, reason string) {
+	if c.err == nil {
+		c.err = &FieldError{Field: field, Value: value, Reason: reason}
+	}
+}
+
+// text gives a field of text.
+func text[T ~string](c *fieldChecker, field string, value *T) T {
+	switch {
+	case value == nil:
+		c.fail(field, nil, reasonMissing)
+	case *value == "" || len(*value) > maxTextBytes:
+		c.fail(field, *value, reasonTextBytes)
+	default:
+		return *value
+	}
+	return ""
+}
+
+// id gives a job's id.
+func (c *fieldChecker) id(field string, value *string) string {
+	id := text(c, field, value)
+	if !ValidID(id) {
+		c.fail(field, id, "must look like wk-000412")
+	}
+	return id
+}
+
+// kind gives a job's kind.
+func (c *fieldChecker) kind(field string, value *JobKind) JobKind {
+	kind := text(c, field, value)
+	if !kind.valid() {
+		c.fail(field, kind, "must be array, group or daemon")
+	}
+	return kind
+}
+
+// priority gives a job's priority.
+func (c *fieldChecker) priority(field string, value *Priority) Priority {
+	priority := text(c, field, value)
+	if priority.Tier() == 0 {
+		c.fail(field, priority, "must be production, urgent, standard or best_effort")
+	}
+	return priority
+}
+
+// tasks gives the number of a job's tasks.
+func (c *fieldChecker) tasks(field string, value *int) int {
+	switch {
+	case value == nil:
+		c.fail(field, nil, reasonMissing)
+	case *value < 1 || *value > maxTasks:
+		c.fail(field, *value, "must be between 1 and 100000")
+	default:
+		return *value
+	}
+	return 0
+}
+
+// amount gives an amount of something, or a time in seconds.
+func (c *fieldChecker) amount(field string, value *float64) float64 {
+	switch {
+	case value == nil:
+		c.fail(field, nil, reasonMissing)
+	case !(*value >= 0) || math.IsInf(*value, 0) || *value > maxAmount: // NaN is not >= 0
+		c.fail(field, *value, reasonAmount)
+	default:
+		return *value
+	}
+	return 0
+}
+
+// flag gives a field that is true or false.
+func (c *fieldChecker) flag(field string, value *bool) bool {
+	if value == nil {
+		c.fail(field, nil, reasonMissing)
+		return false
+	}
+	return *value
+}
+
+// types gives the machine types that a job may use; nil: any.
+func (c *fieldChecker) types(field string, value *[]string) []string {
+	switch {
+	case value == nil:
+		return nil
+	case *value == nil:
+		return []string{}
+	case len(*value) > maxTypes:
+		c.fail(field, *value, "names more than 100 types")
+	}
+	return *value
+}
+
+// dependencies gives the jobs that this one waits for; each counts once.
+func (c *fieldChecker) dependencies(field string, ids []string) []string {
+	var dependencies []string
+	seen := map[string]bool{}
+	for _, id := range ids {
+		if !ValidID(id) {
+			c.fail(field, id, fmt.Sprintf("%.40q does not look like wk-000412", id))
+		}
+		if !seen[id] {
+			seen[id] = true
+			dependencies = append(dependencies, id)
+		}
+	}
+	return dependencies
+}
--- a/internal/cluster/catalog.go
+++ b/internal/cluster/catalog.go
@@ -81,8 +81,8 @@
 func (c *MachineCatalog) SlowestFetchSPerGB() float64 {
 	s := 0.0
 	for _, t := range c.MachineTypes {
-		if t.FetchGBs > 0 {
-			s = max(s, 1/t.FetchGBs)
+		if t.FetchGBPerS > 0 {
+			s = max(s, 1/t.FetchGBPerS)
 		}
 	}
 	return s
--- a/internal/planning/scheduler_view.go
+++ b/internal/planning/scheduler_view.go
@@ -56,7 +56,7 @@
 // expectedTaskEnd is when a task on a machine is expected to end.
 func (v *SchedulerView) expectedTaskEnd(j *cluster.Job, t *cluster.Task, m *cluster.Machine) micros.Micros {
 	est := micros.FromSeconds(j.Spec.EstimateS)
-	end := t.PlacedAt + est + micros.FromSeconds(j.Spec.ImageGB/max(0.01, m.MachineType.FetchGBs))
+	end := t.PlacedAt + est + micros.FromSeconds(j.Spec.ImageGB/max(0.01, m.MachineType.FetchGBPerS))
 	if t.RunningSince > 0 {
 		end = t.RunningSince + est
 	}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -276,10 +276,10 @@
 }
 
 func (p *planner) fetch(j *Job, t *api.MachineType) micros.Micros {
-	if t == nil || t.FetchGBs <= 0 {
+	if t == nil || t.FetchGBPerS <= 0 {
 		return 0
 	}
-	return micros.FromSeconds(j.Spec.ImageGB / t.FetchGBs)
+	return micros.FromSeconds(j.Spec.ImageGB / t.FetchGBPerS)
 }
 
 func (p *planner) ends(j *Job, at micros.Micros) {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -134,10 +134,10 @@
 	})
 }
 
-// TestAnswerWindow guards that a task kept alive by the last answer within the answer
+// TestAnswerDeadline guards that a task kept alive by the last answer within the answer
 // window is gone before cancel_s, by a slow clock too, and that settings which leave
 // little of it are named.
-func TestAnswerWindow(t *testing.T) {
+func TestAnswerDeadline(t *testing.T) {
 	for _, tc := range []struct {
 		lease, cancel string
 		warned        bool
--- a/internal/simulation/services.go
+++ b/internal/simulation/services.go
@@ -304,7 +304,7 @@
 func newCloud(w *World) *cloud {
 	c := &cloud{w: w, asked: map[string][]string{}}
 	for _, t := range w.sc.Types {
-		c.types = append(c.types, api.MachineType{Name: t.Name, CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: 100, CacheGB: 50, FetchGBs: 1,
+		c.types = append(c.types, api.MachineType{Name: t.Name, CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: 100, CacheGB: 50, FetchGBPerS: 1,
 			Price: t.Price, SpotPrice: t.Price / 3, BootS: t.BootS, Zones: zones})
 	}
 	return c
