--- a/cmd/spurmoor/client.go
+++ b/cmd/spurmoor/client.go
@@ -65,7 +65,7 @@
 type refusalError struct {
 	status     int
 	text       string // the response's body
-	retryAfter string // seconds; empty: the response does not say
+	retryAfter string // seconds; empty: the response has none
 }
 
 func (e *refusalError) Error() string {
--- a/cmd/spurmoor/main.go
+++ b/cmd/spurmoor/main.go
@@ -26,7 +26,7 @@
 func (e exitError) Error() string { return e.err.Error() }
 func (e exitError) Unwrap() error { return e.err }
 
-// failed gives an error that says all there is to say; nil stays nil.
+// failed is for an error whose text needs no context; nil stays nil.
 func failed(err error) error {
 	if err == nil {
 		return nil
--- a/cmd/spurmoor/run.go
+++ b/cmd/spurmoor/run.go
@@ -18,24 +18,30 @@
 // orderHistoryMode lets others read the history of orders.
 const orderHistoryMode = 0o644
 
-// runController runs a controller until it is killed, or told to stop by SIGTERM or
-// SIGINT: then it resigns from its roles first. With a path it keeps a history of all
-// orders there, in a file that must not be there yet.
+// runController runs a controller until it is killed, or stopped by SIGTERM or SIGINT:
+// then it resigns from its roles first. With a path it keeps a history of all orders
+// there.
 func runController(ctx context.Context, loaded *settings.Settings, log *slog.Logger, ordersPath string) error {
 	ctx, cancel := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer cancel()
-	var orders *history.Writer // nil: none is kept
-	if ordersPath != "" {
-		file, err := os.OpenFile(ordersPath, os.O_WRONLY|os.O_CREATE|os.O_EXCL, orderHistoryMode)
-		if err != nil {
-			return exitError{exitSettings, fmt.Errorf("--orders: %w", err)}
-		}
-		defer func() { _ = file.Close() }()
-		orders, err = history.NewWriter(file, func(err error) { log.Error("order history stopped", logkey.Error, err) })
-		if err != nil {
-			return failed(err)
-		}
+	if ordersPath == "" {
+		return serve(ctx, loaded, log, nil)
 	}
+	// A history of an earlier process is not overwritten.
+	file, err := os.OpenFile(ordersPath, os.O_WRONLY|os.O_CREATE|os.O_EXCL, orderHistoryMode)
+	if err != nil {
+		return exitError{exitSettings, fmt.Errorf("--orders: %w", err)}
+	}
+	defer func() { _ = file.Close() }()
+	orders, err := history.NewWriter(file, func(err error) { log.Error("order history stopped", logkey.Error, err) })
+	if err != nil {
+		return failed(err)
+	}
+	return serve(ctx, loaded, log, orders)
+}
+
+// serve runs a controller that writes its orders to the history; nil: it keeps none.
+func serve(ctx context.Context, loaded *settings.Settings, log *slog.Logger, orders *history.Writer) error {
 	controller, err := server.New(loaded, log, orders)
 	if err != nil {
 		return failed(err)
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -14,7 +14,7 @@
 	Error string `json:"error"`
 }
 
-// Readiness is what a health check is told beside its status.
+// Readiness is the body of a health check's answer.
 type Readiness struct {
 	Condition string `json:"condition"`
 }
--- a/internal/api/cloud.go
+++ b/internal/api/cloud.go
@@ -34,10 +34,10 @@
 	Machines []string `json:"Maquinas"`
 }
 
-// InstanceState is what the cloud says of a machine.
+// InstanceState is the state of a machine in the cloud's list.
 type InstanceState string
 
-// States of machines in the cloud's list, with the protocol's words.
+// States of machines, with the protocol's words.
 const (
 	InstanceBooting InstanceState = "starting"
 	InstanceRunning InstanceState = "running"
--- a/internal/api/golden_test.go
+++ b/internal/api/golden_test.go
@@ -207,7 +207,7 @@
 		{"submission, dependencies named twice", `"PlazoS":900.0`, `"PlazoS":0,"Espera":["wk-9","wk-1","wk-9"]`},
 		{"submission, unknown fields", `"PlazoS":900.0`, `"PlazoS":1e9,"Nuevo":{"x":[1]},"Espera":[]`},
 	} {
-		job, err := ParseJob([]byte(strings.Replace(sound, tc.old, tc.replacement, 1)))
+		job, err := ParseJob([]byte(strings.Replace(validSubmission, tc.old, tc.replacement, 1)))
 		if err != nil {
 			t.Fatalf("%s: %v", tc.name, err)
 		}
@@ -220,8 +220,8 @@
 // heartbeat that is not valid: the first field at fault, and why.
 func TestGoldenRefusals(t *testing.T) {
 	for _, tc := range []struct{ old, replacement, want string }{
-		{sound, `[1]`, `not a JSON object`},
-		{sound, `{"Id":`, `not a valid job: jsontext: unexpected EOF within "/Id" after offset 6`},
+		{validSubmission, `[1]`, `not a JSON object`},
+		{validSubmission, `{"Id":`, `not a valid job: jsontext: unexpected EOF within "/Id" after offset 6`},
 		{`"train"`, `"` + strings.Repeat("x", MaxBody) + `"`, `body over 64 KiB`},
 		{
 			`"Tareas":16`, `"Tareas":16.5`,
@@ -262,7 +262,7 @@
 		{`"PlazoS":900.0`, `"Espera":["wk-1","job \"7\"","wk"]`, `field Espera: "job \"7\"" does not look like wk-000412`},
 		{`"Vcpus":8.0,"Accelerators":1.0`, `"Vcpus":-1,"Accelerators":-1`, `field Vcpus: must be between 0 and 1e9`},
 	} {
-		_, err := ParseJob([]byte(strings.Replace(sound, tc.old, tc.replacement, 1)))
+		_, err := ParseJob([]byte(strings.Replace(validSubmission, tc.old, tc.replacement, 1)))
 		if got := refusal(err); got != tc.want {
 			t.Errorf("%.60q for %.40q: refused with\n%s, want\n%s", tc.replacement, tc.old, got, tc.want)
 		}
--- a/internal/api/job.go
+++ b/internal/api/job.go
@@ -19,7 +19,7 @@
 // valid tells whether there is such a kind.
 func (k JobKind) valid() bool { return k == Array || k == Gang || k == Service }
 
-// JobState is what users are told of a job.
+// JobState is a job's state as users see it.
 type JobState string
 
 // States of jobs, with the protocol's words.
@@ -30,7 +30,7 @@
 	JobCancelled JobState = "withdrawn"
 )
 
-// Priority is how important a job's owner says it is.
+// Priority is how important a job is to its owner.
 type Priority string
 
 // Priorities, lowest first.
--- a/internal/api/job_test.go
+++ b/internal/api/job_test.go
@@ -10,13 +10,13 @@
 	"github.com/go-json-experiment/json"
 )
 
-// sound is a submission that is valid.
-const sound = `{"Id":"wk-000412","Clase":"train","Dueno":"vision","Forma":"group","Prelacion":"urgent","Tareas":16,
+// validSubmission is a submission that is valid.
+const validSubmission = `{"Id":"wk-000412","Clase":"train","Dueno":"vision","Forma":"group","Prelacion":"urgent","Tareas":16,
 "Vcpus":8.0,"Accelerators":1.0,"MemoryGb":64.0,"Imagen":"img-07","SizeGb":6.2,"Tipos":["g8"],"Zona":null,
 "Together":true,"Apart":false,"Prestadas":true,"EstimadoS":240.0,"RespaldoS":30.0,"GuardadoS":4.0,"PlazoS":900.0}`
 
 func TestParseJob(t *testing.T) {
-	job, err := ParseJob([]byte(sound))
+	job, err := ParseJob([]byte(validSubmission))
 	if err != nil || job.Tasks != 16 || job.Types[0] != "g8" || !job.OneZone || job.DeadlineS != 900 {
 		t.Fatalf("got %+v, %v", job, err)
 	}
@@ -44,15 +44,15 @@
 		{`"PlazoS":900.0`, `"PlazoS":1,"Espera":[411]`, "valid"},
 		{`"PlazoS":900.0`, `"PlazoS":1,"Espera":["wk-000411","job"]`, "Espera"},
 		{`"PlazoS":900.0`, `"PlazoS":1,"Espera":[null]`, "Espera"},
-		{sound, `[1]`, "object"},
-		{sound, `{"Id":`, "valid"},
-		{sound, ``, "object"},
+		{validSubmission, `[1]`, "object"},
+		{validSubmission, `{"Id":`, "valid"},
+		{validSubmission, ``, "object"},
 		{`"train"`, `"` + strings.Repeat("x", MaxBody) + `"`, "64 KiB"},
 	} {
-		body := strings.Replace(sound, tc.old, tc.replacement, 1)
+		body := strings.Replace(validSubmission, tc.old, tc.replacement, 1)
 		_, err := ParseJob([]byte(body))
 		switch {
-		case body == sound:
+		case body == validSubmission:
 			t.Errorf("the case %q changes nothing", tc.old)
 		case tc.want == "" && err != nil:
 			t.Errorf("%q for %q: %v", tc.replacement, tc.old, err)
@@ -73,7 +73,7 @@
 		{`"group"`, `"crowd"`, FieldError{Field: "Forma", Value: JobKind("crowd"), Reason: "must be array, group or daemon"}},
 		{`"Vcpus":8.0`, `"Vcpus":-1`, FieldError{Field: "Vcpus", Value: -1.0, Reason: "must be between 0 and 1e9"}},
 	} {
-		_, err := ParseJob([]byte(strings.Replace(sound, tc.old, tc.replacement, 1)))
+		_, err := ParseJob([]byte(strings.Replace(validSubmission, tc.old, tc.replacement, 1)))
 		var got *FieldError
 		if !errors.As(err, &got) || !reflect.DeepEqual(*got, tc.want) {
 			t.Errorf("%q for %q: error %#v, want %#v", tc.replacement, tc.old, err, tc.want)
@@ -83,7 +83,7 @@
 
 // TestDependenciesOnce guards that a dependency named twice counts once.
 func TestDependenciesOnce(t *testing.T) {
-	job, err := ParseJob([]byte(strings.Replace(sound, `"PlazoS":900.0`, `"PlazoS":1,"Espera":["wk-9","wk-1","wk-9"]`, 1)))
+	job, err := ParseJob([]byte(strings.Replace(validSubmission, `"PlazoS":900.0`, `"PlazoS":1,"Espera":["wk-9","wk-1","wk-9"]`, 1)))
 	if err != nil || !slices.Equal(job.Dependencies, []string{"wk-9", "wk-1"}) {
 		t.Errorf("got %+v, %v", job, err)
 	}
@@ -92,7 +92,7 @@
 // TestAnyTypeStays guards against null types coming back as no type at all
 // from a job's record: such a job could run nowhere.
 func TestAnyTypeStays(t *testing.T) {
-	job, err := ParseJob([]byte(strings.Replace(sound, `["g8"]`, `null`, 1)))
+	job, err := ParseJob([]byte(strings.Replace(validSubmission, `["g8"]`, `null`, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -107,7 +107,7 @@
 }
 
 func FuzzParseJob(f *testing.F) {
-	f.Add([]byte(sound))
+	f.Add([]byte(validSubmission))
 	f.Fuzz(func(t *testing.T, body []byte) {
 		job, err := ParseJob(body)
 		if err != nil {
--- a/internal/api/operators.go
+++ b/internal/api/operators.go
@@ -1,7 +1,7 @@
 package api
 
-// Explanation says why a job waits and when it should be done. It is an
-// interface of our own, for owners and operators.
+// Explanation answers GET /why/ID: why a job waits and when it should be done. It is
+// no part of PROTOCOL; job owners and operators use it.
 type Explanation struct {
 	ID          string   `json:"id"`
 	State       JobState `json:"state"`
@@ -20,14 +20,14 @@
 	InTime string `json:"in_time,omitzero"`
 }
 
-// What Explanation.InTime says.
+// Values of Explanation.InTime.
 const (
 	InTimeYes     = "yes"     // even at the latest
 	InTimePerhaps = "perhaps" // by the estimates, or nearly
 	InTimeNo      = "no"      // not even at the earliest
 )
 
-// Roles answers GET /duties.
+// Roles answers GET /duties, which is no part of PROTOCOL either.
 type Roles struct {
 	Node string `json:"node"` // who answers
 	// Exclusive: the fleet's roles that the settings name have one leader each.
--- a/internal/api/worker.go
+++ b/internal/api/worker.go
@@ -7,10 +7,10 @@
 	"github.com/go-json-experiment/json"
 )
 
-// TaskState is what a worker says of a task.
+// TaskState is a task's state in a worker's heartbeat.
 type TaskState string
 
-// States of tasks in workers' heartbeats, with the protocol's words.
+// States of tasks, with the protocol's words.
 const (
 	TaskFetching      TaskState = "pulling" // its image
 	TaskWaiting       TaskState = "waiting" // for the rest of its gang
@@ -43,7 +43,7 @@
 	CheckpointStored bool       `json:"Stored,omitempty"`
 }
 
-// Heartbeat is what a worker tells of itself and its tasks.
+// Heartbeat is a worker's heartbeat, with the status of its tasks.
 type Heartbeat struct {
 	Machine     string `json:"Maquina"`
 	Address     string `json:"Endpoint"`
@@ -62,7 +62,8 @@
 // maxMachineNameBytes is how long a machine's name may be.
 const maxMachineNameBytes = 150
 
-// errNoSender is a heartbeat that does not say which process of which machine sent it.
+// errNoSender is a heartbeat that does not name the machine, or the process on it, that
+// sent it.
 var errNoSender = errors.New("report: machine or session is missing")
 
 // ParseHeartbeat reads and checks a worker's heartbeat.
--- a/internal/settings/field_error.go
+++ b/internal/settings/field_error.go
@@ -9,7 +9,7 @@
 // FieldError is a field of the settings that is missing or not valid.
 type FieldError struct {
 	Field   string // its key, after the keys of the tables that it stands in
-	Value   any    // what it holds; nil where it is missing, or can't be read
+	Value   any    // its value; nil where it is missing, or can't be read
 	Allowed string // what it may hold
 	Cause   error  // what reading the value failed with, or nil
 
@@ -21,7 +21,7 @@
 // Unwrap gives the error that reading the value failed with, if any.
 func (e *FieldError) Unwrap() error { return e.Cause }
 
-// invalid is the error of a field that holds a value beside what is allowed; format and
+// invalid is the error of a field whose value is not allowed; format and
 // args give the text that operators read.
 func invalid(field string, value any, allowed, format string, args ...any) error {
 	return &FieldError{Field: field, Value: value, Allowed: allowed, text: fmt.Sprintf(format, args...)}
@@ -32,7 +32,7 @@
 	return invalid(field, nil, allowed, "field %s is missing", field)
 }
 
-// firstError joins checks: operators are told of the first field at fault.
+// firstError joins checks: operators read of the first field at fault only.
 func firstError(errs ...error) error {
 	for _, err := range errs {
 		if err != nil {
--- a/internal/settings/field_error_test.go
+++ b/internal/settings/field_error_test.go
@@ -9,8 +9,8 @@
 
 // TestFieldError guards that errors say in fields what is wrong, not only in their text.
 func TestFieldError(t *testing.T) {
-	_, notValid := Parse([]byte(strings.Replace(sound, `"lease_s":18`, `"lease_s":0`, 1)), Defaults())
-	_, missing := Parse([]byte(strings.Replace(sound, `10.2.0.2:1`, ``, 1)), Defaults())
+	_, notValid := Parse([]byte(strings.Replace(validPlatform, `"lease_s":18`, `"lease_s":0`, 1)), Defaults())
+	_, missing := Parse([]byte(strings.Replace(validPlatform, `10.2.0.2:1`, ``, 1)), Defaults())
 	_, outOfRange := ParseOperators([]byte("cycle_s = 0.1"))
 	_, unknown := ParseOperators([]byte("cycles = 7"))
 	for _, tc := range []struct {
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -54,8 +54,8 @@
 		{`{"node_name"`, `[{"node_name"`, `settings: json: cannot unmarshal JSON array into Go settings.Platform`},
 		{`"gpus":8`, `"gpus":"8"`, `settings: json: cannot unmarshal JSON string into Go float64 within "/facts/teams/0/gpus"`},
 	} {
-		text := strings.Replace(sound, tc.old, tc.replacement, 1)
-		if text == sound {
+		text := strings.Replace(validPlatform, tc.old, tc.replacement, 1)
+		if text == validPlatform {
 			t.Fatalf("%s: the case changes nothing", tc.old)
 		}
 		_, err := Parse([]byte(text), Defaults())
@@ -162,7 +162,7 @@
 		}
 		return path
 	}
-	platform := write("platform.json", sound)
+	platform := write("platform.json", validPlatform)
 	for _, tc := range []struct{ platform, operators, want string }{
 		{platform, "", "no error"},
 		{platform, write("good.toml", "cycle_s = 7"), "no error"},
@@ -182,7 +182,7 @@
 // TestWarningTexts guards the texts of what is no error but is said at the start.
 func TestWarningTexts(t *testing.T) {
 	text := strings.NewReplacer(`"max_connections":1200`, `"max_connections":199`, `"mem_mb":98`, `"mem_mb":47`,
-		`"cancel_s":48`, `"cancel_s":21`).Replace(sound)
+		`"cancel_s":48`, `"cancel_s":21`).Replace(validPlatform)
 	parsed, err := Parse([]byte(text), Defaults())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/settings/operators.go
+++ b/internal/settings/operators.go
@@ -58,7 +58,7 @@
 	return slices.Contains(r.Exclusive, role.String())
 }
 
-// What holds where the operators set nothing; docs/operations.md lists it.
+// Values where the operators set nothing; docs/operations.md lists them.
 const (
 	defaultCycleIntervalS   = 5
 	defaultReferenceWaitS   = 60
--- a/internal/settings/platform.go
+++ b/internal/settings/platform.go
@@ -79,8 +79,8 @@
 	WriteRPS          float64 `json:"write_rps"` // changes a second
 	ValueKB           float64 `json:"value_kb"`  // the largest value
 	MaxTransactionOps int     `json:"txn_ops"`   // changes in a transaction
-	// Next is what the store will admit from some moment on, not told when. Nil, or a
-	// nil in it: no change is announced.
+	// Next is what the store will admit from some moment on, which is not announced.
+	// Nil, or a nil in it: no change is announced.
 	Next *NextStoreLimits `json:"next,omitempty"`
 }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -82,7 +82,7 @@
 	if settings.Operators.Partitions == 0 {
 		settings.Operators.Partitions = max(minPartitions, len(settings.Nodes))
 	}
-	// From the first moment on within both sets: when the limits fall is not told.
+	// When the limits change is not announced, so both sets are kept from the start.
 	settings.Deployment.Store.lowerToNext()
 	settings.TeamPartition = assignTeams(settings.Deployment.Teams, settings.Operators.Partitions)
 	settings.Sockets = allocateSockets(settings.Deployment.Process.MaxConnections, len(settings.Peers))
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -7,8 +7,8 @@
 	"github.com/go-json-experiment/json"
 )
 
-// sound is a small settings file that passes.
-const sound = `{"node_name":"nodo-0","site":"a","public_addr":"10.0.0.1:8080","internal_addr":"10.0.0.1:8081",
+// validPlatform is a small settings file of the platform.
+const validPlatform = `{"node_name":"nodo-0","site":"a","public_addr":"10.0.0.1:8080","internal_addr":"10.0.0.1:8081",
 "known":[{"node_name":"nodo-1","site":"b","addr":"10.0.0.2:8081"}],"endpoints":{"cloud":"10.2.0.2:1","state":"10.2.0.1:2"},
 "unheard_of":[1],"facts":{"nodes":2,"zones":["a","b"],"teams":[{"name":"x","gpus":8},{"name":"y","gpus":4},{"name":"z","gpus":4}],
 "workers":{"report_s":3,"lease_s":18,"gang_wait_s":45,"gang_peer_s":4,"cancel_s":48},
@@ -16,7 +16,7 @@
 "machine_limits":{"cores":0.12,"mem_mb":98,"max_connections":1200},"time_bound_ms":5}}`
 
 func TestParse(t *testing.T) {
-	settings, err := Parse([]byte(sound), Defaults())
+	settings, err := Parse([]byte(validPlatform), Defaults())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,8 +44,8 @@
 		"facts.teams: y has the amount": {`"name":"y","gpus":4`, `"name":"y","gpus":-4`},
 	}
 	for field, change := range bad {
-		text := strings.Replace(sound, change[0], change[1], 1)
-		if text == sound {
+		text := strings.Replace(validPlatform, change[0], change[1], 1)
+		if text == validPlatform {
 			t.Fatalf("%s: the case changes nothing", field)
 		}
 		if _, err := Parse([]byte(text), Defaults()); err == nil || !strings.Contains(err.Error(), field) {
@@ -63,7 +63,7 @@
 		`{"value_kb":99,"write_rps":42}`:       {RPS: 150, WriteRPS: 42, ValueKB: 16, MaxTransactionOps: 48},
 		`{"rps":100,"unheard":1,"txn_ops":48}`: {RPS: 100, WriteRPS: 60, ValueKB: 16, MaxTransactionOps: 48},
 	} {
-		s, err := Parse([]byte(strings.Replace(sound, `"txn_ops":48`, `"txn_ops":48,"next":`+next, 1)), Defaults())
+		s, err := Parse([]byte(strings.Replace(validPlatform, `"txn_ops":48`, `"txn_ops":48,"next":`+next, 1)), Defaults())
 		if err != nil {
 			t.Errorf("%s: %v", next, err)
 			continue
@@ -119,7 +119,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(sound))
+	f.Add([]byte(validPlatform))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		settings, err := Parse(raw, Defaults())
 		if err != nil {
@@ -142,7 +142,7 @@
 		lease, cancel string
 		warned        bool
 	}{{"31", "61", false}, {"38", "58", false}, {"18", "48", false}, {"18", "28.5", true}, {"18", "21", true}, {"600", "2000", false}} {
-		text := strings.NewReplacer(`"lease_s":18`, `"lease_s":`+tc.lease, `"cancel_s":48`, `"cancel_s":`+tc.cancel).Replace(sound)
+		text := strings.NewReplacer(`"lease_s":18`, `"lease_s":`+tc.lease, `"cancel_s":48`, `"cancel_s":`+tc.cancel).Replace(validPlatform)
 		settings, err := Parse([]byte(text), Defaults())
 		if err != nil {
 			t.Fatal(err)
