--- a/internal/settings/partitions.go
+++ b/internal/settings/partitions.go
@@ -1,8 +1,9 @@
 package settings
 
 import (
-	"cmp"
+	"math"
 	"slices"
+	"strings"
 )
 
 // How large a team counts where teams are spread over partitions.
@@ -19,7 +20,10 @@
 func assignTeams(teams []Team, partitions int) map[string]int {
 	bySize := slices.Clone(teams)
 	slices.SortStableFunc(bySize, func(a, b Team) int {
-		return cmp.Or(cmp.Compare(b.size(), a.size()), cmp.Compare(a.Name, b.Name))
+		if difference := b.size() - a.size(); difference != 0 {
+			return int(math.Copysign(1, difference))
+		}
+		return strings.Compare(a.Name, b.Name)
 	})
 	load := make([]float64, partitions)
 	assigned := map[string]int{}
