--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -7,8 +7,8 @@
 	"github.com/go-json-experiment/json"
 )
 
-// sound is a small settings file that passes.
-const sound = `{"node_name":"nodo-0","site":"a","public_addr":"10.0.0.1:8080","internal_addr":"10.0.0.1:8081",
+// validPlatform is a small settings file of the platform.
+const validPlatform = `{"node_name":"nodo-0","site":"a","public_addr":"10.0.0.1:8080","internal_addr":"10.0.0.1:8081",
 "known":[{"node_name":"nodo-1","site":"b","addr":"10.0.0.2:8081"}],"endpoints":{"cloud":"10.2.0.2:1","state":"10.2.0.1:2"},
 "unheard_of":[1],"facts":{"nodes":2,"zones":["a","b"],"teams":[{"name":"x","gpus":8},{"name":"y","gpus":4},{"name":"z","gpus":4}],
 "workers":{"report_s":3,"lease_s":18,"gang_wait_s":45,"gang_peer_s":4,"cancel_s":48},
@@ -16,12 +16,13 @@
 "machine_limits":{"cores":0.12,"mem_mb":98,"max_connections":1200},"time_bound_ms":5}}`
 
 func TestParse(t *testing.T) {
-	s, err := Parse([]byte(sound), Defaults())
+	settings, err := Parse([]byte(validPlatform), Defaults())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Operators.Partitions != 2 || s.TeamPartition["x"] == s.TeamPartition["y"] || s.TeamPartition["y"] != s.TeamPartition["z"] {
-		t.Errorf("guarantees 8, 4, 4 dealt into %d parts as %v", s.Operators.Partitions, s.TeamPartition)
+	partitions, of := settings.Operators.Partitions, settings.TeamPartition
+	if partitions != 2 || of["x"] == of["y"] || of["y"] != of["z"] {
+		t.Errorf("guarantees 8, 4, 4 assigned to %d partitions as %v", partitions, of)
 	}
 	bad := map[string][2]string{
 		"node_name":                     {`"node_name":"nodo-0",`, ``},
@@ -43,8 +44,8 @@
 		"facts.teams: y has the amount": {`"name":"y","gpus":4`, `"name":"y","gpus":-4`},
 	}
 	for field, change := range bad {
-		text := strings.Replace(sound, change[0], change[1], 1)
-		if text == sound {
+		text := strings.Replace(validPlatform, change[0], change[1], 1)
+		if text == validPlatform {
 			t.Fatalf("%s: the case changes nothing", field)
 		}
 		if _, err := Parse([]byte(text), Defaults()); err == nil || !strings.Contains(err.Error(), field) {
@@ -62,7 +63,7 @@
 		`{"value_kb":99,"write_rps":42}`:       {RPS: 150, WriteRPS: 42, ValueKB: 16, MaxTransactionOps: 48},
 		`{"rps":100,"unheard":1,"txn_ops":48}`: {RPS: 100, WriteRPS: 60, ValueKB: 16, MaxTransactionOps: 48},
 	} {
-		s, err := Parse([]byte(strings.Replace(sound, `"txn_ops":48`, `"txn_ops":48,"next":`+next, 1)), Defaults())
+		s, err := Parse([]byte(strings.Replace(validPlatform, `"txn_ops":48`, `"txn_ops":48,"next":`+next, 1)), Defaults())
 		if err != nil {
 			t.Errorf("%s: %v", next, err)
 			continue
@@ -101,59 +102,59 @@
 	}
 }
 
-// TestMostJobs guards against a fixed number of unfinished jobs below what a fleet of
-// thousands of machines runs.
-func TestMostJobs(t *testing.T) {
-	for _, c := range []struct {
-		named int
-		memMB float64
-		want  int
+// TestMaxUnfinishedJobs guards against a fixed number of unfinished jobs below what a
+// fleet of thousands of machines runs.
+func TestMaxUnfinishedJobs(t *testing.T) {
+	for _, tc := range []struct {
+		queueJobs int
+		memMB     float64
+		want      int
 	}{{0, 20, 4000}, {0, 98, 9800}, {0, 342, 34200}, {50, 342, 50}} {
-		s := &Settings{Operators: Operators{MaxQueuedJobs: c.named}}
-		s.Deployment.Process.MemMB = c.memMB
-		if got := s.MaxUnfinishedJobs(); got != c.want {
-			t.Errorf("queue_jobs %d, mem_mb %v: %d, want %d", c.named, c.memMB, got, c.want)
+		settings := &Settings{Operators: Operators{MaxQueuedJobs: tc.queueJobs}}
+		settings.Deployment.Process.MemMB = tc.memMB
+		if got := settings.MaxUnfinishedJobs(); got != tc.want {
+			t.Errorf("queue_jobs %d, mem_mb %v: %d, want %d", tc.queueJobs, tc.memMB, got, tc.want)
 		}
 	}
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(sound))
+	f.Add([]byte(validPlatform))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		s, err := Parse(raw, Defaults())
+		settings, err := Parse(raw, Defaults())
 		if err != nil {
 			return
 		}
-		if s.Operators.Partitions < 2 || s.Deployment.Workers.CancelS <= s.Deployment.Workers.LeaseS {
-			t.Errorf("senseless settings were taken: %+v", s)
+		if settings.Operators.Partitions < 2 || settings.Deployment.Workers.CancelS <= settings.Deployment.Workers.LeaseS {
+			t.Errorf("senseless settings were taken: %+v", settings)
 		}
-		if _, err := json.Marshal(s.Platform); err != nil {
+		if _, err := json.Marshal(settings.Platform); err != nil {
 			t.Error(err)
 		}
 	})
 }
 
-// TestAnswerDeadline guards that a task kept alive by the last answer within the answer deadline
-// is gone before cancel_s, by a slow clock too, and that settings which leave little
-// of it are named.
+// TestAnswerDeadline guards that a task kept alive by the last answer within the answer
+// window is gone before cancel_s, by a slow clock too, and that settings which leave
+// little of it are named.
 func TestAnswerDeadline(t *testing.T) {
-	for _, c := range []struct {
+	for _, tc := range []struct {
 		lease, cancel string
 		warned        bool
 	}{{"31", "61", false}, {"38", "58", false}, {"18", "48", false}, {"18", "28.5", true}, {"18", "21", true}, {"600", "2000", false}} {
-		text := strings.Replace(strings.Replace(sound, `"lease_s":18`, `"lease_s":`+c.lease, 1), `"cancel_s":48`, `"cancel_s":`+c.cancel, 1)
-		s, err := Parse([]byte(text), Defaults())
+		text := strings.NewReplacer(`"lease_s":18`, `"lease_s":`+tc.lease, `"cancel_s":48`, `"cancel_s":`+tc.cancel).Replace(validPlatform)
+		settings, err := Parse([]byte(text), Defaults())
 		if err != nil {
 			t.Fatal(err)
 		}
-		w := s.Deployment.Workers
-		h := s.Deployment.AnswerWindowS()
-		slow := (h + w.LeaseS) * 1.0005 // the most that clocks drift apart
-		if h <= 0 || slow >= w.CancelS-0.2 {
-			t.Errorf("lease_s %s, cancel_s %s: answer deadline %.2f, all gone after %.2f", c.lease, c.cancel, h, slow)
+		workers := settings.Deployment.Workers
+		window := settings.Deployment.AnswerWindowS()
+		slow := (window + workers.LeaseS) * 1.0005 // the most that clocks drift apart
+		if window <= 0 || slow >= workers.CancelS-0.2 {
+			t.Errorf("lease_s %s, cancel_s %s: answer window %.2f, all gone after %.2f", tc.lease, tc.cancel, window, slow)
 		}
-		if got := strings.Contains(strings.Join(s.Warnings(), "; "), "cancel_s"); got != c.warned {
-			t.Errorf("lease_s %s, cancel_s %s: warned %t", c.lease, c.cancel, got)
+		if got := strings.Contains(strings.Join(settings.Warnings(), "; "), "cancel_s"); got != tc.warned {
+			t.Errorf("lease_s %s, cancel_s %s: warned %t", tc.lease, tc.cancel, got)
 		}
 	}
 }
