--- a/cmd/spurmoor/check.go
+++ b/cmd/spurmoor/check.go
@@ -30,7 +30,7 @@
 func printCheck(out io.Writer, loaded *settings.Settings) error {
 	for _, team := range loaded.Deployment.Teams {
 		_, err := fmt.Fprintf(out, "%s: partition %d of %d\n",
-			team.Name, loaded.TeamPartition[team.Name], loaded.Operators.Partitions)
+			team.Name, loaded.TeamPartition[team.Name], loaded.Operators.Parts)
 		if err != nil {
 			return failed(err)
 		}
--- a/cmd/spurmoor/check_test.go
+++ b/cmd/spurmoor/check_test.go
@@ -10,7 +10,7 @@
 // TestCheckWarns guards against a check that is silent about what a start warns of.
 func TestCheckWarns(t *testing.T) {
 	loaded := &settings.Settings{Operators: settings.Defaults(), TeamPartition: map[string]int{"norte": 1}}
-	loaded.Operators.Partitions = 2
+	loaded.Operators.Parts = 2
 	loaded.Deployment.Teams = []settings.Team{{Name: "norte"}}
 	loaded.Deployment.Process.MaxConnections = 20 // far too few
 	var out strings.Builder
--- a/internal/api/job_validation.go
+++ b/internal/api/job_validation.go
@@ -44,8 +44,8 @@
 	ID                  *string   `json:"Id"`
 	Class               *string   `json:"Clase"`
 	Team                *string   `json:"Dueno"`
-	Kind                *JobKind  `json:"Forma"`
-	Priority            *Priority `json:"Prelacion"`
+	Kind                *string   `json:"Forma"`
+	Priority            *string   `json:"Prelacion"`
 	Tasks               *int      `json:"Tareas"`
 	CPUs                *float64  `json:"Vcpus"`
 	GPUs                *float64  `json:"Accelerators"`
@@ -96,8 +96,8 @@
 // identity checks who sends what kind of job.
 func (c *fieldChecker) identity(submitted *submission, job *Job) {
 	job.ID = c.id("Id", submitted.ID)
-	job.Class = text(c, "Clase", submitted.Class)
-	job.Team = text(c, "Dueno", submitted.Team)
+	job.Class = c.text("Clase", submitted.Class)
+	job.Team = c.text("Dueno", submitted.Team)
 	job.Kind = c.kind("Forma", submitted.Kind)
 	job.Priority = c.priority("Prelacion", submitted.Priority)
 	job.Tasks = c.tasks("Tareas", submitted.Tasks)
@@ -108,11 +108,11 @@
 	job.CPUs = c.amount("Vcpus", submitted.CPUs)
 	job.GPUs = c.amount("Accelerators", submitted.GPUs)
 	job.MemoryGB = c.amount("MemoryGb", submitted.MemoryGB)
-	job.Image = text(c, "Imagen", submitted.Image)
+	job.Image = c.text("Imagen", submitted.Image)
 	job.ImageGB = c.amount("SizeGb", submitted.ImageGB)
 	job.Types = c.types("Tipos", submitted.Types)
 	if submitted.Zone != nil {
-		job.Zone = text(c, "Zona", submitted.Zone)
+		job.Zone = c.text("Zona", submitted.Zone)
 	}
 	job.OneZone = c.flag("Together", submitted.OneZone)
 	job.Spread = c.flag("Apart", submitted.Spread)
@@ -137,7 +137,7 @@
 }
 
 // text gives a field of text.
-func text[T ~string](c *fieldChecker, field string, value *T) T {
+func (c *fieldChecker) text(field string, value *string) string {
 	switch {
 	case value == nil:
 		c.fail(field, nil, reasonMissing)
@@ -151,7 +151,7 @@
 
 // id gives a job's id.
 func (c *fieldChecker) id(field string, value *string) string {
-	id := text(c, field, value)
+	id := c.text(field, value)
 	if !ValidID(id) {
 		c.fail(field, id, "must look like wk-000412")
 	}
@@ -159,8 +159,8 @@
 }
 
 // kind gives a job's kind.
-func (c *fieldChecker) kind(field string, value *JobKind) JobKind {
-	kind := text(c, field, value)
+func (c *fieldChecker) kind(field string, value *string) JobKind {
+	kind := JobKind(c.text(field, value))
 	if !kind.valid() {
 		c.fail(field, kind, "must be array, group or daemon")
 	}
@@ -168,8 +168,8 @@
 }
 
 // priority gives a job's priority.
-func (c *fieldChecker) priority(field string, value *Priority) Priority {
-	priority := text(c, field, value)
+func (c *fieldChecker) priority(field string, value *string) Priority {
+	priority := Priority(c.text(field, value))
 	if priority.Tier() == 0 {
 		c.fail(field, priority, "must be production, urgent, standard or best_effort")
 	}
--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -41,7 +41,7 @@
 		Jobs: map[string]*Job{}, TeamUsage: map[string]*scheduler.Resources{},
 		Machines: map[string]*Machine{}, tombstones: map[string]RecordOrigin{}, logReferences: map[string]int{},
 	}
-	for i := range env.Settings.Operators.Partitions {
+	for i := range env.Settings.Operators.Parts {
 		partition := &Partition{RoleState: roles.PartitionRole(i), Index: i, ChangedJobs: map[string]bool{}}
 		state.Partitions = append(state.Partitions, partition)
 	}
--- a/internal/coordination/environment_test.go
+++ b/internal/coordination/environment_test.go
@@ -17,10 +17,10 @@
 func newTestEnvironment(t *testing.T) *Environment {
 	t.Helper()
 	set := &settings.Settings{Operators: settings.Defaults(), Nodes: []string{"ctl-a", "ctl-b", "ctl-c"}}
-	set.Node, set.Operators.Partitions = "ctl-a", 3
+	set.Node, set.Operators.Parts = "ctl-a", 3
 	workers := &set.Deployment.Workers
 	workers.ReportS, workers.LeaseS, workers.CancelS = 3, 20, 45
-	set.Deployment.Store = settings.StoreLimits{RPS: 200, WriteRPS: 20, ValueKB: 8, MaxTransactionOps: 12}
+	set.Deployment.Store = settings.State{RPS: 200, WriteRPS: 20, ValueKB: 8, MaxTransactionOps: 12}
 	env := NewEnvironment(set, 7, rand.New(rand.NewPCG(1, 1)))
 	env.Now = startOfTest
 	return env
--- a/internal/coordination/fleet_roles.go
+++ b/internal/coordination/fleet_roles.go
@@ -12,7 +12,7 @@
 // every controller knows what the role's key means. Until then each controller acts
 // under it, as earlier versions did, and the compares of its writes keep that safe.
 func (m *RoleManager) IsExclusive(kind leadership.RoleKind) bool {
-	wanted := m.Settings.Operators.Roles.IsExclusive(leadership.Role{Kind: kind})
+	wanted := m.Settings.Operators.Duties.IsExclusive(leadership.Role{Kind: kind})
 	return wanted && m.schema.AllReadSchema(records.SchemaRoles)
 }
 
@@ -31,7 +31,7 @@
 
 // TrackExclusiveRoles logs when the fleet roles begin or cease to have one leader each.
 func (m *RoleManager) TrackExclusiveRoles() {
-	wanted := m.Settings.Operators.Roles.Exclusive
+	wanted := m.Settings.Operators.Duties.Exclusive
 	exclusive := len(wanted) > 0 && m.schema.AllReadSchema(records.SchemaRoles)
 	if exclusive == m.Exclusive {
 		return
--- a/internal/coordination/parameters.go
+++ b/internal/coordination/parameters.go
@@ -50,7 +50,7 @@
 
 // LeaseTTL is how long our lease on the key-value store lasts.
 func (p parameters) LeaseTTL() micros.Micros {
-	return micros.FromSeconds(p.Operators.LeaseTTLS)
+	return micros.FromSeconds(p.Operators.HoldTTLS)
 }
 
 // AnswerWindow is for how long a leader still answers heartbeats after the last moment
@@ -75,7 +75,7 @@
 // HeartbeatTimeout is for how long a machine may send no heartbeat, even if one is lost,
 // before it counts as failed.
 func (p parameters) HeartbeatTimeout() micros.Micros {
-	return micros.FromSeconds(max(p.Operators.SilenceS, heartbeatSpread*p.Deployment.Workers.ReportS+heartbeatRetryS))
+	return micros.FromSeconds(max(p.Operators.SilentS, heartbeatSpread*p.Deployment.Workers.ReportS+heartbeatRetryS))
 }
 
 // MaxHeartbeatInterval is the longest time between two heartbeats of a healthy worker.
--- a/internal/coordination/roles.go
+++ b/internal/coordination/roles.go
@@ -45,7 +45,7 @@
 		Environment: env, audit: audit, cache: cache, peers: peers, schema: schema, storeLease: lease,
 		transactions: transactions, workerReach: reach,
 	}
-	for index := range env.Settings.Operators.Partitions {
+	for index := range env.Settings.Operators.Parts {
 		manager.Roles = append(manager.Roles, &leadership.RoleState{Role: leadership.PartitionRole(index)})
 	}
 	for _, role := range leadership.FleetRoles() {
--- a/internal/coordination/schema.go
+++ b/internal/coordination/schema.go
@@ -72,7 +72,7 @@
 // RecordsRequests reports whether requests for machines are recorded before they are
 // sent: if the operators want it and every controller reads the record.
 func (s *SchemaTracker) RecordsRequests() bool {
-	return s.Settings.Operators.Roles.RecordRequests && s.AllReadSchema(records.SchemaRoles)
+	return s.Settings.Operators.Duties.RecordRentals && s.AllReadSchema(records.SchemaRoles)
 }
 
 // AnnounceSchema announces in the key-value store which schema version this controller
--- a/internal/coordination/vacancy.go
+++ b/internal/coordination/vacancy.go
@@ -69,7 +69,7 @@
 func (m *RoleManager) defaultLeader(role leadership.Role) int {
 	place := role.Index
 	if role.Kind != leadership.PartitionLeader {
-		place = m.Settings.Operators.Partitions + slices.Index(leadership.FleetRoles(), role)
+		place = m.Settings.Operators.Parts + slices.Index(leadership.FleetRoles(), role)
 	}
 	return place % len(m.Settings.Nodes)
 }
--- a/internal/core/fixtures_test.go
+++ b/internal/core/fixtures_test.go
@@ -55,9 +55,9 @@
 		Operators: settings.Defaults(), TeamPartition: map[string]int{"norte": 0}, Nodes: []string{testNode},
 	}
 	set.Node = testNode
-	set.Operators.Partitions = 2
+	set.Operators.Parts = 2
 	set.Deployment.Teams = []settings.Team{{Name: "norte"}}
-	set.Deployment.Store = settings.StoreLimits{RPS: 200, WriteRPS: 20, ValueKB: 8, MaxTransactionOps: 12}
+	set.Deployment.Store = settings.State{RPS: 200, WriteRPS: 20, ValueKB: 8, MaxTransactionOps: 12}
 	return set
 }
 
@@ -151,8 +151,8 @@
 func newProvisioningFixture(t *testing.T) *leaderFixture {
 	t.Helper()
 	fixture := newLeaderFixture(t)
-	fixture.Settings.Operators.Roles.Exclusive = leadership.FleetRoleNames()
-	fixture.Settings.Operators.Roles.RecordRequests = true
+	fixture.Settings.Operators.Duties.Exclusive = leadership.FleetRoleNames()
+	fixture.Settings.Operators.Duties.RecordRentals = true
 	fixture.Settings.Deployment.Cloud.RPS = 6
 	// The cloud's catalog and list are not asked for here.
 	fixture.catalog.NextCatalogReadAt = 1 << 60
--- a/internal/core/provisioning_test.go
+++ b/internal/core/provisioning_test.go
@@ -73,7 +73,7 @@
 // or counts on, when its request is answered after the failover.
 func TestLateLaunchReplyToFormerLeader(t *testing.T) {
 	fixture := newProvisioningFixture(t)
-	fixture.Settings.Operators.Roles.RecordRequests = false
+	fixture.Settings.Operators.Duties.RecordRentals = false
 	fixture.provisioning.ScaleOut(fixture.partition, scheduler.InstanceKind{Type: "g4", Zone: "alta"}, 3)
 	sent := effectsOf[message.CloudCall](fixture.Effects)
 	if len(sent) != 1 {
--- a/internal/planning/direct_commands.go
+++ b/internal/planning/direct_commands.go
@@ -89,10 +89,10 @@
 	}
 	grant := m.storeLease.CommandGrant(m.cluster.Partitions[machine.Record.Partition].RoleState)
 	m.Emit(message.SendCommands{
-		Machine: machine.Name,
-		Addr:    machine.Address,
-		StartsTasks:  slices.ContainsFunc(commands, isStart),
-		Body:    leadership.NewOrder(grant, body),
+		Machine:     machine.Name,
+		Addr:        machine.Address,
+		StartsTasks: slices.ContainsFunc(commands, isStart),
+		Body:        leadership.NewOrder(grant, body),
 	})
 }
 
--- a/internal/planning/fixture_test.go
+++ b/internal/planning/fixture_test.go
@@ -31,7 +31,7 @@
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	operators := settings.Defaults()
-	operators.Partitions = 2
+	operators.Parts = 2
 	set := &settings.Settings{Operators: operators}
 	set.Node = "nodo-1"
 	set.Deployment.Workers.ReportS = 3
@@ -70,17 +70,17 @@
 	t.Helper()
 	longAgo := f.env.Now - 300*micros.Second
 	machine := &cluster.Machine{
-		Name:             "n-1",
-		Record:           records.MachineRecord{Name: "n-1", Type: "g4", Zone: "alta"},
-		MachineType:      &api.MachineType{Name: "g4", GPUs: 4, BootS: bootS},
-		TokenConfirmed:   true,
-		LaunchedAt:       longAgo,
-		AwaitingHeartbeatSince:     longAgo,
-		FirstHeartbeatAt: longAgo,
-		IdleSince:        longAgo,
-		LastSeenAt:       f.env.Now,
-		LastHeartbeatAt:  f.env.Now,
-		MoveToPartition:  noPartition,
+		Name:                   "n-1",
+		Record:                 records.MachineRecord{Name: "n-1", Type: "g4", Zone: "alta"},
+		MachineType:            &api.MachineType{Name: "g4", GPUs: 4, BootS: bootS},
+		TokenConfirmed:         true,
+		LaunchedAt:             longAgo,
+		AwaitingHeartbeatSince: longAgo,
+		FirstHeartbeatAt:       longAgo,
+		IdleSince:              longAgo,
+		LastSeenAt:             f.env.Now,
+		LastHeartbeatAt:        f.env.Now,
+		MoveToPartition:        noPartition,
 	}
 	f.state.Machines[machine.Name] = machine
 	f.state.MachinesByName = append(f.state.MachinesByName, machine)
--- a/internal/planning/scheduling_cycle.go
+++ b/internal/planning/scheduling_cycle.go
@@ -92,7 +92,7 @@
 	if !c.cache.Synced || !due || c.Now < c.earliestPlanAt {
 		return
 	}
-	c.nextCycleAt = c.Now + micros.FromSeconds(c.Settings.Operators.CycleIntervalS)
+	c.nextCycleAt = c.Now + micros.FromSeconds(c.Settings.Operators.CycleS)
 	c.trigger.Clear()
 	c.earliestPlanAt = c.Now + minPlanInterval(len(c.cluster.Machines), len(c.cluster.Jobs))
 	c.MachineRequests = nil
--- a/internal/provisioning/instance_list_test.go
+++ b/internal/provisioning/instance_list_test.go
@@ -20,7 +20,7 @@
 func newTestList(t *testing.T) *InstanceList {
 	t.Helper()
 	operators := settings.Defaults()
-	operators.Partitions = 1
+	operators.Parts = 1
 	set := &settings.Settings{Operators: operators, Nodes: []string{"nodo-1", "nodo-2", "nodo-3"}}
 	set.Node = "nodo-1"
 	set.Deployment.Cloud.RPS = 6
--- a/internal/provisioning/request_sending.go
+++ b/internal/provisioning/request_sending.go
@@ -109,5 +109,5 @@
 
 // refusalMemory is how long a kind that was refused is not requested again.
 func (p *Provisioner) refusalMemory() micros.Micros {
-	return micros.FromSeconds(p.Settings.Operators.RefusalMemoryS)
+	return micros.FromSeconds(p.Settings.Operators.RefusalS)
 }
--- a/internal/server/run.go
+++ b/internal/server/run.go
@@ -51,7 +51,7 @@
 		logkey.Node, s.settings.Node,
 		logkey.Version, records.Version,
 		logkey.Schema, records.SchemaVersion,
-		logkey.Partitions, s.settings.Operators.Partitions,
+		logkey.Partitions, s.settings.Operators.Parts,
 		logkey.PublicAddr, s.settings.PublicAddr)
 }
 
--- a/internal/server/staleness_test.go
+++ b/internal/server/staleness_test.go
@@ -69,10 +69,10 @@
 	go acceptAndClose(worker, connections)
 	grant := leadership.SharedGrant(leadership.ForProbe, leadership.Command)
 	command := message.SendCommands{
-		Machine: "n-1",
-		Addr:    worker.Addr().String(),
-		StartsTasks:  true,
-		Body:    leadership.NewOrder(grant, api.CommandRequest{}),
+		Machine:     "n-1",
+		Addr:        worker.Addr().String(),
+		StartsTasks: true,
+		Body:        leadership.NewOrder(grant, api.CommandRequest{}),
 	}
 	server.loop.effects.execute(t.Context(), command, 0)
 	reply, ok := (<-server.queue.regular).event.(message.CommandReply)
--- a/internal/server/worker_client.go
+++ b/internal/server/worker_client.go
@@ -58,8 +58,8 @@
 // whose status is 0 where none came.
 func (c *workerClient) send(command message.SendCommands, decidedAt micros.Micros) message.CommandReply {
 	reply := message.CommandReply{
-		Machine: command.Machine,
-		FencingToken:   command.Body.Body().FencingToken,
+		Machine:      command.Machine,
+		FencingToken: command.Body.Body().FencingToken,
 		StartsTasks:  command.StartsTasks,
 	}
 	select {
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -43,7 +43,7 @@
 		{`"txn_ops":48`, `"txn_ops":48,"next":{"txn_ops":2}`, `field facts.state.next.txn_ops: must be at least 3, is 2`},
 		{
 			`"txn_ops":48`, `"txn_ops":48,"next":[2]`,
-			`settings: json: cannot unmarshal JSON array into Go settings.NextStoreLimits within "/facts/state/next"`,
+			`settings: json: cannot unmarshal JSON array into Go settings.NextState within "/facts/state/next"`,
 		},
 		{`"cancel_s":48`, `"cancel_s":19.5`, `field facts.workers.cancel_s: 19.5 leaves no room after lease_s 18`},
 		{`"zones":["a","b"]`, `"zones":[]`, `field facts.zones is missing`},
@@ -75,16 +75,16 @@
 		{"cycle_s = 7\ncycle_s = 7", `key cycle_s: toml: key cycle_s is already defined`},
 		{
 			"queue_jobs = \"plenty\"",
-			`key queue_jobs: toml: cannot decode TOML string into struct field settings.Operators.MaxQueuedJobs of type int`,
+			`key queue_jobs: toml: cannot decode TOML string into struct field settings.Operators.QueueJobs of type int`,
 		},
 		{
 			"[duties]\nexclusive = \"strays\"",
-			`key duties.exclusive: toml: cannot decode TOML string into struct field settings.RoleSettings.Exclusive of type []string`,
+			`key duties.exclusive: toml: cannot decode TOML string into struct field settings.Duties.Exclusive of type []string`,
 		},
 		{
 			"[duties]\nrecord_rentals = 1",
 			`key duties.record_rentals: toml: cannot decode TOML integer into struct field ` +
-				`settings.RoleSettings.RecordRequests of type bool`,
+				`settings.Duties.RecordRentals of type bool`,
 		},
 	} {
 		checkOperatorsError(t, tc.text, tc.want)
--- a/internal/settings/operators.go
+++ b/internal/settings/operators.go
@@ -16,23 +16,23 @@
 // seconds. The names of the fields are part of the errors that operators read: those of
 // values of a wrong type.
 type Operators struct {
-	Partitions     int     `toml:"parts"`            // 0: one per controller, at least two
-	CycleIntervalS float64 `toml:"cycle_s"`          // a scheduling cycle at least this often
+	Parts          int     `toml:"parts"`            // 0: one per controller, at least two
+	CycleS         float64 `toml:"cycle_s"`          // a scheduling cycle at least this often
 	ReferenceWaitS float64 `toml:"reference_wait_s"` // a wait that counts log 2 in a job's score
 	IdleReturnS    float64 `toml:"idle_return_s"`    // idle time after which a machine is returned
-	SilenceS       float64 `toml:"silent_s"`         // time without heartbeats after which a machine is lost
-	LeaseTTLS      float64 `toml:"hold_ttl_s"`       // of a controller's lease in the key-value store
-	RefusalMemoryS float64 `toml:"refusal_memory_s"` // how long what the cloud refused is not requested again
-	MaxQueuedJobs  int     `toml:"queue_jobs"`       // 0: as many as memory holds
+	SilentS        float64 `toml:"silent_s"`         // time without heartbeats after which a machine is lost
+	HoldTTLS       float64 `toml:"hold_ttl_s"`       // of a controller's lease in the key-value store
+	RefusalS       float64 `toml:"refusal_memory_s"` // how long what the cloud refused is not requested again
+	QueueJobs      int     `toml:"queue_jobs"`       // 0: as many as memory holds
 	LatePenalty    float64 `toml:"late_penalty"`     // off the score of a job whose objectives are all out of reach
 	LargePenalty   float64 `toml:"large_penalty"`    // off the score of an array that asks for much, in a backlog
 	PriceCeiling   float64 `toml:"price_ceiling"`    // times the cheapest machine type that a job may use
 	// IdlePriceCeiling is PriceCeiling for idle-time work.
-	IdlePriceCeiling float64      `toml:"idle_price_ceiling"`
-	CeilingGrowthS   float64      `toml:"ceiling_growth_s"` // wait after which the ceilings have doubled
-	BeginWithinS     float64      `toml:"begin_within_s"`   // every job should have begun by then
-	Weights          Weights      `toml:"weights"`
-	Roles            RoleSettings `toml:"duties"`
+	IdlePriceCeiling float64 `toml:"idle_price_ceiling"`
+	CeilingGrowthS   float64 `toml:"ceiling_growth_s"` // wait after which the ceilings have doubled
+	BeginWithinS     float64 `toml:"begin_within_s"`   // every job should have begun by then
+	Weights          Weights `toml:"weights"`
+	Duties           Duties  `toml:"duties"`
 }
 
 // Weights weigh the terms of a job's score, each from 0 to 1; docs/design.md has the
@@ -46,15 +46,15 @@
 	Backlog   float64 `toml:"backlog"`
 }
 
-// RoleSettings holds which of the fleet's roles have one leader at a time, and whether
+// Duties holds which of the fleet's roles have one leader at a time, and whether
 // requests for machines are recorded before they are sent.
-type RoleSettings struct {
-	Exclusive      []string `toml:"exclusive"`
-	RecordRequests bool     `toml:"record_rentals"`
+type Duties struct {
+	Exclusive     []string `toml:"exclusive"`
+	RecordRentals bool     `toml:"record_rentals"`
 }
 
 // IsExclusive tells whether a role has one leader at a time.
-func (r *RoleSettings) IsExclusive(role leadership.Role) bool {
+func (r *Duties) IsExclusive(role leadership.Role) bool {
 	return slices.Contains(r.Exclusive, role.String())
 }
 
@@ -84,12 +84,12 @@
 // Defaults returns the operators' settings where nothing is set.
 func Defaults() Operators {
 	return Operators{
-		CycleIntervalS:   defaultCycleIntervalS,
+		CycleS:           defaultCycleIntervalS,
 		ReferenceWaitS:   defaultReferenceWaitS,
 		IdleReturnS:      defaultIdleReturnS,
-		SilenceS:         defaultSilenceS,
-		LeaseTTLS:        defaultLeaseTTLS,
-		RefusalMemoryS:   defaultRefusalMemoryS,
+		SilentS:          defaultSilenceS,
+		HoldTTLS:         defaultLeaseTTLS,
+		RefusalS:         defaultRefusalMemoryS,
 		LatePenalty:      defaultLatePenalty,
 		LargePenalty:     defaultLargePenalty,
 		PriceCeiling:     defaultPriceCeiling,
--- a/internal/settings/operators_validation.go
+++ b/internal/settings/operators_validation.go
@@ -18,7 +18,7 @@
 	return firstError(
 		o.validateRanges(),
 		o.validateQueuedJobs(),
-		o.Roles.validate(),
+		o.Duties.validate(),
 		o.validatePartitions(),
 	)
 }
@@ -30,13 +30,13 @@
 		value     float64
 		low, high float64
 	}{
-		{"parts", float64(o.Partitions), 0, 64},
-		{"cycle_s", o.CycleIntervalS, 0.5, 60},
+		{"parts", float64(o.Parts), 0, 64},
+		{"cycle_s", o.CycleS, 0.5, 60},
 		{"reference_wait_s", o.ReferenceWaitS, 1, 86400},
 		{"idle_return_s", o.IdleReturnS, 0, 86400},
-		{"silent_s", o.SilenceS, 5, 600},
-		{"hold_ttl_s", o.LeaseTTLS, 2, 60},
-		{"refusal_memory_s", o.RefusalMemoryS, 1, 600},
+		{"silent_s", o.SilentS, 5, 600},
+		{"hold_ttl_s", o.HoldTTLS, 2, 60},
+		{"refusal_memory_s", o.RefusalS, 1, 600},
 		{"late_penalty", o.LatePenalty, 0, 10},
 		{"large_penalty", o.LargePenalty, 0, 10},
 		{"price_ceiling", o.PriceCeiling, 1, 1000},
@@ -59,7 +59,7 @@
 
 // validateQueuedJobs checks the number of unfinished jobs, where one is set.
 func (o *Operators) validateQueuedJobs() error {
-	jobs := o.MaxQueuedJobs
+	jobs := o.QueueJobs
 	if jobs == 0 || jobs >= minQueuedJobs && jobs <= maxQueuedJobs {
 		return nil
 	}
@@ -69,11 +69,11 @@
 
 // validatePartitions checks what the range of parts lets pass.
 func (o *Operators) validatePartitions() error {
-	if o.Partitions == 0 || o.Partitions >= minPartitions {
+	if o.Parts == 0 || o.Parts >= minPartitions {
 		return nil
 	}
 	const allowed = "at least two, or 0 for one per controller"
-	return invalid("parts", o.Partitions, allowed, "parts = %d is out of range: %s", o.Partitions, allowed)
+	return invalid("parts", o.Parts, allowed, "parts = %d is out of range: %s", o.Parts, allowed)
 }
 
 // exclusiveKey is where the operators name the roles that have one leader.
@@ -81,7 +81,7 @@
 
 // validate checks that each role named is one, that it is named once, and that roles
 // which need each other are named together.
-func (r *RoleSettings) validate() error {
+func (r *Duties) validate() error {
 	seen := map[string]bool{}
 	for _, name := range r.Exclusive {
 		if err := validateRoleName(name, seen); err != nil {
--- a/internal/settings/platform.go
+++ b/internal/settings/platform.go
@@ -11,7 +11,7 @@
 		Cloud string `json:"cloud"`
 		State string `json:"state"` // the key-value store's
 	} `json:"endpoints"`
-	Deployment Deployment `json:"facts"`
+	Deployment Facts `json:"facts"`
 }
 
 // Peer is another controller.
@@ -21,9 +21,9 @@
 	Addr string `json:"addr"` // its internal address
 }
 
-// Deployment describes the deployment that a controller is a part of: teams and their
+// Facts describes the deployment that a controller is a part of: teams and their
 // objectives, the workers' times in seconds, and the limits of the services around it.
-type Deployment struct {
+type Facts struct {
 	Nodes      int         `json:"nodes"`
 	Zones      []string    `json:"zones"`
 	Teams      []Team      `json:"teams"`
@@ -35,7 +35,7 @@
 		GangPeerS float64 `json:"gang_peer_s"` // the rest of a gang runs on after the end of a task
 		CancelS   float64 `json:"cancel_s"`    // a cancelled job's tasks must have ended
 	} `json:"workers"`
-	Store StoreLimits `json:"state"`
+	Store State `json:"state"`
 	Cloud struct {
 		RPS      float64 `json:"rps"`        // requests a second
 		ListLagS float64 `json:"list_lag_s"` // how old the list of instances may be
@@ -73,19 +73,19 @@
 	DeadlineFactor float64 `json:"times"` // of a deadline: times what the job asks for
 }
 
-// StoreLimits is what the key-value store admits.
-type StoreLimits struct {
+// State is what the key-value store admits.
+type State struct {
 	RPS               float64 `json:"rps"`       // requests a second
 	WriteRPS          float64 `json:"write_rps"` // changes a second
 	ValueKB           float64 `json:"value_kb"`  // the largest value
 	MaxTransactionOps int     `json:"txn_ops"`   // changes in a transaction
 	// Next is what the store will admit from some moment on, which is not announced.
 	// Nil, or a nil in it: no change is announced.
-	Next *NextStoreLimits `json:"next,omitempty"`
+	Next *NextState `json:"next,omitempty"`
 }
 
-// NextStoreLimits is what changes of the StoreLimits.
-type NextStoreLimits struct {
+// NextState is what changes of the StoreLimits.
+type NextState struct {
 	RPS               *float64 `json:"rps,omitempty"`
 	WriteRPS          *float64 `json:"write_rps,omitempty"`
 	ValueKB           *float64 `json:"value_kb,omitempty"`
@@ -93,7 +93,7 @@
 }
 
 // lowerToNext lowers each limit to the one announced, where that is lower.
-func (l *StoreLimits) lowerToNext() {
+func (l *State) lowerToNext() {
 	if l.Next == nil {
 		return
 	}
@@ -123,7 +123,7 @@
 // AnswerWindowS is how many seconds a controller that lost the key-value store may go on
 // answering heartbeats: together with a lease by a slow clock and a margin that stays
 // below cancel_s, so that a task whose job was cancelled elsewhere ends in time.
-func (d *Deployment) AnswerWindowS() float64 {
+func (d *Facts) AnswerWindowS() float64 {
 	left := d.Workers.CancelS - d.Workers.LeaseS*leaseDriftFactor
 	return left - min(maxAnswerMarginS, left/answerMarginParts)
 }
--- a/internal/settings/platform_validation.go
+++ b/internal/settings/platform_validation.go
@@ -54,7 +54,7 @@
 }
 
 // validateAmounts checks what must be above 0.
-func (d *Deployment) validateAmounts() error {
+func (d *Facts) validateAmounts() error {
 	return firstError(
 		positive("facts.workers.report_s", d.Workers.ReportS),
 		positive("facts.workers.lease_s", d.Workers.LeaseS),
@@ -75,7 +75,7 @@
 
 // validateLimits checks the key-value store's limits, now and announced, and what the
 // workers' lease leaves of the time that a cancellation has.
-func (d *Deployment) validateLimits() error {
+func (d *Facts) validateLimits() error {
 	return firstError(
 		atLeast("facts.state.txn_ops", d.Store.MaxTransactionOps, minTransactionOps),
 		d.Store.Next.validate(),
@@ -84,7 +84,7 @@
 }
 
 // validate checks the limits that are announced; l is nil where none are.
-func (l *NextStoreLimits) validate() error {
+func (l *NextState) validate() error {
 	if l == nil {
 		return nil
 	}
@@ -100,7 +100,7 @@
 
 // validateCancelTime checks that a task can end in time where its worker last heard of it
 // just before the cancellation.
-func (d *Deployment) validateCancelTime() error {
+func (d *Facts) validateCancelTime() error {
 	cancel, lease := d.Workers.CancelS, d.Workers.LeaseS
 	if cancel >= lease*minCancelPerLease+minCancelRestS {
 		return nil
@@ -110,7 +110,7 @@
 }
 
 // validateTeams checks that there are zones and teams, and the teams' amounts.
-func (d *Deployment) validateTeams() error {
+func (d *Facts) validateTeams() error {
 	errs := []error{
 		anyGiven("facts.zones", d.Zones),
 		anyGiven("facts.teams", d.Teams),
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -79,12 +79,12 @@
 		return nil, err
 	}
 	settings.Nodes = settings.nodeNames()
-	if settings.Operators.Partitions == 0 {
-		settings.Operators.Partitions = max(minPartitions, len(settings.Nodes))
+	if settings.Operators.Parts == 0 {
+		settings.Operators.Parts = max(minPartitions, len(settings.Nodes))
 	}
 	// When the limits change is not announced, so both sets are kept from the start.
 	settings.Deployment.Store.lowerToNext()
-	settings.TeamPartition = assignTeams(settings.Deployment.Teams, settings.Operators.Partitions)
+	settings.TeamPartition = assignTeams(settings.Deployment.Teams, settings.Operators.Parts)
 	settings.Sockets = allocateSockets(settings.Deployment.Process.MaxConnections, len(settings.Peers))
 	return settings, nil
 }
@@ -101,8 +101,8 @@
 
 // MaxUnfinishedJobs is how many unfinished jobs there may be.
 func (s *Settings) MaxUnfinishedJobs() int {
-	if s.Operators.MaxQueuedJobs > 0 {
-		return s.Operators.MaxQueuedJobs
+	if s.Operators.QueueJobs > 0 {
+		return s.Operators.QueueJobs
 	}
 	return max(minUnfinishedJobs, int(s.Deployment.Process.MemMB*unfinishedJobsPerMB))
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	partitions, of := settings.Operators.Partitions, settings.TeamPartition
+	partitions, of := settings.Operators.Parts, settings.TeamPartition
 	if partitions != 2 || of["x"] == of["y"] || of["y"] != of["z"] {
 		t.Errorf("guarantees 8, 4, 4 assigned to %d partitions as %v", partitions, of)
 	}
@@ -56,7 +56,7 @@
 
 // TestNextLimits guards that the lower of both sets holds from the start.
 func TestNextLimits(t *testing.T) {
-	for next, want := range map[string]StoreLimits{
+	for next, want := range map[string]State{
 		`null`:                                 {RPS: 150, WriteRPS: 60, ValueKB: 16, MaxTransactionOps: 48},
 		`{}`:                                   {RPS: 150, WriteRPS: 60, ValueKB: 16, MaxTransactionOps: 48},
 		`{"value_kb":2,"txn_ops":4}`:           {RPS: 150, WriteRPS: 60, ValueKB: 2, MaxTransactionOps: 4},
@@ -77,7 +77,7 @@
 
 func TestParseOperators(t *testing.T) {
 	ops, err := ParseOperators([]byte("cycle_s = 7\n[weights]\nwait = 0.5\n"))
-	if err != nil || ops.CycleIntervalS != 7 || ops.Weights.Wait != 0.5 || ops.Weights.Priority != Defaults().Weights.Priority {
+	if err != nil || ops.CycleS != 7 || ops.Weights.Wait != 0.5 || ops.Weights.Priority != Defaults().Weights.Priority {
 		t.Errorf("got %+v, %v", ops, err)
 	}
 	for text, want := range map[string]string{
@@ -110,7 +110,7 @@
 		memMB     float64
 		want      int
 	}{{0, 20, 4000}, {0, 98, 9800}, {0, 342, 34200}, {50, 342, 50}} {
-		settings := &Settings{Operators: Operators{MaxQueuedJobs: tc.queueJobs}}
+		settings := &Settings{Operators: Operators{QueueJobs: tc.queueJobs}}
 		settings.Deployment.Process.MemMB = tc.memMB
 		if got := settings.MaxUnfinishedJobs(); got != tc.want {
 			t.Errorf("queue_jobs %d, mem_mb %v: %d, want %d", tc.queueJobs, tc.memMB, got, tc.want)
@@ -125,7 +125,7 @@
 		if err != nil {
 			return
 		}
-		if settings.Operators.Partitions < 2 || settings.Deployment.Workers.CancelS <= settings.Deployment.Workers.LeaseS {
+		if settings.Operators.Parts < 2 || settings.Deployment.Workers.CancelS <= settings.Deployment.Workers.LeaseS {
 			t.Errorf("senseless settings were taken: %+v", settings)
 		}
 		if _, err := json.Marshal(settings.Platform); err != nil {
--- a/internal/settings/warnings.go
+++ b/internal/settings/warnings.go
@@ -22,7 +22,7 @@
 		warnings = append(warnings, fmt.Sprintf("facts.machine_limits.mem_mb is below %d: "+
 			"the process may be ended for its memory", fewMemMB))
 	}
-	if window := s.Deployment.AnswerWindowS(); window < s.Operators.LeaseTTLS+fewWindowRestS {
+	if window := s.Deployment.AnswerWindowS(); window < s.Operators.HoldTTLS+fewWindowRestS {
 		warnings = append(warnings, fmt.Sprintf("facts.workers.cancel_s leaves %.1f s beside a lease: "+
 			"when the state service is away for longer, or a controller ends, workers' tasks end", window))
 	}
--- a/internal/simulation/effects.go
+++ b/internal/simulation/effects.go
@@ -158,8 +158,8 @@
 func (s *Simulation) pushCommands(node *node, commands message.SendCommands) {
 	reply := s.firstInput(node)
 	unanswered := message.CommandReply{
-		Machine: commands.Machine,
-		FencingToken:   commands.Body.Body().FencingToken,
+		Machine:      commands.Machine,
+		FencingToken: commands.Body.Body().FencingToken,
 		StartsTasks:  commands.StartsTasks,
 	}
 	unsent := unanswered
--- a/internal/simulation/scenario_settings.go
+++ b/internal/simulation/scenario_settings.go
@@ -72,7 +72,7 @@
 }
 
 // describeDeployment fills in what the settings of all controllers have in common.
-func (s *Scenario) describeDeployment(deployment *settings.Deployment, announced bool) {
+func (s *Scenario) describeDeployment(deployment *settings.Facts, announced bool) {
 	deployment.Nodes, deployment.Zones = controllerCount, zones
 	for _, team := range s.Teams {
 		deployment.Teams = append(deployment.Teams, settings.Team{
@@ -86,7 +86,7 @@
 	store.RPS, store.WriteRPS = s.RPS, s.WriteRPS
 	store.ValueKB, store.MaxTransactionOps = s.ValueKB, s.MaxTransactionOps
 	if next := &s.NextLimits; announced && next.MaxTransactionOps > 0 {
-		store.Next = &settings.NextStoreLimits{
+		store.Next = &settings.NextState{
 			WriteRPS: &next.WriteRPS, ValueKB: &next.ValueKB, MaxTransactionOps: &next.MaxTransactionOps,
 		}
 	}
@@ -99,7 +99,7 @@
 func (s *Scenario) operators() settings.Operators {
 	operators := settings.Defaults()
 	if s.ExclusiveRoles {
-		operators.Roles = settings.RoleSettings{Exclusive: leadership.FleetRoleNames(), RecordRequests: true}
+		operators.Duties = settings.Duties{Exclusive: leadership.FleetRoleNames(), RecordRentals: true}
 	}
 	return operators
 }
