--- a/internal/cluster/machine_registry.go
+++ b/internal/cluster/machine_registry.go
@@ -1,6 +1,7 @@
 package cluster
 
 import (
+	"spurmoor/internal/api"
 	"spurmoor/internal/coordination"
 	"spurmoor/internal/logkey"
 	"spurmoor/internal/micros"
@@ -11,10 +12,16 @@
 // so that one cycle covers several changes.
 const recordCycleDelay = micros.Second / 5
 
+// machineTypes is the catalog of the cloud's machine types.
+type machineTypes interface {
+	// TypeNamed returns the type of a name; nil: it is not known.
+	TypeNamed(name string) *api.MachineType
+}
+
 // MachineRegistry applies machines' records to the replica, and requests changes of them.
 type MachineRegistry struct {
 	*coordination.Environment
-	catalog   *MachineCatalog
+	types     machineTypes
 	cluster   *State
 	deletions *DeletionLog
 	tasks     *TaskLifecycle
@@ -23,11 +30,11 @@
 
 // NewMachineRegistry returns a machine registry.
 func NewMachineRegistry(
-	env *coordination.Environment, catalog *MachineCatalog, cluster *State,
+	env *coordination.Environment, types machineTypes, cluster *State,
 	deletions *DeletionLog, tasks *TaskLifecycle, trigger *CycleTrigger,
 ) *MachineRegistry {
 	return &MachineRegistry{
-		Environment: env, catalog: catalog, cluster: cluster,
+		Environment: env, types: types, cluster: cluster,
 		deletions: deletions, tasks: tasks, trigger: trigger,
 	}
 }
@@ -89,7 +96,7 @@
 	}
 	machine.Record, machine.Origin = record, origin
 	machine.Record.MinToken = minToken
-	machine.MachineType = r.catalog.MachineTypeByName[record.Type]
+	machine.MachineType = r.types.TypeNamed(record.Type)
 	return minToken > previous
 }
 
--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -3,6 +3,8 @@
 import (
 	"slices"
 
+	"spurmoor/internal/provisioning"
+
 	"spurmoor/internal/api"
 	"spurmoor/internal/cluster"
 	"spurmoor/internal/coordination"
@@ -21,7 +23,7 @@
 // admissionControl decides which submissions are refused, and why.
 type admissionControl struct {
 	*coordination.Environment
-	catalog      *cluster.MachineCatalog
+	catalog      *provisioning.MachineCatalog
 	cluster      *cluster.State
 	dependencies *cluster.DependencyGraph
 	schema       *coordination.SchemaTracker
@@ -32,7 +34,7 @@
 
 func newAdmissionControl(
 	env *coordination.Environment,
-	catalog *cluster.MachineCatalog,
+	catalog *provisioning.MachineCatalog,
 	cluster *cluster.State,
 	dependencies *cluster.DependencyGraph,
 	schema *coordination.SchemaTracker,
--- a/internal/core/components.go
+++ b/internal/core/components.go
@@ -36,7 +36,7 @@
 	cluster      *cluster.State
 	tasks        *cluster.TaskLifecycle
 	dependencies *cluster.DependencyGraph
-	catalog      *cluster.MachineCatalog
+	catalog      *provisioning.MachineCatalog
 	registry     *cluster.MachineRegistry
 	partitionLog *cluster.PartitionLog
 
@@ -115,7 +115,7 @@
 	c.cluster = cluster.NewState(env, c.cache, c.roles)
 	c.tasks = cluster.NewTaskLifecycle(env, c.cluster, c.storeLease, c.trigger)
 	c.dependencies = cluster.NewDependencyGraph(env, c.cache, c.cluster, c.trigger)
-	c.catalog = cluster.NewMachineCatalog(env, c.budget, c.cache, c.cluster, c.roles, c.schema)
+	c.catalog = provisioning.NewMachineCatalog(env, c.budget, c.cache, c.cluster, c.roles, c.schema)
 	c.registry = cluster.NewMachineRegistry(env, c.catalog, c.cluster, c.deletions, c.tasks, c.trigger)
 	c.partitionLog = cluster.NewPartitionLog(
 		env, c.budget, c.cache, c.cluster, c.dependencies, c.peers, c.registry, c.storeLease, c.transactions,
--- a/internal/core/explanation.go
+++ b/internal/core/explanation.go
@@ -4,6 +4,8 @@
 	"fmt"
 	"math"
 
+	"spurmoor/internal/provisioning"
+
 	"spurmoor/internal/api"
 	"spurmoor/internal/cluster"
 	"spurmoor/internal/coordination"
@@ -15,7 +17,7 @@
 // jobExplainer says why jobs wait and when they should be done.
 type jobExplainer struct {
 	*coordination.Environment
-	catalog      *cluster.MachineCatalog
+	catalog      *provisioning.MachineCatalog
 	cluster      *cluster.State
 	dependencies *cluster.DependencyGraph
 	jobs         *jobLookup
@@ -24,7 +26,7 @@
 
 func newJobExplainer(
 	env *coordination.Environment,
-	catalog *cluster.MachineCatalog,
+	catalog *provisioning.MachineCatalog,
 	cluster *cluster.State,
 	dependencies *cluster.DependencyGraph,
 	jobs *jobLookup,
--- a/internal/core/record_applier.go
+++ b/internal/core/record_applier.go
@@ -24,7 +24,7 @@
 type recordApplier struct {
 	*coordination.Environment
 	cache        *coordination.WatchCache
-	catalog      *cluster.MachineCatalog
+	catalog      *provisioning.MachineCatalog
 	cluster      *cluster.State
 	dependencies *cluster.DependencyGraph
 	partitionLog *cluster.PartitionLog
@@ -40,7 +40,7 @@
 func newRecordApplier(
 	env *coordination.Environment,
 	cache *coordination.WatchCache,
-	catalog *cluster.MachineCatalog,
+	catalog *provisioning.MachineCatalog,
 	cluster *cluster.State,
 	dependencies *cluster.DependencyGraph,
 	partitionLog *cluster.PartitionLog,
--- a/internal/planning/scheduling_cycle.go
+++ b/internal/planning/scheduling_cycle.go
@@ -20,7 +20,7 @@
 	*coordination.Environment
 	boots        *cluster.BootStatistics
 	cache        *coordination.WatchCache
-	catalog      *cluster.MachineCatalog
+	catalog      *provisioning.MachineCatalog
 	cluster      *cluster.State
 	lending      *MachineLending
 	peers        *coordination.PeerTracker
@@ -43,7 +43,7 @@
 	env *coordination.Environment,
 	boots *cluster.BootStatistics,
 	cache *coordination.WatchCache,
-	catalog *cluster.MachineCatalog,
+	catalog *provisioning.MachineCatalog,
 	state *cluster.State,
 	lending *MachineLending,
 	peers *coordination.PeerTracker,
--- a/internal/planning/snapshot.go
+++ b/internal/planning/snapshot.go
@@ -238,7 +238,7 @@
 		return cmp.Compare(left.String(), right.String())
 	})
 	for _, kind := range kinds {
-		machineType := b.catalog.MachineTypeByName[kind.Type]
+		machineType := b.catalog.TypeNamed(kind.Type)
 		if machineType == nil {
 			continue
 		}
--- a/internal/planning/tasks_on_machine.go
+++ b/internal/planning/tasks_on_machine.go
@@ -1,6 +1,8 @@
 package planning
 
-import "spurmoor/internal/cluster"
+import (
+	"spurmoor/internal/cluster"
+)
 
 // tasksOn goes through the tasks recorded on a machine, with their jobs. Tasks may be
 // changed meanwhile, also so that they leave the machine.
--- a/internal/planning/urgency.go
+++ b/internal/planning/urgency.go
@@ -3,6 +3,7 @@
 import (
 	"spurmoor/internal/cluster"
 	"spurmoor/internal/coordination"
+	"spurmoor/internal/provisioning"
 	"spurmoor/internal/scheduler"
 )
 
@@ -10,7 +11,7 @@
 // that depend on it.
 type UrgencyIndex struct {
 	*coordination.Environment
-	catalog      *cluster.MachineCatalog
+	catalog      *provisioning.MachineCatalog
 	cluster      *cluster.State
 	dependencies *cluster.DependencyGraph
 
@@ -20,7 +21,7 @@
 // NewUrgencyIndex makes an empty urgency index.
 func NewUrgencyIndex(
 	env *coordination.Environment,
-	catalog *cluster.MachineCatalog,
+	catalog *provisioning.MachineCatalog,
 	state *cluster.State,
 	dependencies *cluster.DependencyGraph,
 ) *UrgencyIndex {
--- a/internal/cluster/catalog.go
+++ b/internal/provisioning/catalog.go
@@ -1,9 +1,11 @@
-package cluster
+package provisioning
 
 import (
 	"slices"
 	"strconv"
 
+	"spurmoor/internal/cluster"
+
 	"spurmoor/internal/api"
 	"spurmoor/internal/coordination"
 	"spurmoor/internal/leadership"
@@ -25,13 +27,13 @@
 	*coordination.Environment
 	budget  *coordination.WriteBudget
 	cache   *coordination.WatchCache
-	cluster *State
+	cluster *cluster.State
 	roles   *coordination.RoleManager
 	schema  *coordination.SchemaTracker
 
 	// What is known of the types, from the cloud or, until it answers, from the store.
 	MachineTypes      []api.MachineType
-	MachineTypeByName map[string]*api.MachineType
+	machineTypeByName map[string]*api.MachineType
 
 	// Reading the cloud's catalog.
 	NextCatalogReadAt   micros.Micros
@@ -52,14 +54,17 @@
 // NewMachineCatalog returns a catalog that knows no types yet.
 func NewMachineCatalog(
 	env *coordination.Environment, budget *coordination.WriteBudget, cache *coordination.WatchCache,
-	cluster *State, roles *coordination.RoleManager, schema *coordination.SchemaTracker,
+	cluster *cluster.State, roles *coordination.RoleManager, schema *coordination.SchemaTracker,
 ) *MachineCatalog {
 	return &MachineCatalog{
 		Environment: env, budget: budget, cache: cache, cluster: cluster, roles: roles, schema: schema,
-		MachineTypeByName: map[string]*api.MachineType{}, catalogPages: map[string]storedCatalogPage{},
+		machineTypeByName: map[string]*api.MachineType{}, catalogPages: map[string]storedCatalogPage{},
 	}
 }
 
+// TypeNamed returns the type of a name; nil: it is not known.
+func (c *MachineCatalog) TypeNamed(name string) *api.MachineType { return c.machineTypeByName[name] }
+
 // ReadCatalogWhenDue reads the cloud's catalog now and then: prices change.
 func (c *MachineCatalog) ReadCatalogWhenDue() {
 	if c.catalogReadInFlight || c.Now < c.NextCatalogReadAt {
@@ -83,10 +88,10 @@
 func (c *MachineCatalog) setMachineTypes(types []api.MachineType) {
 	c.MachineTypes = types
 	for i := range types {
-		c.MachineTypeByName[types[i].Name] = &types[i]
+		c.machineTypeByName[types[i].Name] = &types[i]
 	}
 	for _, machine := range c.cluster.Machines {
-		machine.MachineType = c.MachineTypeByName[machine.Record.Type]
+		machine.MachineType = c.machineTypeByName[machine.Record.Type]
 	}
 }
 
