--- a/internal/api/store.go
+++ b/internal/api/store.go
@@ -2,25 +2,29 @@
 
 import "github.com/go-json-experiment/json/jsontext"
 
+// Revision numbers the states of the store: it rises with each change. The version of a
+// key is the revision of its last change; 0: there is no such key.
+type Revision uint64
+
 // KeyValue is a key of the key-value store.
 type KeyValue struct {
 	Key     string         `json:"K"`
 	Value   jsontext.Value `json:"Data"`
-	Version uint64         `json:"Edicion"` // rises with each change of the key
+	Version Revision       `json:"Edicion"` // rises with each change of the key
 }
 
 // KeyValuePage is a page of keys.
 type KeyValuePage struct {
 	Pairs    []KeyValue `json:"Pairs"`
 	More     bool       `json:"Truncated"`
-	Revision uint64     `json:"Revision"` // of the whole store
+	Revision Revision   `json:"Revision"` // of the whole store
 }
 
 // Compare is a condition of a transaction: the key has this version; 0: there is no such
 // key.
 type Compare struct {
-	Key     string `json:"K"`
-	Version uint64 `json:"Edicion"`
+	Key     string   `json:"K"`
+	Version Revision `json:"Edicion"`
 }
 
 // Write is a put or a delete in a transaction.
@@ -39,7 +43,7 @@
 
 // TransactionResult answers a transaction.
 type TransactionResult struct {
-	Revision   uint64   `json:"Revision"`
+	Revision   Revision `json:"Revision"`
 	FailedKeys []string `json:"failed"` // whose compares did not hold
 	Error      string   `json:"error"`
 }
@@ -49,13 +53,13 @@
 	Put     string         `json:"Write"`
 	Value   jsontext.Value `json:"Data"`
 	Delete  string         `json:"Drop"`
-	Version uint64         `json:"Edicion"`
+	Version Revision       `json:"Edicion"`
 }
 
 // WatchResponse answers a watch: what changed up to the revision.
 type WatchResponse struct {
-	Revision uint64  `json:"Revision"`
-	Events   []Event `json:"Log"`
+	Revision Revision `json:"Revision"`
+	Events   []Event  `json:"Log"`
 }
 
 // LeaseRequest requests a lease.
--- a/internal/api/worker.go
+++ b/internal/api/worker.go
@@ -34,10 +34,22 @@
 	ExitNoSuch    ExitReason = "no_such"
 )
 
+// Attempt numbers the times that a task was placed, from 1. A worker acts on a command
+// only for the attempt that it names.
+type Attempt uint64
+
+// FencingToken tells a worker whether who commands it still leads: it obeys none lower
+// than the highest that it has seen.
+type FencingToken uint64
+
+// Incarnation numbers a worker's processes on one machine: a later one knows nothing of
+// the tasks of those before. 0 is none.
+type Incarnation uint64
+
 // TaskStatus is one task in a worker's heartbeat.
 type TaskStatus struct {
 	Task             string     `json:"Tarea"`
-	Attempt          uint64     `json:"Intento"`
+	Attempt          Attempt    `json:"Intento"`
 	State            TaskState  `json:"Estado"`
 	ExitReason       ExitReason `json:"Causa,omitempty"`
 	CheckpointStored bool       `json:"Stored,omitempty"`
@@ -45,15 +57,15 @@
 
 // Heartbeat is a worker's heartbeat, with the status of its tasks.
 type Heartbeat struct {
-	Machine     string `json:"Maquina"`
-	Address     string `json:"Endpoint"`
-	Type        string `json:"Tipo"`
-	Zone        string `json:"Zona"`
-	Spot        bool   `json:"Prestadas"`
-	Incarnation uint64 `json:"Jornada"` // of the worker's process; 0 is none
-	Sequence    uint64 `json:"Folio"`   // of the heartbeat within the incarnation
+	Machine     string      `json:"Maquina"`
+	Address     string      `json:"Endpoint"`
+	Type        string      `json:"Tipo"`
+	Zone        string      `json:"Zona"`
+	Spot        bool        `json:"Prestadas"`
+	Incarnation Incarnation `json:"Jornada"` // of the worker's process; 0 is none
+	Sequence    uint64      `json:"Folio"`   // of the heartbeat within the incarnation
 	// FencingToken is the highest that the worker has seen.
-	FencingToken uint64 `json:"Baston"`
+	FencingToken FencingToken `json:"Baston"`
 	// InterruptionNoticeS is the time until a spot instance is interrupted; nil: no notice.
 	InterruptionNoticeS *float64     `json:"AvisoS"`
 	Tasks               []TaskStatus `json:"Tareas"`
@@ -92,22 +104,22 @@
 type Command struct {
 	Op      CommandOp `json:"Accion"`
 	Task    string    `json:"Tarea"`
-	Attempt uint64    `json:"Intento"`
+	Attempt Attempt   `json:"Intento"`
 	GraceS  *float64  `json:"GraciaS,omitempty"` // of a stop: time to save a checkpoint
 }
 
 // HeartbeatResponse answers a heartbeat; it renews the lease on which the worker's tasks
 // run.
 type HeartbeatResponse struct {
-	FencingToken uint64    `json:"Baston"`
-	Commands     []Command `json:"Ordenes"`
+	FencingToken FencingToken `json:"Baston"`
+	Commands     []Command    `json:"Ordenes"`
 }
 
 // CommandRequest is the body of a direct command to a worker.
 type CommandRequest struct {
-	FencingToken uint64    `json:"Baston"`
-	Incarnation  uint64    `json:"Jornada"`
-	Commands     []Command `json:"Ordenes"`
+	FencingToken FencingToken `json:"Baston"`
+	Incarnation  Incarnation  `json:"Jornada"`
+	Commands     []Command    `json:"Ordenes"`
 }
 
 // Redirect sends a worker to another controller.
--- a/internal/cluster/commit.go
+++ b/internal/cluster/commit.go
@@ -36,7 +36,7 @@
 type LogCommit struct {
 	*coordination.Transaction
 
-	PreviousSlotVersion uint64 // of the slot that the first entry goes to
+	PreviousSlotVersion api.Revision // of the slot that the first entry goes to
 	Entries             []LogEntry
 	lastEntrySize       int // bytes of the last entry
 
@@ -65,7 +65,7 @@
 }
 
 // compare has a commit fail unless a key still has a version.
-func (c *LogCommit) compare(key string, version uint64) {
+func (c *LogCommit) compare(key string, version api.Revision) {
 	c.Request.Compares = append(c.Request.Compares, api.Compare{Key: key, Version: version})
 }
 
@@ -85,7 +85,7 @@
 		return nil
 	}
 	commit := l.newCommit(partition)
-	commit.compare(partition.Key(), partition.Term)
+	commit.compare(partition.Key(), api.Revision(partition.Term))
 	l.addTerminalStates(commit, ended, maxWrites)
 	l.addLogEntries(commit, partition, jobIDs, maxWrites)
 	if commit.isEmpty() {
@@ -103,7 +103,7 @@
 func (l *PartitionLog) newCommit(partition *Partition) *LogCommit {
 	return &LogCommit{Transaction: &coordination.Transaction{
 		Grant:       func() leadership.Grant { return l.storeLease.Grant(partition.RoleState, leadership.Write) },
-		OnCommitted: func(revision uint64) { l.CommitSucceeded(partition, revision) },
+		OnCommitted: func(revision api.Revision) { l.CommitSucceeded(partition, revision) },
 		OnRefused:   func() { l.commitRefused(partition) },
 	}}
 }
--- a/internal/cluster/commit_outcome.go
+++ b/internal/cluster/commit_outcome.go
@@ -3,6 +3,7 @@
 import (
 	"slices"
 
+	"spurmoor/internal/api"
 	"spurmoor/internal/logkey"
 	"spurmoor/internal/records"
 )
@@ -12,7 +13,7 @@
 
 // CommitSucceeded records that a partition's commit was carried out, at a revision of the
 // store.
-func (l *PartitionLog) CommitSucceeded(partition *Partition, revision uint64) {
+func (l *PartitionLog) CommitSucceeded(partition *Partition, revision api.Revision) {
 	commit := partition.CommitInFlight
 	if commit == nil {
 		return
@@ -45,7 +46,7 @@
 }
 
 // machinesCommitted records that the machines' records of a commit are committed.
-func (l *PartitionLog) machinesCommitted(partition *Partition, commit *LogCommit, revision uint64) {
+func (l *PartitionLog) machinesCommitted(partition *Partition, commit *LogCommit, revision api.Revision) {
 	for _, change := range commit.recordChanges {
 		if change.machine.PendingChange == change.kind {
 			change.machine.PendingChange = NoRecordChange
--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -18,7 +18,7 @@
 	Spec       api.Job
 	Request    scheduler.Resources // of one task
 	AcceptedAt micros.Micros
-	Version    uint64 // of its key in the store
+	Version    api.Revision // of its key in the store
 	Partition  int
 
 	// Cancellation. Cancelled is written as the record is applied and by the dependency
@@ -145,8 +145,8 @@
 }
 
 // LastAttempt returns the highest attempt of any task.
-func (j *Job) LastAttempt() uint64 {
-	var last uint64
+func (j *Job) LastAttempt() api.Attempt {
+	var last api.Attempt
 	for _, task := range j.knownTasks() {
 		last = max(last, task.Attempt)
 	}
--- a/internal/cluster/log_entry.go
+++ b/internal/cluster/log_entry.go
@@ -1,6 +1,9 @@
 package cluster
 
-import "spurmoor/internal/records"
+import (
+	"spurmoor/internal/api"
+	"spurmoor/internal/records"
+)
 
 // Sizes of what is written to a partition's log.
 const (
@@ -24,7 +27,7 @@
 type LogEntry struct {
 	Sequence uint64
 	Slot     int
-	Version  uint64 // of the slot's key
+	Version  api.Revision // of the slot's key
 	Runs     []records.TaskRun
 	Machines []records.MachineRecord
 }
--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -59,9 +59,9 @@
 
 	// What its worker reported. Written by reconciliation in core; the registry and State
 	// take TokenConfirmed back.
-	Incarnation       uint64 // of the worker's process
-	HeartbeatSequence uint64 // of the last heartbeat applied; counts within an incarnation
-	TokenConfirmed    bool   // it reported with our fencing token
+	Incarnation       api.Incarnation // of the worker's process
+	HeartbeatSequence uint64          // of the last heartbeat applied; counts within an incarnation
+	TokenConfirmed    bool            // it reported with our fencing token
 	ReportedTasks     []api.TaskStatus
 	CachedImages      []cachedImage // the latest used last; written by the task lifecycle as well
 	InterruptionAt    micros.Micros // spot instance taken away at about this time; 0: no notice
@@ -80,7 +80,7 @@
 	lastCommands    []api.Command // by the last answer to a heartbeat
 	IgnoringSince   micros.Micros // since when it has to be sent the same again; 0: it obeys
 	// HighestStartToken is the highest fencing token of a direct start that we sent there.
-	HighestStartToken uint64
+	HighestStartToken api.FencingToken
 	// StartOutcomeUnknown says that a direct start had no answer: a token higher than its
 	// own is needed.
 	StartOutcomeUnknown bool
--- a/internal/cluster/machine_registry.go
+++ b/internal/cluster/machine_registry.go
@@ -41,7 +41,7 @@
 
 // ApplyMachineRecord applies a machine's record, written at a revision of the store,
 // unless a newer one is known.
-func (r *MachineRegistry) ApplyMachineRecord(record records.MachineRecord, origin RecordOrigin, revision uint64) {
+func (r *MachineRegistry) ApplyMachineRecord(record records.MachineRecord, origin RecordOrigin, revision api.Revision) {
 	machine := r.cluster.Machines[record.Name]
 	if !r.isNews(machine, record, origin) {
 		return
@@ -87,12 +87,12 @@
 // replaceRecord gives a machine a newer record, and reports whether that raises its lowest
 // token. The token never falls, whatever the record says.
 func (r *MachineRegistry) replaceRecord(
-	machine *Machine, record records.MachineRecord, origin RecordOrigin, revision uint64,
+	machine *Machine, record records.MachineRecord, origin RecordOrigin, revision api.Revision,
 ) (tokenRaised bool) {
 	previous := machine.Record.MinToken
 	minToken := max(previous, record.MinToken)
 	if record.MinToken == 0 {
-		minToken = max(minToken, revision)
+		minToken = max(minToken, api.FencingToken(revision))
 	}
 	machine.Record, machine.Origin = record, origin
 	machine.Record.MinToken = minToken
--- a/internal/cluster/machine_test.go
+++ b/internal/cluster/machine_test.go
@@ -83,8 +83,9 @@
 	t.Parallel()
 	machine := &Machine{Incarnation: 2, HeartbeatSequence: 5}
 	for _, tc := range []struct {
-		incarnation, sequence uint64
-		want                  bool
+		incarnation api.Incarnation
+		sequence    uint64
+		want        bool
 	}{
 		{2, 5, false}, {2, 6, true}, {2, 4, false}, {3, 1, true}, {1, 9, false},
 	} {
--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -31,7 +31,7 @@
 	tombstones    map[string]RecordOrigin
 	logReferences map[string]int
 	// adoptionVersion is of the key that every adoption changes.
-	adoptionVersion uint64
+	adoptionVersion api.Revision
 }
 
 // NewState returns a replica that knows nothing yet.
@@ -75,8 +75,8 @@
 // FencingToken returns the token that a machine's worker must obey: the later of the term
 // of its partition's leader and the lowest that its record permits. Both are revisions of
 // the store, which only rise.
-func (s *State) FencingToken(machine *Machine) uint64 {
-	return max(s.Partitions[machine.Record.Partition].Term, machine.Record.MinToken)
+func (s *State) FencingToken(machine *Machine) api.FencingToken {
+	return max(api.FencingToken(s.Partitions[machine.Record.Partition].Term), machine.Record.MinToken)
 }
 
 // AddJob adds a job of which nothing was known.
@@ -165,7 +165,7 @@
 func (s *State) clearTombstone(name string) { delete(s.tombstones, name) }
 
 // ObserveAdoption records the version of the key that every adoption changes.
-func (s *State) ObserveAdoption(version uint64) {
+func (s *State) ObserveAdoption(version api.Revision) {
 	s.adoptionVersion = max(s.adoptionVersion, version)
 }
 
--- a/internal/cluster/task.go
+++ b/internal/cluster/task.go
@@ -20,7 +20,7 @@
 // TaskRecord is what the log keeps of a task.
 type TaskRecord struct {
 	State   records.TaskState
-	Attempt uint64
+	Attempt api.Attempt
 	// Machine is the name of the machine that the task is placed on, else empty.
 	Machine string
 }
@@ -56,7 +56,7 @@
 	notBefore micros.Micros // not to be placed before
 	// DirectStartToken is the fencing token of a direct start that may still be on its
 	// way; 0: there is none.
-	DirectStartToken uint64
+	DirectStartToken api.FencingToken
 }
 
 // mayBePlaced reports whether a task waits to be placed and need not wait longer.
--- a/internal/coordination/election.go
+++ b/internal/coordination/election.go
@@ -57,12 +57,12 @@
 	m.transactions.SubmitTransaction(&Transaction{
 		Grant: electionGrant,
 		Request: api.Transaction{
-			Compares: []api.Compare{{Key: key, Version: state.Term}},
+			Compares: []api.Compare{{Key: key, Version: api.Revision(state.Term)}},
 			Writes:   []api.Write{{Put: key, Value: claim, Lease: m.storeLease.Lease.ID}},
 		},
 		// We lead the role only once the watch cache shows our claim: it then shows all
 		// that was committed before, too.
-		OnCommitted: func(uint64) { m.cache.ReadLatest(func(bool) { m.acquisitionEnded(state) }) },
+		OnCommitted: func(api.Revision) { m.cache.ReadLatest(func(bool) { m.acquisitionEnded(state) }) },
 		OnRefused:   func() { m.acquisitionEnded(state) },
 	})
 }
--- a/internal/coordination/environment.go
+++ b/internal/coordination/environment.go
@@ -11,6 +11,7 @@
 	"math/rand/v2"
 
 	"spurmoor/internal/api"
+	"spurmoor/internal/leadership"
 	"spurmoor/internal/message"
 	"spurmoor/internal/micros"
 	"spurmoor/internal/settings"
@@ -21,7 +22,7 @@
 type Environment struct {
 	Settings    parameters
 	random      *rand.Rand
-	Incarnation uint64 // of this controller, among all that ran under the node's name
+	Incarnation leadership.Incarnation // of this controller, among all that ran under the node's name
 	Now         micros.Micros
 	Effects     []message.Effect
 
@@ -31,7 +32,7 @@
 }
 
 // NewEnvironment makes an environment. All random draws come from random.
-func NewEnvironment(set *settings.Settings, incarnation uint64, random *rand.Rand) *Environment {
+func NewEnvironment(set *settings.Settings, incarnation leadership.Incarnation, random *rand.Rand) *Environment {
 	return &Environment{
 		Settings:    parameters{Settings: set},
 		random:      random,
--- a/internal/coordination/environment_test.go
+++ b/internal/coordination/environment_test.go
@@ -59,27 +59,27 @@
 // recordedSink records what the watch cache hands to its sink.
 type recordedSink struct {
 	replaced     int
-	keys         map[string]uint64 // by key, its version
+	keys         map[string]api.Revision // by key, its version
 	synchronized int
 }
 
 func (s *recordedSink) ReplaceAll(pairs []api.KeyValue) {
 	s.replaced++
-	s.keys = map[string]uint64{}
+	s.keys = map[string]api.Revision{}
 	for _, pair := range pairs {
 		s.keys[pair.Key] = pair.Version
 	}
 }
 
-func (s *recordedSink) ApplyPut(key string, _ []byte, version uint64) { s.keys[key] = version }
+func (s *recordedSink) ApplyPut(key string, _ []byte, version api.Revision) { s.keys[key] = version }
 
-func (s *recordedSink) ApplyDelete(key string, _ uint64) { delete(s.keys, key) }
+func (s *recordedSink) ApplyDelete(key string, _ api.Revision) { delete(s.keys, key) }
 
-func (s *recordedSink) Synchronized(uint64, int) { s.synchronized++ }
+func (s *recordedSink) Synchronized(api.Revision, int) { s.synchronized++ }
 
 // newSyncedCache returns a watch cache that has listed all keys, up to revision 10.
 func newSyncedCache(env *Environment) (*WatchCache, *recordedSink) {
-	cache, sink := NewWatchCache(env), &recordedSink{keys: map[string]uint64{}}
+	cache, sink := NewWatchCache(env), &recordedSink{keys: map[string]api.Revision{}}
 	cache.Sink, cache.Synced, cache.Revision = sink, true, 10
 	return cache, sink
 }
--- a/internal/coordination/fleet_roles.go
+++ b/internal/coordination/fleet_roles.go
@@ -3,6 +3,7 @@
 import (
 	"github.com/go-json-experiment/json"
 
+	"spurmoor/internal/api"
 	"spurmoor/internal/leadership"
 	"spurmoor/internal/logkey"
 	"spurmoor/internal/records"
@@ -44,9 +45,9 @@
 // cannot be read is an error but counts: it names no leader, yet nobody acquires the
 // role until the key is deleted. Names that this version does not know are a later
 // version's, and ignored.
-func (m *RoleManager) ApplyFleetRole(name string, value []byte, version uint64) error {
+func (m *RoleManager) ApplyFleetRole(name string, value []byte, version api.Revision) error {
 	state := m.fleetRoleNamed(name)
-	if state == nil || state.Term >= version {
+	if state == nil || state.Term >= leadership.Term(version) {
 		return nil
 	}
 	var claim leadership.Claim
@@ -59,8 +60,8 @@
 }
 
 // DeleteFleetRole takes in that the key of a fleet role was deleted at a version.
-func (m *RoleManager) DeleteFleetRole(name string, version uint64) {
-	if state := m.fleetRoleNamed(name); state != nil && state.Term < version {
+func (m *RoleManager) DeleteFleetRole(name string, version api.Revision) {
+	if state := m.fleetRoleNamed(name); state != nil && state.Term < leadership.Term(version) {
 		m.ObserveRole(state, leadership.Claim{}, 0)
 	}
 }
--- a/internal/coordination/listing.go
+++ b/internal/coordination/listing.go
@@ -9,7 +9,7 @@
 // listing is a list of all keys in progress: after the start, or when the store no
 // longer has the changes since our revision.
 type listing struct {
-	revision uint64 // of the first page
+	revision api.Revision // of the first page
 	pairs    []api.KeyValue
 }
 
--- a/internal/coordination/resignation.go
+++ b/internal/coordination/resignation.go
@@ -31,10 +31,10 @@
 	m.transactions.SubmitTransaction(&Transaction{
 		Grant: electionGrant,
 		Request: api.Transaction{
-			Compares: []api.Compare{{Key: key, Version: term}},
+			Compares: []api.Compare{{Key: key, Version: api.Revision(term)}},
 			Writes:   []api.Write{{Delete: key}},
 		},
-		OnCommitted: func(uint64) {},
+		OnCommitted: func(api.Revision) {},
 		OnRefused:   func() {},
 	})
 }
--- a/internal/coordination/role_status.go
+++ b/internal/coordination/role_status.go
@@ -27,7 +27,7 @@
 	status := api.RoleStatus{
 		Role:          state.Role.String(),
 		Leader:        state.Claim.Node,
-		Term:          state.Term,
+		Term:          uint64(state.Term),
 		RefusedOrders: m.refusedOrdersUnder(state.Role.String()),
 	}
 	if state.Term > 0 {
--- a/internal/coordination/roles.go
+++ b/internal/coordination/roles.go
@@ -4,6 +4,7 @@
 	"slices"
 	"strconv"
 
+	"spurmoor/internal/api"
 	"spurmoor/internal/leadership"
 	"spurmoor/internal/logkey"
 	"spurmoor/internal/records"
@@ -86,12 +87,12 @@
 
 // ObserveRole takes in a role's key: its claim and version, or version 0 if there is no
 // key.
-func (m *RoleManager) ObserveRole(state *leadership.RoleState, claim leadership.Claim, version uint64) {
+func (m *RoleManager) ObserveRole(state *leadership.RoleState, claim leadership.Claim, version api.Revision) {
 	leased := m.storeLease.Lease.ID != 0
-	if state.Contradicts(claim, version, m.LeaderClaim(), leased) {
+	if state.Contradicts(claim, leadership.Term(version), m.LeaderClaim(), leased) {
 		m.LoseRole(state, "taken or expired")
 	}
-	if state.Observe(m.Now, claim, version, m.LeaderClaim(), leased) {
+	if state.Observe(m.Now, claim, leadership.Term(version), m.LeaderClaim(), leased) {
 		m.roleAcquired(state)
 	}
 }
--- a/internal/coordination/schema.go
+++ b/internal/coordination/schema.go
@@ -30,8 +30,8 @@
 
 	schemaVersions           map[string]int // by node, the newest that its controller was seen to read
 	NextSchemaAnnouncementAt micros.Micros
-	schemaKeyVersion         uint64 // of the key of our own announcement
-	schemaAgreed             bool   // all controllers read our version, as last logged
+	schemaKeyVersion         api.Revision // of the key of our own announcement
+	schemaAgreed             bool         // all controllers read our version, as last logged
 }
 
 // NewSchemaTracker makes a schema tracker.
@@ -45,7 +45,7 @@
 }
 
 // ObserveSchemaKey notes the version of the key of our own announcement.
-func (s *SchemaTracker) ObserveSchemaKey(version uint64) {
+func (s *SchemaTracker) ObserveSchemaKey(version api.Revision) {
 	s.schemaKeyVersion = max(s.schemaKeyVersion, version)
 }
 
--- a/internal/coordination/transactions.go
+++ b/internal/coordination/transactions.go
@@ -48,7 +48,7 @@
 	Malformed bool                    // the store refused it as malformed, perhaps as too large
 
 	// OnCommitted is called once it is known to be carried out, at a revision.
-	OnCommitted func(revision uint64)
+	OnCommitted func(revision api.Revision)
 	// OnRefused is called once it was refused and the watch cache is newer than the
 	// refusal.
 	OnRefused func()
--- a/internal/coordination/transactions_test.go
+++ b/internal/coordination/transactions_test.go
@@ -13,8 +13,8 @@
 type senderFixture struct {
 	*TransactionSender
 	transaction *Transaction
-	committed   []uint64 // the revisions told to OnCommitted
-	refusals    int      // calls of OnRefused
+	committed   []api.Revision // the revisions told to OnCommitted
+	refusals    int            // calls of OnRefused
 }
 
 // submitOne submits one transaction. Its grant is asked anew for each attempt.
@@ -29,7 +29,7 @@
 			Writes:   []api.Write{{Put: "k", Value: []byte("1")}},
 		},
 		Grant:       grant,
-		OnCommitted: func(revision uint64) { fixture.committed = append(fixture.committed, revision) },
+		OnCommitted: func(revision api.Revision) { fixture.committed = append(fixture.committed, revision) },
 		OnRefused:   func() { fixture.refusals++ },
 	}
 	fixture.SubmitTransaction(fixture.transaction)
@@ -163,7 +163,7 @@
 	transaction *Transaction
 }
 
-func (s *settlingSink) ApplyPut(string, []byte, uint64) { s.transaction.Settled = true }
+func (s *settlingSink) ApplyPut(string, []byte, api.Revision) { s.transaction.Settled = true }
 
 // TestFailedReadIsRepeated guards against a refused transaction that is sent again, or
 // taken for refused, because the read that was to settle it failed.
--- a/internal/coordination/watch_cache.go
+++ b/internal/coordination/watch_cache.go
@@ -27,7 +27,7 @@
 	Sink recordSink // set once the sink, which reads from here, is made
 
 	Synced      bool          // all keys are listed, and the changes since are known
-	Revision    uint64        // up to which changes were applied
+	Revision    api.Revision  // up to which changes were applied
 	CurrentAsOf micros.Micros // all that was committed before then was applied
 
 	pendingReads  []func(ok bool) // wait for a read sent after they asked
@@ -46,11 +46,11 @@
 	// ReplaceAll gives all live keys, in place of what was known before.
 	ReplaceAll(pairs []api.KeyValue)
 	// ApplyPut gives a key's new value, and its version.
-	ApplyPut(key string, value []byte, version uint64)
+	ApplyPut(key string, value []byte, version api.Revision)
 	// ApplyDelete reports that a key was deleted, at a version.
-	ApplyDelete(key string, version uint64)
+	ApplyDelete(key string, version api.Revision)
 	// Synchronized reports that all keys and the changes since were given.
-	Synchronized(revision uint64, keys int)
+	Synchronized(revision api.Revision, keys int)
 }
 
 // ReadLatest calls done after a read of the store that was sent after now. done is
--- a/internal/coordination/watch_cache_test.go
+++ b/internal/coordination/watch_cache_test.go
@@ -9,7 +9,7 @@
 )
 
 // watchReply returns a reply to a watch.
-func watchReply(revision uint64, events ...api.Event) message.StoreReply {
+func watchReply(revision api.Revision, events ...api.Event) message.StoreReply {
 	return message.StoreReply{Status: message.StatusOK, Watch: api.WatchResponse{Revision: revision, Events: events}}
 }
 
@@ -89,7 +89,7 @@
 		reply        message.StoreReply
 		want         bool
 		wantSynced   bool
-		wantRevision uint64
+		wantRevision api.Revision
 		wantKeys     int
 	}{
 		{"a change", watchReply(12, api.Event{Put: "k", Version: 11}), true, true, 12, 1},
--- a/internal/core/command_reply.go
+++ b/internal/core/command_reply.go
@@ -69,7 +69,7 @@
 // however late; no command of the earlier one is carried out any more. When only
 // heartbeats were taken as proof, tasks on a machine that nothing but direct commands
 // reached were taken to run on for as long as that lasted.
-func (h *workerHandler) observeIncarnation(machine *cluster.Machine, incarnation uint64) {
+func (h *workerHandler) observeIncarnation(machine *cluster.Machine, incarnation api.Incarnation) {
 	if incarnation <= machine.Incarnation {
 		return
 	}
--- a/internal/core/commit_test.go
+++ b/internal/core/commit_test.go
@@ -42,7 +42,7 @@
 	commit := fixture.partitionLog.BuildCommit(fixture.partition, 10)
 	slotKey := records.SlotKey(fixture.partition.Index, commit.Entries[0].Slot)
 	for _, compare := range []api.Compare{
-		{Key: fixture.partition.Key(), Version: fixture.partition.Term},
+		{Key: fixture.partition.Key(), Version: api.Revision(fixture.partition.Term)},
 		{Key: slotKey, Version: commit.PreviousSlotVersion},
 	} {
 		if !slices.Contains(commit.Request.Compares, compare) {
--- a/internal/core/components.go
+++ b/internal/core/components.go
@@ -5,6 +5,7 @@
 
 	"spurmoor/internal/cluster"
 	"spurmoor/internal/coordination"
+	"spurmoor/internal/leadership"
 	"spurmoor/internal/micros"
 	"spurmoor/internal/planning"
 	"spurmoor/internal/provisioning"
@@ -74,7 +75,7 @@
 
 // New makes a controller. incarnation tells this process from earlier ones of the same
 // name; random serves jitter alone.
-func New(set *settings.Settings, incarnation uint64, random *rand.Rand) *Controller {
+func New(set *settings.Settings, incarnation leadership.Incarnation, random *rand.Rand) *Controller {
 	env := coordination.NewEnvironment(set, incarnation, random)
 	controller := &Controller{Environment: env}
 	controller.makeCoordination(env)
--- a/internal/core/explanation_test.go
+++ b/internal/core/explanation_test.go
@@ -17,7 +17,7 @@
 	fixture.cluster.SetTask(fixture.job, 0, cluster.TaskRecord{})
 	for i := range 3 {
 		name := fmt.Sprintf("n-%d", 2+i)
-		attempt := uint64(i + 1)
+		attempt := api.Attempt(i + 1)
 		fixture.recordMachine(name)
 		fixture.cluster.SetTask(fixture.job, 0, cluster.TaskRecord{State: cluster.TaskPlaced, Attempt: attempt, Machine: name})
 		exited := api.TaskStatus{Task: testTask, Attempt: attempt, State: api.TaskExited, ExitReason: api.ExitFailed}
--- a/internal/core/fixtures_test.go
+++ b/internal/core/fixtures_test.go
@@ -74,7 +74,7 @@
 }
 
 // watchReply has the watch cache take in the reply to a watch that was sent at time 0.
-func (f *syncedFixture) watchReply(revision uint64, events ...api.Event) {
+func (f *syncedFixture) watchReply(revision api.Revision, events ...api.Event) {
 	reply := &message.StoreReply{Status: message.StatusOK, Watch: api.WatchResponse{Revision: revision, Events: events}}
 	f.cache.ApplyWatchReply(reply, 0)
 }
@@ -117,9 +117,9 @@
 }
 
 // lead has the store tell that the controller leads the partition since a revision.
-func (f *leaderFixture) lead(term uint64) {
+func (f *leaderFixture) lead(term leadership.Term) {
 	claim := leadership.Claim{Node: f.Settings.Node, Incarnation: f.Incarnation}
-	f.applier.ApplyPut(f.partition.Key(), records.MustMarshal(claim), term)
+	f.applier.ApplyPut(f.partition.Key(), records.MustMarshal(claim), api.Revision(term))
 }
 
 // recordMachine has the partition's log tell of a machine.
@@ -135,7 +135,7 @@
 }
 
 // sendHeartbeat has the machine send a heartbeat, and gives the answer.
-func (f *leaderFixture) sendHeartbeat(sequence, token uint64, tasks ...api.TaskStatus) message.Answer {
+func (f *leaderFixture) sendHeartbeat(sequence uint64, token api.FencingToken, tasks ...api.TaskStatus) message.Answer {
 	heartbeat := &api.Heartbeat{
 		Machine: testMachine, Address: "10.1.0.1:9000", Type: "g4", Zone: "alta",
 		Incarnation: 1, Sequence: sequence, FencingToken: token, Tasks: tasks,
--- a/internal/core/heartbeat_reconciliation.go
+++ b/internal/core/heartbeat_reconciliation.go
@@ -72,17 +72,17 @@
 }
 
 // addStart has a task started.
-func (r *heartbeatReconciliation) addStart(id cluster.TaskID, attempt uint64) {
+func (r *heartbeatReconciliation) addStart(id cluster.TaskID, attempt api.Attempt) {
 	r.addCommand(api.Command{Op: api.CommandStart, Task: id.String(), Attempt: attempt})
 }
 
 // addStop has a task stopped; graceS is how many seconds it has to save a checkpoint.
-func (r *heartbeatReconciliation) addStop(id cluster.TaskID, attempt uint64, graceS float64) {
+func (r *heartbeatReconciliation) addStop(id cluster.TaskID, attempt api.Attempt, graceS float64) {
 	r.addCommand(api.Command{Op: api.CommandStop, Task: id.String(), Attempt: attempt, GraceS: &graceS})
 }
 
 // addForget has an exited task forgotten.
-func (r *heartbeatReconciliation) addForget(id cluster.TaskID, attempt uint64) {
+func (r *heartbeatReconciliation) addForget(id cluster.TaskID, attempt api.Attempt) {
 	r.addCommand(api.Command{Op: api.CommandForget, Task: id.String(), Attempt: attempt})
 }
 
@@ -188,7 +188,7 @@
 }
 
 // isRecordedHere tells whether an attempt of a task is recorded on the machine.
-func (r *heartbeatReconciliation) isRecordedHere(task *cluster.Task, attempt uint64) bool {
+func (r *heartbeatReconciliation) isRecordedHere(task *cluster.Task, attempt api.Attempt) bool {
 	return task != nil && task.State == cluster.TaskPlaced && task.Machine == r.machine.Name && task.Attempt == attempt
 }
 
--- a/internal/core/job_writer.go
+++ b/internal/core/job_writer.go
@@ -57,7 +57,7 @@
 
 // applyOwnWrite takes in what we wrote, unless the replica is past it already: the key
 // may have been deleted since.
-func (w *jobWriter) applyOwnWrite(key string, value []byte, revision uint64) {
+func (w *jobWriter) applyOwnWrite(key string, value []byte, revision api.Revision) {
 	if revision > w.cache.Revision {
 		w.applier.ApplyPut(key, value, revision)
 	}
--- a/internal/core/log_applier.go
+++ b/internal/core/log_applier.go
@@ -4,13 +4,14 @@
 	"strconv"
 	"strings"
 
+	"spurmoor/internal/api"
 	"spurmoor/internal/cluster"
 	"spurmoor/internal/records"
 )
 
 // putLogSlot takes in a slot of a partition's log. A slot that cannot be read is taken for
 // an empty one, so that it is the next to be written.
-func (a *recordApplier) putLogSlot(name string, value []byte, version uint64) error {
+func (a *recordApplier) putLogSlot(name string, value []byte, version api.Revision) error {
 	partition, slot := a.parseSlot(name)
 	if partition == nil {
 		return nil
@@ -42,7 +43,7 @@
 
 // observeOwnSlot takes in that a slot of a log that we write changed: the answer to the
 // commit that did so may be late or lost.
-func (a *recordApplier) observeOwnSlot(partition *cluster.Partition, slot int, version uint64) {
+func (a *recordApplier) observeOwnSlot(partition *cluster.Partition, slot int, version api.Revision) {
 	commit := partition.CommitInFlight
 	if commit != nil && slot == commit.Entries[0].Slot && version > commit.PreviousSlotVersion {
 		a.partitionLog.CommitSucceeded(partition, version)
--- a/internal/core/provisioning_test.go
+++ b/internal/core/provisioning_test.go
@@ -25,7 +25,7 @@
 		t.Fatalf("recorded: %t, sent before that: %d", record != nil, len(sent))
 	}
 	for _, compare := range []api.Compare{
-		{Key: fixture.partition.Key(), Version: fixture.partition.Term},
+		{Key: fixture.partition.Key(), Version: api.Revision(fixture.partition.Term)},
 		{Key: records.RequestsPrefix + "0"},
 	} {
 		if !slices.Contains(record.Transaction.Body().Compares, compare) {
--- a/internal/core/record_applier.go
+++ b/internal/core/record_applier.go
@@ -63,8 +63,8 @@
 // in. The functions get the rest of the key, which may not be a valid name of its kind.
 type keyKind struct {
 	prefix      string
-	applyPut    func(name string, value []byte, version uint64) error
-	applyDelete func(name string, version uint64) // nil: its keys are never deleted, or that tells nothing
+	applyPut    func(name string, value []byte, version api.Revision) error
+	applyDelete func(name string, version api.Revision) // nil: its keys are never deleted, or that tells nothing
 }
 
 // keyKinds lists the kinds in the order in which all keys are taken in when everything is
@@ -114,7 +114,7 @@
 }
 
 // Synchronized logs that the replica is complete.
-func (a *recordApplier) Synchronized(revision uint64, keys int) {
+func (a *recordApplier) Synchronized(revision api.Revision, keys int) {
 	a.LogInfo("watch cache synchronized",
 		logkey.Revision, revision,
 		logkey.Keys, keys,
@@ -124,7 +124,7 @@
 
 // ApplyPut takes in a key's value unless a newer one is known. A value that cannot be read
 // is logged and left out, and a key of no known kind is left alone: a later version wrote it.
-func (a *recordApplier) ApplyPut(key string, value []byte, version uint64) {
+func (a *recordApplier) ApplyPut(key string, value []byte, version api.Revision) {
 	for _, kind := range a.kinds {
 		name, ok := strings.CutPrefix(key, kind.prefix)
 		if !ok {
@@ -138,7 +138,7 @@
 }
 
 // ApplyDelete takes in that a key was deleted.
-func (a *recordApplier) ApplyDelete(key string, version uint64) {
+func (a *recordApplier) ApplyDelete(key string, version api.Revision) {
 	for _, kind := range a.kinds {
 		name, ok := strings.CutPrefix(key, kind.prefix)
 		if !ok {
@@ -160,7 +160,7 @@
 
 // putAdoption takes in the key that every adoption of orphaned instances changes. Its
 // value tells nothing.
-func (a *recordApplier) putAdoption(name string, _ []byte, version uint64) error {
+func (a *recordApplier) putAdoption(name string, _ []byte, version api.Revision) error {
 	if name == "" {
 		a.cluster.ObserveAdoption(version)
 	}
@@ -169,7 +169,7 @@
 
 // putCatalogPage takes in a page of the catalog. The first page has the kind's bare
 // prefix as its key, the others follow it after a slash.
-func (a *recordApplier) putCatalogPage(name string, value []byte, version uint64) error {
+func (a *recordApplier) putCatalogPage(name string, value []byte, version api.Revision) error {
 	page, isFurther := strings.CutPrefix(name, "/")
 	if name != "" && !isFurther {
 		return nil // not a page
@@ -183,7 +183,7 @@
 }
 
 // putSchema takes in which schema a controller announces to read.
-func (a *recordApplier) putSchema(node string, value []byte, version uint64) error {
+func (a *recordApplier) putSchema(node string, value []byte, version api.Revision) error {
 	if node == a.Settings.Node {
 		a.schema.ObserveSchemaKey(version)
 	}
@@ -197,9 +197,9 @@
 
 // putPartition takes in who leads a partition. A claim that cannot be read names no
 // leader, but the partition counts as led until the lease must have expired.
-func (a *recordApplier) putPartition(name string, value []byte, version uint64) error {
+func (a *recordApplier) putPartition(name string, value []byte, version api.Revision) error {
 	partition := a.partitionNamed(name)
-	if partition == nil || partition.Term >= version {
+	if partition == nil || partition.Term >= leadership.Term(version) {
 		return nil // not one of ours, or older than what is known
 	}
 	claim, err := decodeRecord[leadership.Claim](value)
@@ -208,9 +208,9 @@
 }
 
 // deletePartition takes in that a partition's leader gave it up or lost its lease.
-func (a *recordApplier) deletePartition(name string, version uint64) {
+func (a *recordApplier) deletePartition(name string, version api.Revision) {
 	partition := a.partitionNamed(name)
-	if partition != nil && partition.Term < version {
+	if partition != nil && partition.Term < leadership.Term(version) {
 		a.roles.ObserveRole(partition.RoleState, leadership.Claim{}, 0)
 	}
 }
@@ -225,7 +225,7 @@
 }
 
 // putJob takes in the record of an unfinished job: that it was accepted, or cancelled.
-func (a *recordApplier) putJob(id string, value []byte, version uint64) error {
+func (a *recordApplier) putJob(id string, value []byte, version api.Revision) error {
 	job := a.cluster.Jobs[id]
 	if job != nil && job.Version >= version {
 		return nil
@@ -268,7 +268,7 @@
 }
 
 // deleteJob takes in that a job ended: its terminal record took the place of its key.
-func (a *recordApplier) deleteJob(id string, version uint64) {
+func (a *recordApplier) deleteJob(id string, version api.Revision) {
 	job := a.cluster.Jobs[id]
 	if job == nil || job.Version >= version {
 		return
--- a/internal/leadership/grant.go
+++ b/internal/leadership/grant.go
@@ -78,7 +78,7 @@
 // sets ended; whoever sends orders reads it, in other goroutines.
 type leaderTerm struct {
 	role  Role
-	term  uint64
+	term  Term
 	ended atomic.Bool
 }
 
@@ -106,7 +106,7 @@
 }
 
 // Term returns the term under which the role is led; 0 for a shared grant.
-func (g Grant) Term() uint64 {
+func (g Grant) Term() Term {
 	if g.leaderTerm == nil {
 		return 0
 	}
--- a/internal/message/effects.go
+++ b/internal/message/effects.go
@@ -24,11 +24,11 @@
 type StoreCall struct {
 	Call        uint64
 	Op          StoreOp
-	Key         string // of OpGet; of OpList, the last key of the page before
-	Since       uint64 // of OpWatch: the revision after which changes are wanted
-	WaitMs      int    // of OpWatch: how long to wait for a change, in milliseconds
-	Lease       uint64 // of OpRenewLease
-	TTLMs       int64  // of OpGrantLease, in milliseconds
+	Key         string       // of OpGet; of OpList, the last key of the page before
+	Since       api.Revision // of OpWatch: the revision after which changes are wanted
+	WaitMs      int          // of OpWatch: how long to wait for a change, in milliseconds
+	Lease       uint64       // of OpRenewLease
+	TTLMs       int64        // of OpGrantLease, in milliseconds
 	Transaction leadership.Order[*api.Transaction]
 	Urgent      bool // not held back by the budget of requests, as lease renewals
 }
@@ -98,7 +98,7 @@
 
 // ProbeCommand asks a worker for a sign of life: it carries no command and no fencing
 // token, so the worker changes nothing.
-func ProbeCommand(machine, addr string, incarnation uint64) SendCommands {
+func ProbeCommand(machine, addr string, incarnation api.Incarnation) SendCommands {
 	grant := leadership.SharedGrant(leadership.ForProbe, leadership.Command)
 	body := api.CommandRequest{Incarnation: incarnation, Commands: []api.Command{}}
 	return SendCommands{Machine: machine, Addr: addr, Body: leadership.NewOrder(grant, body)}
--- a/internal/message/inputs.go
+++ b/internal/message/inputs.go
@@ -52,9 +52,9 @@
 // CommandReply is the reply to SendCommands.
 type CommandReply struct {
 	Machine      string
-	FencingToken uint64 // of the commands
-	StartsTasks  bool   // the commands start tasks
-	Unsent       bool   // too many were in flight: nothing left this process
+	FencingToken api.FencingToken // of the commands
+	StartsTasks  bool             // the commands start tasks
+	Unsent       bool             // too many were in flight: nothing left this process
 	Status       int
 	Heartbeat    *api.Heartbeat
 }
--- a/internal/planning/plan_execution.go
+++ b/internal/planning/plan_execution.go
@@ -21,7 +21,7 @@
 type taskQueue struct {
 	job         *cluster.Job
 	pending     []int
-	gangAttempt uint64 // of all tasks of a gang; 0: not a gang
+	gangAttempt api.Attempt // of all tasks of a gang; 0: not a gang
 }
 
 // newTaskQueue starts placing tasks of a job. All tasks of a gang get the same attempt: a
@@ -39,7 +39,7 @@
 }
 
 // next gives the next task to place and its attempt.
-func (q *taskQueue) next() (index int, attempt uint64) {
+func (q *taskQueue) next() (index int, attempt api.Attempt) {
 	index = q.pending[0]
 	q.pending = q.pending[1:]
 	if q.job.Spec.Kind == api.Gang {
@@ -67,7 +67,7 @@
 }
 
 // bindTask places a task on a machine, which ends the job's claim on it.
-func (c *SchedulingCycle) bindTask(job *cluster.Job, index int, attempt uint64, machineName string) {
+func (c *SchedulingCycle) bindTask(job *cluster.Job, index int, attempt api.Attempt, machineName string) {
 	c.cluster.ChangeTask(job, index, cluster.TaskRecord{State: cluster.TaskPlaced, Attempt: attempt, Machine: machineName})
 	c.LogDebug("task placed",
 		logkey.Job, job.ID,
--- a/internal/provisioning/catalog.go
+++ b/internal/provisioning/catalog.go
@@ -40,7 +40,7 @@
 	catalogReadInFlight bool
 
 	// The copy in the store, as the watch cache shows it.
-	catalogVersion     uint64                       // of its first page's key
+	catalogVersion     api.Revision                 // of its first page's key
 	storedCatalogShape string                       // see catalogShape
 	catalogPages       map[string]storedCatalogPage // by what follows records.CatalogKey
 }
@@ -48,7 +48,7 @@
 // storedCatalogPage is a page of the catalog as the store has it.
 type storedCatalogPage struct {
 	records.CatalogRecord
-	version uint64
+	version api.Revision
 }
 
 // NewMachineCatalog returns a catalog that knows no types yet.
@@ -119,7 +119,7 @@
 
 // ObserveCatalogPage records a page of the copy in the store, whose key has a version. The
 // copy is known once all its pages are.
-func (c *MachineCatalog) ObserveCatalogPage(name string, record records.CatalogRecord, version uint64) {
+func (c *MachineCatalog) ObserveCatalogPage(name string, record records.CatalogRecord, version api.Revision) {
 	c.catalogPages[name] = storedCatalogPage{CatalogRecord: record, version: version}
 	first := c.catalogPages[""]
 	types := slices.Clone(first.Types)
@@ -186,7 +186,7 @@
 	transaction := &api.Transaction{Compares: []api.Compare{{Key: records.CatalogKey, Version: c.catalogVersion}}}
 	if grant.Term() > 0 {
 		key := coordination.RoleKey(leadership.Role{Kind: leadership.CatalogKeeper})
-		transaction.Compares = append(transaction.Compares, api.Compare{Key: key, Version: grant.Term()})
+		transaction.Compares = append(transaction.Compares, api.Compare{Key: key, Version: api.Revision(grant.Term())})
 	}
 	for n, page := range pages {
 		key := records.CatalogKey
--- a/internal/provisioning/provisioner.go
+++ b/internal/provisioning/provisioner.go
@@ -159,7 +159,7 @@
 func (p *Provisioner) nextRequestName(partition *cluster.Partition) string {
 	p.lastRequestNumber++
 	return "p" + strconv.Itoa(partition.Index) +
-		"-" + strconv.FormatUint(partition.Term, 10) +
+		"-" + strconv.FormatUint(uint64(partition.Term), 10) +
 		"-" + strconv.Itoa(p.lastRequestNumber)
 }
 
--- a/internal/provisioning/request_ledger.go
+++ b/internal/provisioning/request_ledger.go
@@ -27,7 +27,7 @@
 	writeInFlight  *coordination.Transaction // of the record; nil: none
 	outdated       bool                      // the record names settled requests
 	recordedAt     micros.Micros             // when the record was last written
-	version        uint64                    // of the record
+	version        api.Revision              // of the record
 	storedRequests []RequestRecord           // what the record holds, as another controller wrote it
 }
 
--- a/internal/provisioning/request_records.go
+++ b/internal/provisioning/request_records.go
@@ -83,13 +83,13 @@
 	return &coordination.Transaction{
 		Request: api.Transaction{
 			Compares: []api.Compare{
-				{Key: partition.Key(), Version: partition.Term},
+				{Key: partition.Key(), Version: api.Revision(partition.Term)},
 				{Key: key, Version: ledger.version},
 			},
 			Writes: []api.Write{{Put: key, Value: records.MustMarshal(recordOf(open))}},
 		},
 		Grant: func() leadership.Grant { return p.storeLease.Grant(partition.RoleState, leadership.Write) },
-		OnCommitted: func(revision uint64) {
+		OnCommitted: func(revision api.Revision) {
 			ledger.writeInFlight = nil
 			ledger.version = max(ledger.version, revision)
 			for _, request := range open {
@@ -123,7 +123,7 @@
 // ApplyRequests takes in a partition's record of open requests unless a newer one is known;
 // name is what follows the prefix in its key. A record that cannot be read counts as
 // empty, and its error is returned.
-func (p *Provisioner) ApplyRequests(name string, value []byte, version uint64) error {
+func (p *Provisioner) ApplyRequests(name string, value []byte, version api.Revision) error {
 	ledger := p.ledgerNamed(name)
 	if ledger == nil || ledger.version >= version {
 		return nil
--- a/internal/records/encoding.go
+++ b/internal/records/encoding.go
@@ -24,7 +24,7 @@
 // task by task.
 func (r TaskRun) EncodedSize() int {
 	size := len(`{"j":""},`) + len(r.Job)
-	for _, number := range []uint64{uint64(r.First), uint64(r.Tasks), uint64(r.State), r.Attempt} {
+	for _, number := range []uint64{uint64(r.First), uint64(r.Tasks), uint64(r.State), uint64(r.Attempt)} {
 		if number > 0 {
 			size += len(`,"f":`) + len(strconv.FormatUint(number, 10))
 		}
--- a/internal/records/records.go
+++ b/internal/records/records.go
@@ -64,7 +64,7 @@
 	Epoch   uint64 `json:"e"`
 	// MinToken is the lowest fencing token that the machine's worker may obey; 0: the
 	// revision of the write that holds this record.
-	MinToken uint64 `json:"k,omitzero"`
+	MinToken api.FencingToken `json:"k,omitzero"`
 }
 
 // TaskRun is a run of neighbouring tasks of one job that share their state, attempt and
@@ -73,10 +73,10 @@
 	Job   string `json:"j"`
 	First int    `json:"f,omitzero"`
 	// Tasks is how many tasks the run has; 0 stands for 1. See TaskCount.
-	Tasks   int       `json:"n,omitzero"`
-	State   TaskState `json:"s,omitzero"`
-	Attempt uint64    `json:"a,omitzero"`
-	Machine string    `json:"m,omitzero"`
+	Tasks   int         `json:"n,omitzero"`
+	State   TaskState   `json:"s,omitzero"`
+	Attempt api.Attempt `json:"a,omitzero"`
+	Machine string      `json:"m,omitzero"`
 }
 
 // TaskCount returns how many tasks a run has.
--- a/internal/server/order_gate.go
+++ b/internal/server/order_gate.go
@@ -39,7 +39,7 @@
 		At:        now,
 		GrantedAt: grant.GrantedAt(),
 		Role:      grant.RoleName(),
-		Term:      grant.Term(),
+		Term:      uint64(grant.Term()),
 		Action:    action.String(),
 		ExpiresAt: grant.ExpiresAt(),
 		Refused:   string(reason),
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -15,6 +15,7 @@
 	"spurmoor/internal/cloud"
 	"spurmoor/internal/core"
 	"spurmoor/internal/history"
+	"spurmoor/internal/leadership"
 	"spurmoor/internal/micros"
 	"spurmoor/internal/settings"
 	"spurmoor/internal/store"
@@ -88,14 +89,14 @@
 
 // newIncarnation draws the number that tells this run of the controller from all others,
 // and seeds the state machine's random generator.
-func newIncarnation() (uint64, *rand.Rand, error) {
+func newIncarnation() (leadership.Incarnation, *rand.Rand, error) {
 	var seed [seedBytes]byte
 	if _, err := crand.Read(seed[:]); err != nil {
 		return 0, nil, fmt.Errorf("random seed: %w", err)
 	}
 	incarnation := binary.LittleEndian.Uint64(seed[:seedHalfBytes]) >> incarnationShift
 	source := rand.NewPCG(incarnation, binary.LittleEndian.Uint64(seed[seedHalfBytes:]))
-	return incarnation, rand.New(source), nil
+	return leadership.Incarnation(incarnation), rand.New(source), nil
 }
 
 const (
--- a/internal/simulation/heartbeat.go
+++ b/internal/simulation/heartbeat.go
@@ -54,7 +54,7 @@
 	node        *node
 	number      int64
 	sentAt      micros.Micros
-	incarnation uint64
+	incarnation api.Incarnation
 }
 
 // sendHeartbeat sends a heartbeat to the worker's node.
--- a/internal/simulation/loopback_services_test.go
+++ b/internal/simulation/loopback_services_test.go
@@ -66,7 +66,7 @@
 		return message.StoreCall{Op: message.OpRenewLease, Lease: lease}, nil
 	case path == "/follow":
 		since, wait := queryNumber(query, "Since"), queryNumber(query, "BlockMs")
-		return message.StoreCall{Op: message.OpWatch, Since: uint64(since), WaitMs: wait}, nil
+		return message.StoreCall{Op: message.OpWatch, Since: api.Revision(since), WaitMs: wait}, nil
 	}
 	return message.StoreCall{}, nil
 }
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -6,6 +6,7 @@
 	"strings"
 
 	"spurmoor/internal/core"
+	"spurmoor/internal/leadership"
 	"spurmoor/internal/message"
 	"spurmoor/internal/micros"
 	"spurmoor/internal/records"
@@ -89,7 +90,7 @@
 	node.maxCommandsInFlight = set.Sockets.DirectCommands
 	incarnation := s.rng.Uint64() >> incarnationShift
 	random := rand.New(rand.NewPCG(s.scenario.Seed, uint64(coreStream+node.index)))
-	node.core = core.New(set, incarnation, random)
+	node.core = core.New(set, leadership.Incarnation(incarnation), random)
 	return nil
 }
 
--- a/internal/simulation/orders.go
+++ b/internal/simulation/orders.go
@@ -26,7 +26,7 @@
 	at         micros.Micros
 	sender     string
 	role       string
-	term       uint64 // zero: under no term
+	term       leadership.Term // zero: under no term
 	action     leadership.Action
 	machine    string // that it commands
 	request    string // name of a launch request
--- a/internal/simulation/paused_leader_test.go
+++ b/internal/simulation/paused_leader_test.go
@@ -184,7 +184,7 @@
 			}))
 		case leadership.Command:
 			l.waitUntil("the worker at "+held.worker+" has a higher fencing token", func() bool {
-				return l.fencingTokenAt(held.worker) > held.term
+				return l.fencingTokenAt(held.worker) > api.FencingToken(held.term)
 			})
 		case leadership.Delete:
 			l.waitUntil("the next leader had the machine deleted", byNextLeader(func(order *relayedOrder) bool {
@@ -196,8 +196,8 @@
 }
 
 // fencingTokenAt returns the highest fencing token that the worker at an address has seen.
-func (l *loopback) fencingTokenAt(addr string) uint64 {
-	token := uint64(0)
+func (l *loopback) fencingTokenAt(addr string) api.FencingToken {
+	token := api.FencingToken(0)
 	l.locked(func() {
 		for _, worker := range l.sim.workers {
 			for _, workerAddr := range l.workerAddrs[worker.addr] {
--- a/internal/simulation/pauses_test.go
+++ b/internal/simulation/pauses_test.go
@@ -70,7 +70,7 @@
 func (c *staleOrderCount) add(sim *Simulation, pausedAt micros.Micros, failoverTimes *history.Distribution) {
 	c.Freezes++
 	c.StoppedAtTheGate += sim.occurrences[occurredGateRefusal]
-	var termBefore uint64
+	var termBefore leadership.Term
 	replacedAt := micros.Micros(0)
 	for _, order := range sim.orders {
 		if order.role != leadership.PartitionRole(0).String() {
--- a/internal/simulation/production_records_test.go
+++ b/internal/simulation/production_records_test.go
@@ -57,12 +57,12 @@
 	productionLogEntry struct {
 		Seq  uint64 `json:"q"`
 		Runs []struct {
-			Job     string `json:"j"`
-			From    int    `json:"f,omitzero"`
-			N       int    `json:"n,omitzero"`
-			State   uint8  `json:"s,omitzero"`
-			Attempt uint64 `json:"a,omitzero"`
-			Machine string `json:"m,omitzero"`
+			Job     string      `json:"j"`
+			From    int         `json:"f,omitzero"`
+			N       int         `json:"n,omitzero"`
+			State   uint8       `json:"s,omitzero"`
+			Attempt api.Attempt `json:"a,omitzero"`
+			Machine string      `json:"m,omitzero"`
 		} `json:"r,omitzero"`
 		Machines []struct {
 			Name  string        `json:"n"`
--- a/internal/simulation/relay_test.go
+++ b/internal/simulation/relay_test.go
@@ -34,9 +34,9 @@
 	sender      int
 	action      leadership.Action
 	role        string
-	term        uint64 // of a command: its fencing token
-	request     string // name of a launch request
-	worker      string // address of the worker that is commanded
+	term        leadership.Term // of a command: its fencing token
+	request     string          // name of a launch request
+	worker      string          // address of the worker that is commanded
 	arrivedAt   time.Time
 	deliveredAt time.Time // zero: not yet
 	held        bool
@@ -178,7 +178,7 @@
 		if json.Unmarshal(body, &commands) != nil || commands.FencingToken == 0 {
 			return nil
 		}
-		return &relayedOrder{action: leadership.Command, term: commands.FencingToken, worker: request.Host}
+		return &relayedOrder{action: leadership.Command, term: leadership.Term(commands.FencingToken), worker: request.Host}
 	case "/machines":
 		if request.Method == http.MethodPost {
 			return parseLaunch(body)
@@ -196,7 +196,7 @@
 	partition, rest, _ := strings.Cut(strings.TrimPrefix(launch.Name, "p"), "-")
 	digits, _, _ := strings.Cut(rest, "-")
 	term, _ := strconv.ParseUint(digits, 10, 64) // zero if its name tells none
-	return &relayedOrder{action: leadership.Launch, role: partitionRole(partition), term: term, request: launch.Name}
+	return &relayedOrder{action: leadership.Launch, role: partitionRole(partition), term: leadership.Term(term), request: launch.Name}
 }
 
 // parseWrite reads under which role a transaction is, which it compares; nil: under none.
@@ -212,7 +212,7 @@
 	}
 	for _, compare := range transaction.Compares {
 		if partition, ok := strings.CutPrefix(compare.Key, records.PartitionPrefix); ok {
-			return &relayedOrder{action: leadership.Write, role: partitionRole(partition), term: compare.Version}
+			return &relayedOrder{action: leadership.Write, role: partitionRole(partition), term: leadership.Term(compare.Version)}
 		}
 	}
 	return nil
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -5,6 +5,7 @@
 	"math/rand/v2"
 
 	"spurmoor/internal/api"
+	"spurmoor/internal/leadership"
 	"spurmoor/internal/message"
 	"spurmoor/internal/micros"
 )
@@ -54,9 +55,9 @@
 	jobs           map[string]Job           // by id, once submitted
 	checkpoints    map[string]micros.Micros // progress saved, by checkpoint key
 	completedTasks map[string]bool
-	orders         []receivedOrder   // as they arrived at the stand-ins
-	highestTerms   map[string]uint64 // highest term under which an order took effect, by role and machine
-	leaderRecords  map[string]string // the last leader record of each partition, by key
+	orders         []receivedOrder            // as they arrived at the stand-ins
+	highestTerms   map[string]leadership.Term // highest term under which an order took effect, by role and machine
+	leaderRecords  map[string]string          // the last leader record of each partition, by key
 
 	faults       faultState
 	faultsOverAt micros.Micros // when the last injected fault ends
@@ -88,7 +89,7 @@
 		jobs:           map[string]Job{},
 		checkpoints:    map[string]micros.Micros{},
 		completedTasks: map[string]bool{},
-		highestTerms:   map[string]uint64{},
+		highestTerms:   map[string]leadership.Term{},
 		leaderRecords:  map[string]string{},
 		occurrences:    map[string]int{},
 	}
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -29,9 +29,9 @@
 type keyValueStore struct {
 	sim         *Simulation
 	keys        map[string]*storedValue
-	revision    uint64
+	revision    api.Revision
 	history     []api.Event
-	compactedTo uint64 // events up to this revision are no longer kept
+	compactedTo api.Revision // events up to this revision are no longer kept
 	leases      map[uint64]*storeLease
 	lastLease   uint64
 	watches     []*storeWatch
@@ -43,7 +43,7 @@
 // storedValue is the value of a key, with the revision that wrote it.
 type storedValue struct {
 	data    []byte
-	version uint64
+	version api.Revision
 	lease   uint64 // zero: none
 }
 
@@ -56,7 +56,7 @@
 // storeWatch is a watch that waits for events.
 type storeWatch struct {
 	node  *node
-	since uint64
+	since api.Revision
 	done  bool
 	reply func(*message.StoreReply)
 }
@@ -236,7 +236,7 @@
 			len(transaction.Writes), len(transaction.Compares))
 	}
 	for _, compare := range transaction.Compares {
-		version := uint64(0)
+		version := api.Revision(0)
 		if value := s.keys[compare.Key]; value != nil {
 			version = value.version
 		}
--- a/internal/simulation/store_watch.go
+++ b/internal/simulation/store_watch.go
@@ -11,7 +11,7 @@
 )
 
 // eventsSince returns the events of live keys after a revision.
-func (s *keyValueStore) eventsSince(revision uint64) api.WatchResponse {
+func (s *keyValueStore) eventsSince(revision api.Revision) api.WatchResponse {
 	response := api.WatchResponse{Revision: s.revision}
 	for _, event := range s.history {
 		if event.Version > revision && strings.HasPrefix(event.Put+event.Delete, records.LivePrefix) {
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -33,9 +33,9 @@
 	up              bool
 	gone            bool          // terminated
 	interruptionAt  micros.Micros // when the cloud takes the spot machine back; zero: no notice
-	incarnation     uint64
-	fencingToken    uint64 // the highest it has seen
-	sequence        uint64 // of its last heartbeat
+	incarnation     api.Incarnation
+	fencingToken    api.FencingToken // the highest it has seen
+	sequence        uint64           // of its last heartbeat
 	tasks           []*workerTask
 	cachedImages    map[string]bool
 	leaseStart      micros.Micros // when the last answered heartbeat was sent
@@ -166,7 +166,7 @@
 }
 
 // raiseToken takes over a higher fencing token.
-func (w *worker) raiseToken(token uint64) {
+func (w *worker) raiseToken(token api.FencingToken) {
 	if token > w.fencingToken {
 		w.fencingToken = token
 		w.hastenHeartbeat()
@@ -190,7 +190,7 @@
 }
 
 // findTask returns the attempt of a task; nil: not here.
-func (w *worker) findTask(id string, attempt uint64) *workerTask {
+func (w *worker) findTask(id string, attempt api.Attempt) *workerTask {
 	for _, task := range w.tasks {
 		if task.id == id && task.attempt == attempt {
 			return task
--- a/internal/simulation/worker_task.go
+++ b/internal/simulation/worker_task.go
@@ -28,7 +28,7 @@
 	worker           *worker
 	id               string
 	job              string
-	attempt          uint64
+	attempt          api.Attempt
 	state            api.TaskState
 	exitReason       api.ExitReason
 	checkpointStored bool
--- a/internal/store/request.go
+++ b/internal/store/request.go
@@ -64,7 +64,7 @@
 func watchQuery(call message.StoreCall) url.Values {
 	return url.Values{
 		"Under":   {records.LivePrefix},
-		"Since":   {strconv.FormatUint(call.Since, decimal)},
+		"Since":   {strconv.FormatUint(uint64(call.Since), decimal)},
 		"BlockMs": {strconv.Itoa(call.WaitMs)},
 	}
 }
