--- a/cmd/spurmoor/roles.go
+++ b/cmd/spurmoor/roles.go
@@ -3,8 +3,6 @@
 import (
 	"fmt"
 	"io"
-	"maps"
-	"slices"
 	"strings"
 	"text/tabwriter"
 
@@ -13,6 +11,7 @@
 	"github.com/valyala/fasthttp"
 
 	"spurmoor/internal/api"
+	"spurmoor/internal/history"
 )
 
 // rolesCommand gives the command that shows the roles' leaders.
@@ -70,10 +69,13 @@
 	}
 	_, err := fmt.Fprintf(out, "answered by %s; the fleet's duties have one holder each: %t; "+
 		"rentals are recorded first: %t; refused under no duty: %s\n",
-		roles.Node, roles.Exclusive, roles.RecordsRequests, refusedCounts(roles.RefusedOrders))
+		roles.Node, roles.Exclusive, roles.RecordsRequests, history.FormatCounts(roles.RefusedOrders, noRefusedOrders))
 	return failed(err)
 }
 
+// noRefusedOrders stands where no order was refused.
+const noRefusedOrders = "none"
+
 // unknown stands for what the controller that answers does not know.
 const unknown = "-"
 
@@ -89,17 +91,6 @@
 	if role.RemainingS != nil {
 		remaining = fmt.Sprintf("%.1fs", *role.RemainingS)
 	}
-	return strings.Join([]string{role.Role, leader, term, since, remaining, refusedCounts(role.RefusedOrders)}, "\t")
-}
-
-// refusedCounts gives counts of refused orders by action and reason, in order.
-func refusedCounts(refused map[string]int) string {
-	if len(refused) == 0 {
-		return "none"
-	}
-	var counts []string
-	for _, reason := range slices.Sorted(maps.Keys(refused)) {
-		counts = append(counts, fmt.Sprintf("%s: %d", reason, refused[reason]))
-	}
-	return strings.Join(counts, "; ")
+	refused := history.FormatCounts(role.RefusedOrders, noRefusedOrders)
+	return strings.Join([]string{role.Role, leader, term, since, remaining, refused}, "\t")
 }
--- a/internal/cluster/commit_outcome.go
+++ b/internal/cluster/commit_outcome.go
@@ -77,7 +77,7 @@
 		task.changed = false
 		job.ChangedTasks--
 	}
-	if task.State == TaskPlaced && !task.changed && !task.Observed && task.DirectStartToken == 0 {
+	if task.State == records.TaskPlaced && !task.changed && !task.Observed && task.DirectStartToken == 0 {
 		l.cluster.requestCommand(task.Machine) // start it without waiting for a heartbeat
 	}
 	// Now, before any machine reports: when a machine died first, its gang was taken for one
--- a/internal/cluster/entry_builder.go
+++ b/internal/cluster/entry_builder.go
@@ -267,7 +267,7 @@
 		if !task.changed {
 			continue
 		}
-		if task.State == TaskPlaced && !compared {
+		if task.State == records.TaskPlaced && !compared {
 			if len(b.commit.Request.Compares) >= b.maxCompares {
 				continue
 			}
--- a/internal/cluster/gang.go
+++ b/internal/cluster/gang.go
@@ -1,6 +1,9 @@
 package cluster
 
-import "spurmoor/internal/api"
+import (
+	"spurmoor/internal/api"
+	"spurmoor/internal/records"
+)
 
 // IsReassembling reports whether a gang that lost tasks has not begun to run: those of
 // its tasks that wait keep their machines, and replacements with the same attempt
@@ -10,7 +13,7 @@
 		return false
 	}
 	for _, task := range j.knownTasks() {
-		if task.State == TaskPlaced && !task.awaitsGang() {
+		if task.State == records.TaskPlaced && !task.awaitsGang() {
 			return false
 		}
 	}
--- a/internal/cluster/job_test.go
+++ b/internal/cluster/job_test.go
@@ -6,6 +6,7 @@
 
 	"spurmoor/internal/api"
 	"spurmoor/internal/micros"
+	"spurmoor/internal/records"
 )
 
 func TestPlaceable(t *testing.T) {
@@ -19,8 +20,8 @@
 	}{
 		{"array that is new", api.Array, func(*State, *Job) {}, []int{0, 1, 2}},
 		{"array with tasks placed and done", api.Array, func(state *State, job *Job) {
-			state.SetTask(job, 0, TaskRecord{State: TaskPlaced})
-			state.SetTask(job, 2, TaskRecord{State: TaskDone})
+			state.SetTask(job, 0, TaskRecord{State: records.TaskPlaced})
+			state.SetTask(job, 2, TaskRecord{State: records.TaskDone})
 		}, []int{1, 3}},
 		{"array with a task that must wait", api.Array, func(_ *State, job *Job) {
 			job.EnsureTask(0).notBefore = now + 1
@@ -28,14 +29,14 @@
 		}, []int{1, 2, 3}},
 		{"gang is placed whole", api.Gang, func(*State, *Job) {}, []int{0, 1, 2, 3}},
 		{"gang with a task on its machine", api.Gang, func(state *State, job *Job) {
-			state.SetTask(job, 0, TaskRecord{State: TaskPlaced})
+			state.SetTask(job, 0, TaskRecord{State: records.TaskPlaced})
 		}, nil},
 		{"gang that is reassembling", api.Gang, func(state *State, job *Job) {
-			state.SetTask(job, 0, TaskRecord{State: TaskPlaced})
+			state.SetTask(job, 0, TaskRecord{State: records.TaskPlaced})
 			job.Task(0).Observed, job.Task(0).ReportedState = true, api.TaskWaiting
 		}, []int{1, 2, 3}},
 		{"gang of which a task is done", api.Gang, func(state *State, job *Job) {
-			state.SetTask(job, 0, TaskRecord{State: TaskDone})
+			state.SetTask(job, 0, TaskRecord{State: records.TaskDone})
 		}, []int{1, 2, 3}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/cluster/log_entry_test.go
+++ b/internal/cluster/log_entry_test.go
@@ -14,7 +14,7 @@
 	for index := range tasks {
 		machine := string(rune('a' + index/perMachine%26))
 		changes = append(changes, taskChange{
-			job: job, index: index, record: TaskRecord{State: TaskPlaced, Attempt: 1, Machine: machine},
+			job: job, index: index, record: TaskRecord{State: records.TaskPlaced, Attempt: 1, Machine: machine},
 		})
 	}
 	return changes
@@ -68,7 +68,7 @@
 // TestTaskExtendsRun lists what keeps a task from joining the run before it.
 func TestTaskExtendsRun(t *testing.T) {
 	t.Parallel()
-	run := records.TaskRun{Job: "wk-000001", First: 3, Tasks: 2, State: TaskPlaced, Attempt: 1, Machine: "n-1"}
+	run := records.TaskRun{Job: "wk-000001", First: 3, Tasks: 2, State: records.TaskPlaced, Attempt: 1, Machine: "n-1"}
 	for _, tc := range []struct {
 		name   string
 		job    string
@@ -76,13 +76,13 @@
 		record TaskRecord
 		want   bool
 	}{
-		{"the next", "wk-000001", 5, TaskRecord{State: TaskPlaced, Attempt: 1, Machine: "n-1"}, true},
-		{"a gap", "wk-000001", 6, TaskRecord{State: TaskPlaced, Attempt: 1, Machine: "n-1"}, false},
-		{"in the run", "wk-000001", 4, TaskRecord{State: TaskPlaced, Attempt: 1, Machine: "n-1"}, false},
-		{"another job", "wk-000002", 5, TaskRecord{State: TaskPlaced, Attempt: 1, Machine: "n-1"}, false},
-		{"another state", "wk-000001", 5, TaskRecord{State: TaskDone, Attempt: 1, Machine: "n-1"}, false},
-		{"another attempt", "wk-000001", 5, TaskRecord{State: TaskPlaced, Attempt: 2, Machine: "n-1"}, false},
-		{"another machine", "wk-000001", 5, TaskRecord{State: TaskPlaced, Attempt: 1, Machine: "n-2"}, false},
+		{"the next", "wk-000001", 5, TaskRecord{State: records.TaskPlaced, Attempt: 1, Machine: "n-1"}, true},
+		{"a gap", "wk-000001", 6, TaskRecord{State: records.TaskPlaced, Attempt: 1, Machine: "n-1"}, false},
+		{"in the run", "wk-000001", 4, TaskRecord{State: records.TaskPlaced, Attempt: 1, Machine: "n-1"}, false},
+		{"another job", "wk-000002", 5, TaskRecord{State: records.TaskPlaced, Attempt: 1, Machine: "n-1"}, false},
+		{"another state", "wk-000001", 5, TaskRecord{State: records.TaskDone, Attempt: 1, Machine: "n-1"}, false},
+		{"another attempt", "wk-000001", 5, TaskRecord{State: records.TaskPlaced, Attempt: 2, Machine: "n-1"}, false},
+		{"another machine", "wk-000001", 5, TaskRecord{State: records.TaskPlaced, Attempt: 1, Machine: "n-2"}, false},
 	} {
 		change := taskChange{job: &Job{ID: tc.job}, index: tc.index, record: tc.record}
 		if got := change.extends(run); got != tc.want {
--- a/internal/cluster/task.go
+++ b/internal/cluster/task.go
@@ -10,13 +10,6 @@
 	"spurmoor/internal/records"
 )
 
-// States of tasks; records.TaskState says which follow on which.
-const (
-	taskPending = records.TaskPending
-	TaskPlaced  = records.TaskPlaced
-	TaskDone    = records.TaskDone
-)
-
 // TaskRecord is what the log keeps of a task.
 type TaskRecord struct {
 	State   records.TaskState
@@ -61,7 +54,7 @@
 
 // mayBePlaced reports whether a task waits to be placed and need not wait longer.
 func (t *Task) mayBePlaced(now micros.Micros) bool {
-	return t.State == taskPending && now >= t.notBefore
+	return t.State == records.TaskPending && now >= t.notBefore
 }
 
 // TaskID names a task by its job and its index in it.
--- a/internal/cluster/task_accounting.go
+++ b/internal/cluster/task_accounting.go
@@ -1,6 +1,10 @@
 package cluster
 
-import "slices"
+import (
+	"slices"
+
+	"spurmoor/internal/records"
+)
 
 // MarkChanged has a job examined for what is to be committed of it.
 func (s *State) MarkChanged(job *Job) {
@@ -62,10 +66,10 @@
 // countTask adds a task, as it is, to all counts (delta 1) or takes it out of them (-1).
 func (s *State) countTask(job *Job, index int, task *Task, delta int) {
 	switch task.State {
-	case taskPending:
-	case TaskDone:
+	case records.TaskPending:
+	case records.TaskDone:
 		job.DoneTasks += delta
-	case TaskPlaced:
+	case records.TaskPlaced:
 		job.PlacedTasks += delta
 		if usage := s.TeamUsage[job.Spec.Team]; usage != nil {
 			*usage = usage.Add(job.Request, int64(delta))
@@ -96,7 +100,7 @@
 // countTasksOn counts the tasks of a job on a machine whose record was read after theirs.
 func (s *State) countTasksOn(job *Job, machine *Machine) {
 	for index, task := range job.knownTasks() {
-		if task.State == TaskPlaced && task.Machine == machine.Name {
+		if task.State == records.TaskPlaced && task.Machine == machine.Name {
 			s.countOnMachine(job, index, machine, 1)
 		}
 	}
--- a/internal/cluster/task_lifecycle.go
+++ b/internal/cluster/task_lifecycle.go
@@ -8,6 +8,7 @@
 	"spurmoor/internal/coordination"
 	"spurmoor/internal/logkey"
 	"spurmoor/internal/micros"
+	"spurmoor/internal/records"
 )
 
 const (
@@ -69,11 +70,11 @@
 	if report.ExitReason == api.ExitDone && !job.Cancelled {
 		machine.CacheImage(job.Spec.Image, job.Spec.ImageGB)
 		l.TaskSucceeded(job, machine)
-		l.cluster.ChangeTask(job, index, TaskRecord{State: TaskDone, Attempt: attempt, Machine: ""})
+		l.cluster.ChangeTask(job, index, TaskRecord{State: records.TaskDone, Attempt: attempt, Machine: ""})
 		l.trigger.RequestCycleWithin(0)
 		return
 	}
-	l.cluster.ChangeTask(job, index, TaskRecord{State: taskPending, Attempt: attempt, Machine: ""})
+	l.cluster.ChangeTask(job, index, TaskRecord{State: records.TaskPending, Attempt: attempt, Machine: ""})
 	// Its worker still holds this attempt, so it must not be used again.
 	job.attemptSpoiled = job.PlacedTasks > 0
 	switch report.ExitReason {
@@ -98,7 +99,7 @@
 	l.LogDebug(
 		"task gone", logkey.Job, job.ID, logkey.Task, index, logkey.Machine, task.Machine, logkey.Reason, reason,
 	)
-	l.cluster.ChangeTask(job, index, TaskRecord{State: taskPending, Attempt: task.Attempt, Machine: ""})
+	l.cluster.ChangeTask(job, index, TaskRecord{State: records.TaskPending, Attempt: task.Attempt, Machine: ""})
 	l.trigger.RequestCycleWithin(0)
 }
 
@@ -125,7 +126,7 @@
 // of them at once.
 func (l *TaskLifecycle) requestGangStop(job *Job, graceS float64) {
 	for _, task := range job.knownTasks() {
-		if task.State == TaskPlaced {
+		if task.State == records.TaskPlaced {
 			task.StopRequestedAt, task.GraceS = l.Now, graceS
 			l.cluster.requestCommand(task.Machine)
 		}
@@ -141,7 +142,7 @@
 			continue
 		}
 		for index, task := range job.knownTasks() {
-			if task.State == TaskPlaced && l.cluster.Machines[task.Machine] == nil {
+			if task.State == records.TaskPlaced && l.cluster.Machines[task.Machine] == nil {
 				l.TaskGone(job, index, "its machine's record is gone")
 			}
 		}
--- a/internal/cluster/task_lifecycle_test.go
+++ b/internal/cluster/task_lifecycle_test.go
@@ -23,16 +23,16 @@
 		end       func(*TaskLifecycle, *Job, *Machine)
 		want      records.TaskState
 	}{
-		{"done", false, exits(api.ExitDone), TaskDone},
-		{"done, but its job is cancelled", true, exits(api.ExitDone), taskPending},
-		{"failed", false, exits(api.ExitFailed), taskPending},
-		{"stopped", false, exits(api.ExitStopped), taskPending},
-		{"mates gone", false, exits(api.ExitMatesGone), taskPending},
-		{"alone", false, exits(api.ExitAlone), taskPending},
-		{"no room", false, exits(api.ExitNoRoom), taskPending},
-		{"busy", false, exits(api.ExitBusy), taskPending},
-		{"no such", false, exits(api.ExitNoSuch), taskPending},
-		{"gone", false, func(tasks *TaskLifecycle, job *Job, _ *Machine) { tasks.TaskGone(job, 0, "test") }, taskPending},
+		{"done", false, exits(api.ExitDone), records.TaskDone},
+		{"done, but its job is cancelled", true, exits(api.ExitDone), records.TaskPending},
+		{"failed", false, exits(api.ExitFailed), records.TaskPending},
+		{"stopped", false, exits(api.ExitStopped), records.TaskPending},
+		{"mates gone", false, exits(api.ExitMatesGone), records.TaskPending},
+		{"alone", false, exits(api.ExitAlone), records.TaskPending},
+		{"no room", false, exits(api.ExitNoRoom), records.TaskPending},
+		{"busy", false, exits(api.ExitBusy), records.TaskPending},
+		{"no such", false, exits(api.ExitNoSuch), records.TaskPending},
+		{"gone", false, func(tasks *TaskLifecycle, job *Job, _ *Machine) { tasks.TaskGone(job, 0, "test") }, records.TaskPending},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
@@ -42,17 +42,17 @@
 			job := addTestJob(t, state, "wk-000001", 1)
 			job.Cancelled = tc.cancelled
 			machine := addTestMachine(t, state, "n-1", "g4")
-			if !job.EnsureTask(0).State.CanBecome(TaskPlaced) {
+			if !job.EnsureTask(0).State.CanBecome(records.TaskPlaced) {
 				t.Fatal("a new task cannot be placed")
 			}
-			state.ChangeTask(job, 0, TaskRecord{State: TaskPlaced, Attempt: 1, Machine: "n-1"})
+			state.ChangeTask(job, 0, TaskRecord{State: records.TaskPlaced, Attempt: 1, Machine: "n-1"})
 			if job.PlacedTasks != 1 || len(machine.TaskIDs) != 1 {
 				t.Fatalf("%d tasks placed, %v on the machine", job.PlacedTasks, machine.TaskIDs)
 			}
 			tc.end(tasks, job, machine)
 			got := job.Task(0).State
-			if got != tc.want || !TaskPlaced.CanBecome(got) {
-				t.Errorf("it becomes %v, want %v; permitted: %t", got, tc.want, TaskPlaced.CanBecome(got))
+			if got != tc.want || !records.TaskPlaced.CanBecome(got) {
+				t.Errorf("it becomes %v, want %v; permitted: %t", got, tc.want, records.TaskPlaced.CanBecome(got))
 			}
 			if job.PlacedTasks != 0 || len(machine.TaskIDs) != 0 || !machine.DepartedJobs[job.ID] {
 				t.Errorf("%d tasks placed, %v on the machine", job.PlacedTasks, machine.TaskIDs)
--- a/internal/coordination/parameters.go
+++ b/internal/coordination/parameters.go
@@ -9,10 +9,6 @@
 	// maxAnswerWindow bounds the answer window however large cancel_s is.
 	maxAnswerWindow = 40 * micros.Second
 
-	// workerClockFactor is how much longer a worker's lease may last by our clock,
-	// because the worker's runs slow.
-	workerClockFactor = 1.002
-
 	// heartbeatSpread is the longest time between two heartbeats of a healthy worker,
 	// as a multiple of the interval that it was told.
 	heartbeatSpread = 1.25
@@ -69,7 +65,7 @@
 
 // WorkerLease is how long a worker's lease may last by our clock.
 func (p parameters) WorkerLease() micros.Micros {
-	return micros.FromSeconds(p.Deployment.Workers.LeaseS * workerClockFactor)
+	return micros.FromSeconds(p.Deployment.WorkerLeaseS())
 }
 
 // HeartbeatTimeout is for how long a machine may send no heartbeat, even if one is lost,
--- a/internal/core/commit_test.go
+++ b/internal/core/commit_test.go
@@ -14,7 +14,7 @@
 func TestCommitOfStartComparesJob(t *testing.T) {
 	fixture := newLeaderFixture(t)
 	fixture.clearTask()
-	fixture.cluster.ChangeTask(fixture.job, 0, cluster.TaskRecord{State: cluster.TaskPlaced, Attempt: 2, Machine: fixture.machine.Name})
+	fixture.cluster.ChangeTask(fixture.job, 0, cluster.TaskRecord{State: records.TaskPlaced, Attempt: 2, Machine: fixture.machine.Name})
 	commit := fixture.partitionLog.BuildCommit(fixture.partition, 10)
 	if commit == nil || !slices.Contains(commit.Request.Compares, fixture.jobCompare()) {
 		t.Errorf("a start is committed without its job's key: %+v", commit)
@@ -26,7 +26,7 @@
 // job's key that it follows.
 func TestCommitOfEndComparesJob(t *testing.T) {
 	fixture := newLeaderFixture(t)
-	fixture.cluster.ChangeTask(fixture.job, 0, cluster.TaskRecord{State: cluster.TaskDone, Attempt: 1, Machine: ""})
+	fixture.cluster.ChangeTask(fixture.job, 0, cluster.TaskRecord{State: records.TaskDone, Attempt: 1, Machine: ""})
 	commit := fixture.partitionLog.BuildCommit(fixture.partition, 10)
 	if commit == nil || len(commit.TerminalJobs) != 1 || !slices.Contains(commit.Request.Compares, fixture.jobCompare()) {
 		t.Errorf("an end is recorded without its job's key: %+v", commit)
@@ -38,7 +38,7 @@
 func TestCommitComparesTermAndSlot(t *testing.T) {
 	fixture := newLeaderFixture(t)
 	fixture.cluster.SetTask(fixture.job, 0, cluster.TaskRecord{})
-	fixture.cluster.ChangeTask(fixture.job, 0, cluster.TaskRecord{State: cluster.TaskPlaced, Attempt: 2, Machine: fixture.machine.Name})
+	fixture.cluster.ChangeTask(fixture.job, 0, cluster.TaskRecord{State: records.TaskPlaced, Attempt: 2, Machine: fixture.machine.Name})
 	commit := fixture.partitionLog.BuildCommit(fixture.partition, 10)
 	slotKey := records.SlotKey(fixture.partition.Index, commit.Entries[0].Slot)
 	for _, compare := range []api.Compare{
--- a/internal/core/explanation_test.go
+++ b/internal/core/explanation_test.go
@@ -8,6 +8,7 @@
 	"spurmoor/internal/api"
 	"spurmoor/internal/cluster"
 	"spurmoor/internal/message"
+	"spurmoor/internal/records"
 )
 
 // TestExplanationOfSuspectJob guards that the owner of a job with a mistake is told so, and
@@ -19,7 +20,7 @@
 		name := fmt.Sprintf("n-%d", 2+i)
 		attempt := api.Attempt(i + 1)
 		fixture.recordMachine(name)
-		fixture.cluster.SetTask(fixture.job, 0, cluster.TaskRecord{State: cluster.TaskPlaced, Attempt: attempt, Machine: name})
+		fixture.cluster.SetTask(fixture.job, 0, cluster.TaskRecord{State: records.TaskPlaced, Attempt: attempt, Machine: name})
 		exited := api.TaskStatus{Task: testTask, Attempt: attempt, State: api.TaskExited, ExitReason: api.ExitFailed}
 		fixture.tasks.TaskExited(fixture.job, 0, fixture.job.Task(0), fixture.cluster.Machines[name], exited)
 	}
--- a/internal/core/fixtures_test.go
+++ b/internal/core/fixtures_test.go
@@ -101,7 +101,7 @@
 	fixture.recordMachine(testMachine)
 	fixture.machine = fixture.cluster.Machines[testMachine]
 	fixture.job = fixture.cluster.Jobs[testJob]
-	fixture.cluster.SetTask(fixture.job, 0, cluster.TaskRecord{State: cluster.TaskPlaced, Attempt: 1, Machine: testMachine})
+	fixture.cluster.SetTask(fixture.job, 0, cluster.TaskRecord{State: records.TaskPlaced, Attempt: 1, Machine: testMachine})
 	task := fixture.job.Task(0)
 	task.Committed = task.TaskRecord
 	if !fixture.partition.Leads() || fixture.machine == nil || len(fixture.machine.TaskIDs) != 1 {
--- a/internal/core/heartbeat_reconciliation.go
+++ b/internal/core/heartbeat_reconciliation.go
@@ -6,6 +6,7 @@
 	"spurmoor/internal/logkey"
 	"spurmoor/internal/micros"
 	"spurmoor/internal/planning"
+	"spurmoor/internal/records"
 )
 
 // maxExitedTasks is how many exited tasks a worker keeps before its fencing token is
@@ -189,7 +190,7 @@
 
 // isRecordedHere tells whether an attempt of a task is recorded on the machine.
 func (r *heartbeatReconciliation) isRecordedHere(task *cluster.Task, attempt api.Attempt) bool {
-	return task != nil && task.State == cluster.TaskPlaced && task.Machine == r.machine.Name && task.Attempt == attempt
+	return task != nil && task.State == records.TaskPlaced && task.Machine == r.machine.Name && task.Attempt == attempt
 }
 
 // reconcileUnrecorded answers a task that is not recorded on this machine; job is nil if
--- a/internal/history/summary.go
+++ b/internal/history/summary.go
@@ -107,13 +107,16 @@
 	from := (current.firstAt - s.startedAt).Seconds()
 	until := (max(current.lastAt, current.firstAt) - s.startedAt).Seconds()
 	return fmt.Sprintf("%s\t%d\t%.3f\t%.3f\t%s\t%s\n",
-		key.role, key.term, from, until, countsText(current.sent), countsText(current.refused))
+		key.role, key.term, from, until, FormatCounts(current.sent, noCounts), FormatCounts(current.refused, noCounts))
 }
 
-// countsText lists counts by name.
-func countsText(counts map[string]int) string {
+// noCounts stands in a summary where nothing was counted.
+const noCounts = "-"
+
+// FormatCounts lists counts by name, in order; none is the text where there are none.
+func FormatCounts(counts map[string]int, none string) string {
 	if len(counts) == 0 {
-		return "-"
+		return none
 	}
 	var entries []string
 	for _, name := range slices.Sorted(maps.Keys(counts)) {
--- a/internal/planning/plan_execution.go
+++ b/internal/planning/plan_execution.go
@@ -6,6 +6,7 @@
 	"spurmoor/internal/logkey"
 	"spurmoor/internal/micros"
 	"spurmoor/internal/peer"
+	"spurmoor/internal/records"
 	"spurmoor/internal/scheduler"
 )
 
@@ -68,7 +69,7 @@
 
 // bindTask places a task on a machine, which ends the job's claim on it.
 func (c *SchedulingCycle) bindTask(job *cluster.Job, index int, attempt api.Attempt, machineName string) {
-	c.cluster.ChangeTask(job, index, cluster.TaskRecord{State: cluster.TaskPlaced, Attempt: attempt, Machine: machineName})
+	c.cluster.ChangeTask(job, index, cluster.TaskRecord{State: records.TaskPlaced, Attempt: attempt, Machine: machineName})
 	c.LogDebug("task placed",
 		logkey.Job, job.ID,
 		logkey.Task, index,
--- a/internal/scheduler/objectives.go
+++ b/internal/scheduler/objectives.go
@@ -6,13 +6,6 @@
 	"spurmoor/internal/settings"
 )
 
-// Kinds of service-level objectives, as the platform's settings name them.
-const (
-	objectiveWait     = "wait"     // begun within so many seconds
-	objectiveFinished = "finished" // done within so many seconds
-	objectiveDeadline = "deadline" // done within a multiple of its deadline
-)
-
 // objectiveCount counts the objectives that apply to a job and those of them that it can
 // no longer meet.
 type objectiveCount struct{ stated, missed int }
@@ -37,7 +30,7 @@
 	}
 	// Objectives for the deadline are those of the class of the job that has it.
 	for _, objective := range r.Objectives[job.Deadline.Class] {
-		if objective.Kind == objectiveDeadline {
+		if objective.Kind == settings.ObjectiveDeadline {
 			sinceSubmitted := (r.Now - job.Deadline.SubmittedAt).Seconds()
 			untilDone := sinceSubmitted + job.Spec.EstimateS + job.Deadline.DownstreamS
 			count.add(untilDone > objective.DeadlineFactor*job.Deadline.WithinS)
@@ -50,11 +43,11 @@
 func (r *ranker) countObjective(count *objectiveCount, job *Job, objective settings.Objective) {
 	age := (r.Now - job.EligibleAt).Seconds()
 	switch objective.Kind {
-	case objectiveWait:
+	case settings.ObjectiveWait:
 		count.add(!job.Started && age > objective.WithinS)
-	case objectiveFinished:
+	case settings.ObjectiveFinished:
 		count.add(age+job.Spec.EstimateS > objective.WithinS)
-	case objectiveDeadline:
+	case settings.ObjectiveDeadline:
 		if job.Deadline.WithinS == 0 {
 			count.add(false)
 		}
--- a/internal/scheduler/ranking_test.go
+++ b/internal/scheduler/ranking_test.go
@@ -62,10 +62,10 @@
 	t.Parallel()
 	objectives := map[string][]settings.Objective{
 		"batch": {
-			{Kind: objectiveWait, Class: "batch", WithinS: 100},
-			{Kind: objectiveFinished, Class: "batch", WithinS: 500},
+			{Kind: settings.ObjectiveWait, Class: "batch", WithinS: 100},
+			{Kind: settings.ObjectiveFinished, Class: "batch", WithinS: 500},
 		},
-		"urgent": {{Kind: objectiveDeadline, Class: "urgent", DeadlineFactor: 1}},
+		"urgent": {{Kind: settings.ObjectiveDeadline, Class: "urgent", DeadlineFactor: 1}},
 	}
 	for _, tc := range []struct {
 		name     string
--- a/internal/settings/platform.go
+++ b/internal/settings/platform.go
@@ -112,18 +112,22 @@
 
 // What the answer window leaves of the time that a cancellation has.
 const (
-	// leaseDriftFactor is the lease as a worker's slow clock counts it.
-	leaseDriftFactor = 1.002
+	// workerClockFactor is how much longer a worker's lease may last by our clock, because
+	// the worker's runs slow.
+	workerClockFactor = 1.002
 	// maxAnswerMarginS is kept free before cancel_s where there is time enough, and
 	// otherwise one part in answerMarginParts of the time.
 	maxAnswerMarginS  = 3
 	answerMarginParts = 4
 )
 
+// WorkerLeaseS is how many seconds a worker's lease lasts, by a clock that runs slow.
+func (d *Facts) WorkerLeaseS() float64 { return d.Workers.LeaseS * workerClockFactor }
+
 // AnswerWindowS is how many seconds a controller that lost the key-value store may go on
 // answering heartbeats: together with a lease by a slow clock and a margin that stays
 // below cancel_s, so that a task whose job was cancelled elsewhere ends in time.
 func (d *Facts) AnswerWindowS() float64 {
-	left := d.Workers.CancelS - d.Workers.LeaseS*leaseDriftFactor
+	left := d.Workers.CancelS - d.WorkerLeaseS()
 	return left - min(maxAnswerMarginS, left/answerMarginParts)
 }
