--- a/cmd/spurmoor/client.go
+++ b/cmd/spurmoor/client.go
@@ -91,7 +91,7 @@
 				_, err = fmt.Fprintln(cmd.OutOrStdout(), text)
 				return err
 			}
-			var list wire.Duties
+			var list wire.Roles
 			if err := json.Unmarshal([]byte(text), &list); err != nil {
 				return fmt.Errorf("%s: answer can't be read: %w", c.addr, err)
 			}
--- a/cmd/spurmoor/duties.go
+++ b/cmd/spurmoor/duties.go
@@ -12,10 +12,10 @@
 )
 
 // showDuties prints a line for each duty.
-func showDuties(out io.Writer, list *wire.Duties) error {
+func showDuties(out io.Writer, list *wire.Roles) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	lines := []string{"DUTY\tHOLDER\tTERM\tSINCE\tREMAINING\tORDERS REFUSED HERE"}
-	for _, d := range list.Duties {
+	for _, d := range list.Roles {
 		lines = append(lines, dutyLine(d))
 	}
 	for _, line := range lines {
@@ -27,15 +27,15 @@
 		return err
 	}
 	_, err := fmt.Fprintf(out, "answered by %s; the fleet's duties have one holder each: %t; rentals are recorded first: %t; refused under no duty: %s\n",
-		list.Node, list.OneHolder, list.RecordsRentals, refusedCounts(list.Refused))
+		list.Node, list.Exclusive, list.RecordsRequests, refusedCounts(list.RefusedOrders))
 	return err
 }
 
 // dutyLine gives one duty's columns. What is not known here is a dash.
-func dutyLine(d wire.DutyStatus) string {
+func dutyLine(d wire.RoleStatus) string {
 	holder, term, since, remaining := "-", "-", "-", "-"
-	if d.Holder != "" {
-		holder = d.Holder
+	if d.Leader != "" {
+		holder = d.Leader
 	}
 	if d.Term > 0 {
 		term, since = fmt.Sprint(d.Term), fmt.Sprintf("%.1fs", d.SinceS)
@@ -43,7 +43,7 @@
 	if d.RemainingS != nil {
 		remaining = fmt.Sprintf("%.1fs", *d.RemainingS)
 	}
-	return strings.Join([]string{d.Duty, holder, term, since, remaining, refusedCounts(d.Refused)}, "\t")
+	return strings.Join([]string{d.Role, holder, term, since, remaining, refusedCounts(d.RefusedOrders)}, "\t")
 }
 
 // refusedCounts gives counts of refused orders by action and reason.
--- a/cmd/spurmoor/main.go
+++ b/cmd/spurmoor/main.go
@@ -178,12 +178,12 @@
 // show prints how teams are dealt into partitions, and what a controller would warn of
 // at its start.
 func show(out io.Writer, set *settings.Settings) error {
-	for _, t := range set.Facts.Teams {
-		if _, err := fmt.Fprintf(out, "%s: partition %d of %d\n", t.Name, set.TeamPartition[t.Name], set.Ops.Parts); err != nil {
+	for _, t := range set.Deployment.Teams {
+		if _, err := fmt.Fprintf(out, "%s: partition %d of %d\n", t.Name, set.TeamPartition[t.Name], set.Operators.Partitions); err != nil {
 			return err
 		}
 	}
-	for _, w := range set.Sound() {
+	for _, w := range set.Warnings() {
 		if _, err := fmt.Fprintf(out, "warning: %s\n", w); err != nil {
 			return err
 		}
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -29,7 +29,7 @@
 // New makes a client. Controllers are rarely busy all at once, so each may use
 // half of the budget; a 429 is asked again. bad is told of every answer that can't be read.
 func New(set *settings.Settings, gate duty.Gate, bad func(who string, err error)) *Client {
-	share := set.Facts.Cloud.RPS / 2
+	share := set.Deployment.Cloud.RPS / 2
 	return &Client{
 		bad: bad, gate: gate,
 		http: &fasthttp.HostClient{Addr: set.Endpoints.Cloud, MaxConns: set.Sockets.Cloud, ReadTimeout: 15 * time.Second,
@@ -56,10 +56,10 @@
 	}
 	req := request(call)
 	switch call.Op {
-	case core.OpRent:
-		req.Before = func() error { return c.gate(call.Rent.Grant(), duty.Rent) }
+	case core.OpLaunch:
+		req.Before = func() error { return c.gate(call.Launch.Grant(), duty.Launch) }
 	case core.OpDelete:
-		req.Before = func() error { return c.gate(call.Names.Grant(), duty.Delete) }
+		req.Before = func() error { return c.gate(call.Delete.Grant(), duty.Delete) }
 	}
 	err := jsonhttp.Do(c.http, req, func(status int, body []byte) error { return decode(call, status, body, r) })
 	var none *jsonhttp.NoAnswer
@@ -75,13 +75,13 @@
 func request(call core.CloudCall) jsonhttp.Request {
 	r := jsonhttp.Request{Wait: answerWait}
 	switch call.Op {
-	case core.OpCatalog:
+	case core.OpReadCatalog:
 		r.URI = "/catalog"
-	case core.OpRent:
-		r.URI, r.Body = "/machines", call.Rent.Body()
+	case core.OpLaunch:
+		r.URI, r.Body = "/machines", call.Launch.Body()
 	case core.OpDelete:
-		r.URI, r.Body = "/machines/delete", wire.Names{Machines: call.Names.Body()}
-	case core.OpMachines:
+		r.URI, r.Body = "/machines/delete", wire.InstanceNames{Machines: call.Delete.Body()}
+	case core.OpListInstances:
 		query := url.Values{"Most": {pageSize}}
 		if call.After != "" {
 			query.Set("Since", call.After)
@@ -93,14 +93,14 @@
 
 // decode reads an answer. One that can't be read counts as none.
 func decode(call core.CloudCall, status int, body []byte, r *core.CloudReply) error {
-	var names wire.Names
-	to := map[core.CloudOp]any{core.OpCatalog: &r.Catalog, core.OpRent: &names, core.OpMachines: &r.Machines}[call.Op]
+	var names wire.InstanceNames
+	to := map[core.CloudOp]any{core.OpReadCatalog: &r.Catalog, core.OpLaunch: &names, core.OpListInstances: &r.Instances}[call.Op]
 	if status == 200 && to != nil {
 		if err := json.Unmarshal(body, to); err != nil {
 			return err
 		}
 	}
-	r.Names = names.Machines
+	r.Launched = names.Machines
 	r.Status = status
 	return nil
 }
--- a/internal/core/cloud.go
+++ b/internal/core/cloud.go
@@ -9,169 +9,169 @@
 	"spurmoor/internal/wire"
 )
 
-// listedMachine is what the cloud's list said of a machine lately.
-type listedMachine struct {
-	first int64
-	last  int64
-	round int
+// listedInstance is what the cloud's list said of a machine lately.
+type listedInstance struct {
+	firstSeenAt int64
+	lastSeenAt  int64
+	listRound   int
 }
 
-// keepCloud asks the cloud for what is due, one request of a sort at a time.
-func (c *Core) keepCloud() {
-	if !c.typesBusy && c.now >= c.typesAt {
+// reconcileCloud asks the cloud for what is due, one request of a sort at a time.
+func (c *Controller) reconcileCloud() {
+	if !c.catalogReadInFlight && c.now >= c.nextCatalogReadAt {
 		c.readCatalog()
 	}
-	if sweeps := c.mayDo(duty.Sweep); sweeps != c.sweeping {
-		c.sweeping, c.listAt = sweeps, c.now
+	if sweeps := c.mayPerform(duty.InstanceSweeper); sweeps != c.sweeping {
+		c.sweeping, c.nextListAt = sweeps, c.now
 	}
-	sweepsAlone := c.sweeping && c.oneHolder(duty.Sweep)
-	if !sweepsAlone && !c.holdsPartition() {
+	sweepsAlone := c.sweeping && c.isExclusive(duty.InstanceSweeper)
+	if !sweepsAlone && !c.leadsAnyPartition() {
 		return
 	}
-	if !c.listing && c.now >= c.listAt {
-		c.listing = true
+	if !c.listInFlight && c.now >= c.nextListAt {
+		c.listInFlight = true
 		c.listRound++
-		c.listMachines("")
+		c.listInstances("")
 	}
 	for _, p := range c.partitions {
-		if p.Held() {
-			c.writeRentals(p)
-			c.keepRentals(p)
+		if p.Leads() {
+			c.writeRequests(p)
+			c.sendDueRequests(p)
 		}
 	}
-	if !c.deleting && c.now >= c.cloudBad {
-		c.deleteMachines()
+	if !c.deleteInFlight && c.now >= c.nextDeleteAt {
+		c.deleteInstances()
 	}
 }
 
 // How often the catalogue is read, and after a failure.
 const (
-	catalogEvery = 60 * Second
-	catalogRetry = 2 * Second
+	catalogInterval      = 60 * Second
+	catalogRetryInterval = 2 * Second
 )
 
-func (c *Core) readCatalog() {
-	c.typesBusy = true
-	c.callCloud(CloudCall{Op: OpCatalog}, func(r *CloudReply) {
-		c.typesBusy = false
+func (c *Controller) readCatalog() {
+	c.catalogReadInFlight = true
+	c.callCloud(CloudCall{Op: OpReadCatalog}, func(r *CloudReply) {
+		c.catalogReadInFlight = false
 		if r.Status != 200 || len(r.Catalog.Types) == 0 {
-			c.typesAt = c.now + c.jitter(catalogRetry)
+			c.nextCatalogReadAt = c.now + c.jitter(catalogRetryInterval)
 			return
 		}
-		c.typesAt = c.now + catalogEvery
-		c.setTypes(r.Catalog.Types)
-		c.keepTypes()
+		c.nextCatalogReadAt = c.now + catalogInterval
+		c.setMachineTypes(r.Catalog.Types)
+		c.storeCatalog()
 	})
 }
 
-// deleteMost is how many machines one request deletes.
-const deleteMost = 100
+// maxDeletesPerCall is how many machines one request deletes.
+const maxDeletesPerCall = 100
 
-// deleteMachines has the cloud delete our machines that are never to be used again:
+// deleteInstances has the cloud delete our machines that are never to be used again:
 // those of one partition at a time, each in its turn. That they are never used again
 // is committed before, and never taken back, so a request that is carried out late
 // changes nothing.
-func (c *Core) deleteMachines() {
+func (c *Controller) deleteInstances() {
 	for i := range c.partitions {
-		p := c.partitions[(c.deleteTurn+i)%len(c.partitions)]
-		if names := c.toDelete(p); len(names) > 0 {
-			c.deleteTurn += i + 1
-			c.deleteNamed(p, names)
+		p := c.partitions[(c.nextDeletePartition+i)%len(c.partitions)]
+		if names := c.instancesToDelete(p); len(names) > 0 {
+			c.nextDeletePartition += i + 1
+			c.sendDelete(p, names)
 			return
 		}
 	}
 }
 
-// toDelete lists machines of a partition of ours that the cloud is to delete.
-func (c *Core) toDelete(p *partition) []string {
+// instancesToDelete lists machines of a partition of ours that the cloud is to delete.
+func (c *Controller) instancesToDelete(p *partition) []string {
 	var names []string
-	if !p.Held() {
+	if !p.Leads() {
 		return nil
 	}
-	for _, m := range c.order {
-		if m.rec.Gone && m.rec.Cur == p.idx && !m.busy() && !m.delSent && len(names) < deleteMost {
+	for _, m := range c.machinesByName {
+		if m.record.Condemned && m.record.Partition == p.index && !m.recordChangePending() && !m.deleteSent && len(names) < maxDeletesPerCall {
 			names = append(names, m.name)
 		}
 	}
 	return names
 }
 
-func (c *Core) deleteNamed(p *partition, names []string) {
-	grant := c.grant(&p.Holding, duty.Delete)
+func (c *Controller) sendDelete(p *partition, names []string) {
+	grant := c.grant(&p.RoleState, duty.Delete)
 	if grant.Check(duty.Delete, c.now) != "" {
 		return
 	}
 	for _, name := range names {
-		c.machines[name].delSent = true
+		c.machines[name].deleteSent = true
 	}
-	c.deleting = true
-	c.callCloud(CloudCall{Op: OpDelete, Names: duty.Under(grant, names)}, func(r *CloudReply) {
-		c.deleting = false
-		c.cloudBad = c.now + Second // more come meanwhile: one call for them
+	c.deleteInFlight = true
+	c.callCloud(CloudCall{Op: OpDelete, Delete: duty.NewOrder(grant, names)}, func(r *CloudReply) {
+		c.deleteInFlight = false
+		c.nextDeleteAt = c.now + Second // more come meanwhile: one call for them
 		for _, name := range names {
 			if m := c.machines[name]; m != nil {
 				// 200: the machines and all on them are gone.
-				m.delOK = m.delOK || r.Status == 200
-				m.delSent = r.Status == 200
+				m.deleteConfirmed = m.deleteConfirmed || r.Status == 200
+				m.deleteSent = r.Status == 200
 			}
 		}
 		if r.Status != 200 {
-			c.cloudBad = c.now + c.jitter(2*Second)
+			c.nextDeleteAt = c.now + c.jitter(2*Second)
 		}
 	})
 }
 
-func (c *Core) setTypes(types []wire.MachineType) {
-	c.types = types
+func (c *Controller) setMachineTypes(types []wire.MachineType) {
+	c.machineTypes = types
 	for i := range types {
-		c.typeOf[types[i].Name] = &types[i]
+		c.machineTypeByName[types[i].Name] = &types[i]
 	}
 	for _, m := range c.machines {
-		m.typ = c.typeOf[m.rec.Type]
+		m.machineType = c.machineTypeByName[m.record.Type]
 	}
 }
 
-// shape is a catalogue without its prices.
-func shape(types []wire.MachineType) string {
+// catalogShape is a catalogue without its prices.
+func catalogShape(types []wire.MachineType) string {
 	types = slices.Clone(types)
 	for i := range types {
 		types[i].Price, types[i].SpotPrice = 0, 0
 	}
-	return string(mustJSON(types))
+	return string(mustMarshal(types))
 }
 
-// catalogPage is a page of the catalogue as the state service has it.
-type catalogPage struct {
+// storedCatalogPage is a page of the catalogue as the state service has it.
+type storedCatalogPage struct {
 	catalogRecord
-	ver uint64
+	version uint64
 }
 
-// catalogPage takes in a page; the catalogue is known once all its pages are.
-func (c *Core) catalogPage(name string, rec catalogRecord, ver uint64) {
-	c.pages[name] = catalogPage{rec, ver}
-	first := c.pages[""]
+// observeCatalogPage takes in a page; the catalogue is known once all its pages are.
+func (c *Controller) observeCatalogPage(name string, rec catalogRecord, ver uint64) {
+	c.catalogPages[name] = storedCatalogPage{rec, ver}
+	first := c.catalogPages[""]
 	types := slices.Clone(first.Types)
 	for n := 1; n <= first.Pages; n++ {
-		p := c.pages[strconv.Itoa(n)]
-		if p.ver != first.ver {
+		p := c.catalogPages[strconv.Itoa(n)]
+		if p.version != first.version {
 			return
 		}
 		types = append(types, p.Types...)
 	}
-	c.typesVer, c.typesKept = first.ver, shape(types)
-	if len(c.types) == 0 {
-		c.info("catalogue read", "types", len(types))
-		c.setTypes(types)
+	c.catalogVersion, c.storedCatalogShape = first.version, catalogShape(types)
+	if len(c.machineTypes) == 0 {
+		c.logInfo("catalogue read", "types", len(types))
+		c.setMachineTypes(types)
 	}
 }
 
-// paged deals the catalogue out to pages that a value holds.
-func (c *Core) paged() []catalogRecord {
+// paginateCatalog deals the catalogue out to pages that a value holds.
+func (c *Controller) paginateCatalog() []catalogRecord {
 	pages := []catalogRecord{{}}
-	for _, t := range c.types {
+	for _, t := range c.machineTypes {
 		last := &pages[len(pages)-1]
-		more := catalogRecord{Types: append(slices.Clip(last.Types), t), Pages: len(c.types)}
-		if len(last.Types) > 0 && len(mustJSON(more)) > c.maxValue() {
+		more := catalogRecord{Types: append(slices.Clip(last.Types), t), Pages: len(c.machineTypes)}
+		if len(last.Types) > 0 && len(mustMarshal(more)) > c.maxValueBytes() {
 			pages = append(pages, catalogRecord{Types: []wire.MachineType{t}})
 			continue
 		}
@@ -181,158 +181,158 @@
 	return pages
 }
 
-// keepTypes keeps the catalogue in the state service: a controller that
+// storeCatalog keeps the catalogue in the state service: a controller that
 // starts while the cloud is away could else neither accept nor place anything.
-func (c *Core) keepTypes() {
-	grant := c.fleetGrant(duty.Catalogue, duty.Write)
-	if !c.synced || c.typesKept == shape(c.types) || grant.Check(duty.Write, c.now) != "" {
+func (c *Controller) storeCatalog() {
+	grant := c.fleetGrant(duty.CatalogKeeper, duty.Write)
+	if !c.synced || c.storedCatalogShape == catalogShape(c.machineTypes) || grant.Check(duty.Write, c.now) != "" {
 		return
 	}
-	pages := c.paged()
-	if len(pages) > 1 && !c.allRead(formDependencies) || len(pages) > c.set.Facts.State.TxnOps {
+	pages := c.paginateCatalog()
+	if len(pages) > 1 && !c.allReadSchema(schemaDependencies) || len(pages) > c.settings.Deployment.Store.MaxTransactionOps {
 		return // the first versions take the first page for all
 	}
-	req := &wire.Txn{If: []wire.Guard{{Key: typesKey, Version: c.typesVer}}}
+	req := &wire.Transaction{Compares: []wire.Compare{{Key: catalogKey, Version: c.catalogVersion}}}
 	if grant.Term() > 0 {
-		req.If = append(req.If, wire.Guard{Key: dutyKey(duty.ID{Kind: duty.Catalogue}), Version: grant.Term()})
+		req.Compares = append(req.Compares, wire.Compare{Key: roleKey(duty.Role{Kind: duty.CatalogKeeper}), Version: grant.Term()})
 	}
 	for n, p := range pages {
-		key := typesKey
+		key := catalogKey
 		if n > 0 {
 			key += "/" + strconv.Itoa(n)
 		}
-		req.Then = append(req.Then, wire.Write{Put: key, Value: mustJSON(p)})
+		req.Writes = append(req.Writes, wire.Write{Put: key, Value: mustMarshal(p)})
 	}
-	c.spend(len(pages))
-	c.callStore(StoreCall{Op: OpTxn, Txn: duty.Under(grant, req)}, func(*StoreReply) {})
+	c.chargeWrites(len(pages))
+	c.callStore(StoreCall{Op: OpTransaction, Transaction: duty.NewOrder(grant, req)}, func(*StoreReply) {})
 }
 
-func (c *Core) listMachines(after string) {
-	c.callCloud(CloudCall{Op: OpMachines, After: after}, func(r *CloudReply) {
+func (c *Controller) listInstances(after string) {
+	c.callCloud(CloudCall{Op: OpListInstances, After: after}, func(r *CloudReply) {
 		if r.Status != 200 {
-			c.listing = false
-			c.listAt = c.now + c.jitter(5*Second)
+			c.listInFlight = false
+			c.nextListAt = c.now + c.jitter(5*Second)
 			return
 		}
-		for _, cm := range r.Machines.Machines {
+		for _, cm := range r.Instances.Instances {
 			after = cm.ID
-			c.list(cm)
+			c.observeListed(cm)
 		}
-		if r.Machines.More && len(r.Machines.Machines) > 0 {
-			c.listMachines(after)
+		if r.Instances.More && len(r.Instances.Instances) > 0 {
+			c.listInstances(after)
 			return
 		}
-		c.listing = false
-		c.listAt = c.now + c.jitter(c.listEvery())
-		c.dropUnlisted()
+		c.listInFlight = false
+		c.nextListAt = c.now + c.jitter(c.listInterval())
+		c.expireUnlisted()
 	})
 }
 
-// addressEvery is how often a controller reads the cloud's list that does not sweep it:
+// addressListInterval is how often a controller reads the cloud's list that does not sweep it:
 // it only wants the addresses of machines that came up meanwhile.
-const addressEvery = 60 * Second
+const addressListInterval = 60 * Second
 
-// listEvery is how often the cloud's list is read. All controllers' lists together
+// listInterval is how often the cloud's list is read. All controllers' lists together
 // take at most a third of the calls that the cloud admits, however many machines
 // there are.
-func (c *Core) listEvery() int64 {
+func (c *Controller) listInterval() int64 {
 	if !c.sweeping {
-		return addressEvery
+		return addressListInterval
 	}
-	readers := len(c.set.Nodes)
-	if c.oneHolder(duty.Sweep) {
+	readers := len(c.settings.Nodes)
+	if c.isExclusive(duty.InstanceSweeper) {
 		readers = 1
 	}
-	pages := float64(1 + len(c.machines)/listPage)
-	paced := pages * float64(readers) / (listShare * c.set.Facts.Cloud.RPS)
-	return secs(max(5, c.set.Facts.Cloud.ListLagS, paced))
+	pages := float64(1 + len(c.machines)/instancesPerPage)
+	paced := pages * float64(readers) / (listCallShare * c.settings.Deployment.Cloud.RPS)
+	return secs(max(5, c.settings.Deployment.Cloud.ListLagS, paced))
 }
 
 const (
-	listPage  = 500     // machines in a page of the cloud's list
-	listShare = 1.0 / 3 // of the cloud's calls
+	instancesPerPage = 500     // machines in a page of the cloud's list
+	listCallShare    = 1.0 / 3 // of the cloud's calls
 )
 
-// dropUnlisted drops what was listed before and is absent from several lists.
-func (c *Core) dropUnlisted() {
-	for _, name := range sorted(c.listed) {
-		l := c.listed[name]
-		if l.round < c.listRound-2 && c.now > l.last+c.unlistedAfter() {
-			delete(c.listed, name)
+// expireUnlisted drops what was listed before and is absent from several lists.
+func (c *Controller) expireUnlisted() {
+	for _, name := range sortedKeys(c.listedInstances) {
+		l := c.listedInstances[name]
+		if l.listRound < c.listRound-2 && c.now > l.lastSeenAt+c.unlistedTimeout() {
+			delete(c.listedInstances, name)
 			if c.sweeping {
-				c.foundUnlisted(name)
+				c.handleUnlistedInstance(name)
 			}
 		}
 	}
 }
 
-func (c *Core) list(cm wire.CloudMachine) {
-	l := c.listed[cm.ID]
+func (c *Controller) observeListed(cm wire.Instance) {
+	l := c.listedInstances[cm.ID]
 	if l == nil {
-		l = &listedMachine{first: c.now}
-		c.listed[cm.ID] = l
+		l = &listedInstance{firstSeenAt: c.now}
+		c.listedInstances[cm.ID] = l
 	}
-	l.last, l.round = c.now, c.listRound
+	l.lastSeenAt, l.listRound = c.now, c.listRound
 	if m := c.machines[cm.ID]; m != nil {
-		if m.addr == "" {
-			m.addr = cm.Addr
+		if m.address == "" {
+			m.address = cm.Address
 		}
-		m.bornAt = min(m.bornAt, c.now-secs(cm.AgeS))
-		if cm.State == wire.MachineFailed && !m.rec.Gone {
-			c.foundFailed(m)
+		m.launchedAt = min(m.launchedAt, c.now-secs(cm.AgeS))
+		if cm.State == wire.InstanceFailed && !m.record.Condemned {
+			c.handleFailedInstance(m)
 		}
 		return
 	}
 	// A rental that was not expected: of a late request, or one whose renter
 	// ended before it could record it. Lists lag, so it is given time.
-	if c.sweeping && c.now > l.first+secs(2*c.set.Facts.Cloud.ListLagS+strayGraceS) {
-		c.foundStray(cm)
-		l.first = c.now
+	if c.sweeping && c.now > l.firstSeenAt+secs(2*c.settings.Deployment.Cloud.ListLagS+orphanGraceS) {
+		c.handleOrphan(cm)
+		l.firstSeenAt = c.now
 	}
 }
 
-// strayReport notes a worker that no record is known of.
-func (c *Core) strayReport(r *wire.Report) {
-	l := c.listed["report "+r.Machine]
+// observeUnknownWorker notes a worker that no record is known of.
+func (c *Controller) observeUnknownWorker(r *wire.Heartbeat) {
+	l := c.listedInstances["report "+r.Machine]
 	if l == nil {
-		c.listed["report "+r.Machine] = &listedMachine{first: c.now, last: c.now, round: c.listRound}
+		c.listedInstances["report "+r.Machine] = &listedInstance{firstSeenAt: c.now, lastSeenAt: c.now, listRound: c.listRound}
 		return
 	}
-	l.last, l.round = c.now, c.listRound
-	if c.now > l.first+6*Second && c.mayDo(duty.Strays) {
+	l.lastSeenAt, l.listRound = c.now, c.listRound
+	if c.now > l.firstSeenAt+6*Second && c.mayPerform(duty.OrphanAdopter) {
 		// Only what answers is there: the report may be a late copy of one
 		// from a machine long returned.
-		l.first = c.now
-		c.emit(probe(r.Machine, r.Addr, r.Session))
+		l.firstSeenAt = c.now
+		c.emit(probeCommand(r.Machine, r.Address, r.Incarnation))
 	}
 }
 
-// adopt records a stray machine in a partition of ours; it is used or returned
+// adoptOrphan records a stray machine in a partition of ours; it is used or returned
 // like any other. It tells whether that is ours to do.
-func (c *Core) adopt(stray peer.Stray, how string) bool {
-	if !c.mayDo(duty.Strays) || !c.holdsPartition() {
+func (c *Controller) adoptOrphan(stray peer.Orphan, how string) bool {
+	if !c.mayPerform(duty.OrphanAdopter) || !c.leadsAnyPartition() {
 		return false
 	}
-	if c.deletedLately(stray.Machine) || c.beingRecorded(stray.Machine) {
+	if c.recentlyDeleted(stray.Machine) || c.isBeingRecorded(stray.Machine) {
 		return true
 	}
 	for _, p := range c.partitions {
-		if !p.Held() {
+		if !p.Leads() {
 			continue
 		}
-		c.info("stray machine adopted", "machine", stray.Machine, "type", stray.Type, "how", how)
-		row := machineRow{Name: stray.Machine, Type: stray.Type, Zone: stray.Zone, Spot: stray.Spot, Home: p.idx, Cur: p.idx, At: c.now}
-		p.fresh = append(p.fresh, &newMachines{rows: []machineRow{row}, adopt: true, then: func() {}})
+		c.logInfo("stray machine adopted", "machine", stray.Machine, "type", stray.Type, "how", how)
+		row := machineRecord{Name: stray.Machine, Type: stray.Type, Zone: stray.Zone, Spot: stray.Spot, HomePartition: p.index, Partition: p.index, LaunchedAt: c.now}
+		p.machineBatches = append(p.machineBatches, &machineBatch{records: []machineRecord{row}, adopt: true, onRecorded: func() {}})
 		break
 	}
 	return true
 }
 
-// beingRecorded tells whether a machine is about to be recorded.
-func (c *Core) beingRecorded(name string) bool {
+// isBeingRecorded tells whether a machine is about to be recorded.
+func (c *Controller) isBeingRecorded(name string) bool {
 	for _, p := range c.partitions {
-		for _, n := range p.fresh {
-			if slices.ContainsFunc(n.rows, func(r machineRow) bool { return r.Name == name }) {
+		for _, n := range p.machineBatches {
+			if slices.ContainsFunc(n.records, func(r machineRecord) bool { return r.Name == name }) {
 				return true
 			}
 		}
--- a/internal/core/commands.go
+++ b/internal/core/commands.go
@@ -10,72 +10,72 @@
 // Commands that are sent to workers directly, beside those in the answers to their
 // reports.
 
-// pushDue sends a machine the commands that should not wait for its next report.
+// sendDueCommands sends a machine the commands that should not wait for its next report.
 // One that is late is asked before it is taken for dead: where two controllers
 // were cut off its report went to both of them first, five seconds each, and two
 // hundred machines at work were deleted.
-func (c *Core) pushDue(m *machine) {
-	m.pushAt = c.now + 2*Second
-	if m.addr == "" || m.busy() {
+func (c *Controller) sendDueCommands(m *machine) {
+	m.nextCommandAt = c.now + 2*Second
+	if m.address == "" || m.recordChangePending() {
 		return
 	}
-	late := m.upAt > 0 && c.now > m.seenAt+c.reportDue()
-	if cmds := c.directCommands(m); !m.ready || late || cmds != nil {
+	late := m.firstHeartbeatAt > 0 && c.now > m.lastSeenAt+c.heartbeatDue()
+	if cmds := c.directCommands(m); !m.tokenConfirmed || late || cmds != nil {
 		c.sendCommands(m, cmds)
 	}
 }
 
 // directCommands lists the commands worth sending at once: stops of tasks that must
 // stop and have not begun to, and the first start of each task.
-func (c *Core) directCommands(m *machine) []wire.Command {
+func (c *Controller) directCommands(m *machine) []wire.Command {
 	var cmds []wire.Command
-	for _, id := range m.tasks() {
+	for _, id := range m.taskIDsCopy() {
 		j := c.jobs[id.job]
-		if t := j.task(id.n); !t.seen && t.pushed == 0 && j.partition == m.rec.Cur && !c.mustStop(j, t) && j.durable(id.n) && c.mayStart(m, j) && len(cmds) < maxCommands {
-			t.pushed = c.tokenOf(m)
-			m.startedBy = max(m.startedBy, t.pushed)
-			cmds = append(cmds, wire.Command{Op: wire.Start, Task: id.String(), Attempt: t.attempt})
+		if t := j.task(id.index); !t.observed && t.directStartToken == 0 && j.partition == m.record.Partition && !c.mustStop(j, t) && j.isCommitted(id.index) && c.mayStartOn(m, j) && len(cmds) < maxCommands {
+			t.directStartToken = c.fencingToken(m)
+			m.highestStartToken = max(m.highestStartToken, t.directStartToken)
+			cmds = append(cmds, wire.Command{Op: wire.CommandStart, Task: id.String(), Attempt: t.attempt})
 			continue
 		}
-		if t := j.task(id.n); t.seen && t.reported != wire.Saving && c.mustStop(j, t) && len(cmds) < maxCommands {
-			g := c.graceOf(j, t)
-			cmds = append(cmds, wire.Command{Op: wire.Stop, Task: id.String(), Attempt: t.attempt, GraceS: &g})
+		if t := j.task(id.index); t.observed && t.reportedState != wire.Checkpointing && c.mustStop(j, t) && len(cmds) < maxCommands {
+			g := c.graceFor(j, t)
+			cmds = append(cmds, wire.Command{Op: wire.CommandStop, Task: id.String(), Attempt: t.attempt, GraceS: &g})
 		}
 	}
 	return cmds
 }
 
 // sendCommands sends direct commands; none at all still raise the worker's token.
-func (c *Core) sendCommands(m *machine, cmds []wire.Command) {
-	m.pushing = true
+func (c *Controller) sendCommands(m *machine, cmds []wire.Command) {
+	m.commandInFlight = true
 	if cmds == nil {
 		cmds = []wire.Command{}
 	}
-	body := wire.CommandRequest{Token: c.tokenOf(m), Session: max(1, m.session), Commands: cmds}
-	starts := slices.ContainsFunc(cmds, func(o wire.Command) bool { return o.Op == wire.Start })
-	c.emit(SendCommands{Machine: m.name, Addr: m.addr, Starts: starts, Body: duty.Under(c.commandGrant(c.partitions[m.rec.Cur]), body)})
+	body := wire.CommandRequest{FencingToken: c.fencingToken(m), Incarnation: max(1, m.incarnation), Commands: cmds}
+	starts := slices.ContainsFunc(cmds, func(o wire.Command) bool { return o.Op == wire.CommandStart })
+	c.emit(SendCommands{Machine: m.name, Addr: m.address, Starts: starts, Body: duty.NewOrder(c.commandGrant(c.partitions[m.record.Partition]), body)})
 }
 
-// probe asks a worker whether it is there. Token 0 has nothing done.
-func probe(machine, addr string, session uint64) SendCommands {
-	body := wire.CommandRequest{Session: session, Commands: []wire.Command{}}
-	return SendCommands{Machine: machine, Addr: addr, Body: duty.Under(duty.Shared(duty.ForProbe, duty.Command), body)}
+// probeCommand asks a worker whether it is there. Token 0 has nothing done.
+func probeCommand(machine, addr string, session uint64) SendCommands {
+	body := wire.CommandRequest{Incarnation: session, Commands: []wire.Command{}}
+	return SendCommands{Machine: machine, Addr: addr, Body: duty.NewOrder(duty.SharedGrant(duty.ForProbe, duty.Command), body)}
 }
 
-// settleStarts takes in what an answer, or its absence, says of the direct starts
+// settleDirectStarts takes in what an answer, or its absence, says of the direct starts
 // that were sent with it.
-func (c *Core) settleStarts(m *machine, v CommandsAnswered) {
+func (c *Controller) settleDirectStarts(m *machine, v CommandReply) {
 	if v.Status == 0 && v.Starts && !v.Unsent {
 		// The start may be carried out minutes late. A higher token, once
 		// the worker has seen it, makes that impossible.
-		m.startUnknown = true
+		m.startOutcomeUnknown = true
 	}
 	if v.Status != 409 && !v.Unsent {
 		return
 	}
-	for _, id := range m.tasks() { // nothing was carried out
-		if t := c.jobs[id.job].task(id.n); t.pushed == v.Token {
-			t.pushed = 0
+	for _, id := range m.taskIDsCopy() { // nothing was carried out
+		if t := c.jobs[id.job].task(id.index); t.directStartToken == v.Token {
+			t.directStartToken = 0
 		}
 	}
 }
--- a/internal/core/condition.go
+++ b/internal/core/condition.go
@@ -5,71 +5,71 @@
 type condition string
 
 const (
-	well          condition = "well"
-	reading       condition = "reading the state service"
-	refusedAlone  condition = "the state service refuses this controller, others have it"
-	unansweredOne condition = "the state service does not answer this controller, others have it"
-	storeAway     condition = "the state service is away, for other controllers too"
-	onlyWorkers   condition = "neither the state service nor other controllers answer, workers do"
-	cutFromAll    condition = "nothing answers: this controller is cut off"
-	noWorkers     condition = "no worker reaches this controller"
+	conditionHealthy          condition = "well"
+	conditionReading          condition = "reading the state service"
+	conditionRefusedAlone     condition = "the state service refuses this controller, others have it"
+	conditionUnansweredAlone  condition = "the state service does not answer this controller, others have it"
+	conditionStoreUnavailable condition = "the state service is away, for other controllers too"
+	conditionOnlyWorkers      condition = "neither the state service nor other controllers answer, workers do"
+	conditionIsolated         condition = "nothing answers: this controller is cut off"
+	conditionNoWorkers        condition = "no worker reaches this controller"
 )
 
-// conditionAfter is how long the state service must not answer before it is said.
-const conditionAfter = 3 * Second / 2
+// storeSilenceTolerance is how long the state service must not answer before it is said.
+const storeSilenceTolerance = 3 * Second / 2
 
-func (c *Core) conditionNow() condition {
+func (c *Controller) currentCondition() condition {
 	switch {
-	case c.storeBad > 0 && c.now > c.storeBad+conditionAfter:
+	case c.unavailableSince > 0 && c.now > c.unavailableSince+storeSilenceTolerance:
 		return c.conditionWithoutStore()
 	case !c.synced:
-		return reading
-	case c.cutOff || c.unreached > 0:
-		return noWorkers
+		return conditionReading
+	case c.isolatedFromWorkers || c.unreachedSince > 0:
+		return conditionNoWorkers
 	}
-	return well
+	return conditionHealthy
 }
 
 // conditionWithoutStore tells what else a controller lost that the state service
 // does not answer.
-func (c *Core) conditionWithoutStore() condition {
+func (c *Controller) conditionWithoutStore() condition {
 	// Without machines none can be heard.
-	silent := len(c.machines) >= 2 && c.now > c.heardAt+c.silence()
+	silent := len(c.machines) >= 2 && c.now > c.lastWorkerContactAt+c.silenceTimeout()
 	switch {
-	case c.othersAble() && c.storeRefuses:
-		return refusedAlone
-	case c.othersAble():
-		return unansweredOne
-	case c.hearsPeers():
-		return storeAway
+	case c.healthyPeerKnown() && c.refusing:
+		return conditionRefusedAlone
+	case c.healthyPeerKnown():
+		return conditionUnansweredAlone
+	case c.hearsAnyPeer():
+		return conditionStoreUnavailable
 	case silent:
-		return cutFromAll
+		return conditionIsolated
 	}
-	return onlyWorkers
+	return conditionOnlyWorkers
 }
 
-// hearsPeers tells whether another controller was heard of late; one without others
+// hearsAnyPeer tells whether another controller was heard of late; one without others
 // hears all that there are.
-func (c *Core) hearsPeers() bool {
-	for _, h := range c.heartbeats {
-		if c.now < h.at+4*Second {
+func (c *Controller) hearsAnyPeer() bool {
+	for _, h := range c.peers {
+		if c.now < h.lastHeartbeatAt+4*Second {
 			return true
 		}
 	}
-	return len(c.set.Nodes) == 1
+	return len(c.settings.Nodes) == 1
 }
 
-// watchCondition says when it changes.
-func (c *Core) watchCondition() {
-	now := c.conditionNow()
-	if now != c.conditionNew {
-		c.conditionNew, c.newAt = now, c.now
+// trackCondition says when it changes.
+func (c *Controller) trackCondition() {
+	now := c.currentCondition()
+	if now != c.observedCondition {
+		c.observedCondition, c.observedSince = now, c.now
 	}
-	if now == c.condition || c.now < c.newAt+Second {
+	if now == c.condition || c.now < c.observedSince+Second {
 		return // one that passes is not said
 	}
 	if c.condition != "" {
-		c.warn("condition", "now", string(now), "before", string(c.condition), "for_s", (c.now-c.conditionAt)/Second)
+		c.logWarn("condition", "now", string(now), "before", string(c.condition), "for_s", (c.now-c.conditionSince)/Second)
 	}
-	c.condition, c.conditionAt = now, c.now
+	c.condition, c.conditionSince = now, c.now
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -24,21 +24,21 @@
 // Second is one second in whole microseconds.
 const Second = sched.Second
 
-// Core is one controller's state, grouped by what each group is about.
-type Core struct {
-	set *settings.Settings
-	rng *rand.Rand
-	inc uint64 // this process among all that ever bore the node's name
-	now int64
-	out []Effect
-
-	nextCall uint64
-	store    map[uint64]func(*StoreReply) // what awaits an answer
-	cloud    map[uint64]func(*CloudReply)
+// Controller is one controller's state, grouped by what each group is about.
+type Controller struct {
+	settings    *settings.Settings
+	random      *rand.Rand
+	incarnation uint64 // this process among all that ever bore the node's name
+	now         int64
+	effects     []Effect
+
+	nextCall   uint64
+	storeCalls map[uint64]func(*StoreReply) // what awaits an answer
+	cloudCalls map[uint64]func(*CloudReply)
 
 	replica
 	leaseState
-	dutyState
+	roleState
 	storeHealth
 	writeState
 	cloudState
@@ -46,284 +46,284 @@
 	peerState
 	workerReach
 
-	tickAt int64
+	nextTickAt int64
 }
 
 // replica is what is known of the live keys of the state service. It changes only by
 // what the watch and reads show, in the order of their revisions, and by our own
 // writes once they were answered.
 type replica struct {
-	synced     bool
-	rev        uint64
-	replicaAt  int64 // the replica shows all that was committed before then
-	partitions []*partition
-	machines   map[string]*machine
-	order      []*machine        // by name
-	tombstones map[string]origin // machines deleted, while some log still names them
-	rows       map[string]int    // how many entries of all logs name a machine
-	adoptVer   uint64
-	jobs       map[string]*job
-	usage      map[string]*sched.Res // of each team
-	finals     *finals
-
-	needs       map[string]*dependency
-	needsToRead []string // of the needs those whose final records are to be read
-	unsureAt    int64    // not before
-	needReads   int      // final records being read for needs
-
-	waitingReads []func(ok bool) // wait for a read begun after they asked
-	reading      bool
-	watching     bool
-	watchAt      int64
-	readAt       int64
-	relist       *relisting
+	synced          bool
+	revision        uint64
+	currentAsOf     int64 // the replica shows all that was committed before then
+	partitions      []*partition
+	machines        map[string]*machine
+	machinesByName  []*machine              // by name
+	tombstones      map[string]recordOrigin // machines deleted, while some log still names them
+	logReferences   map[string]int          // how many entries of all logs name a machine
+	adoptionVersion uint64
+	jobs            map[string]*job
+	teamUsage       map[string]*sched.Resources // of each team
+	terminalStates  *terminalCache
+
+	dependencies      map[string]*dependency
+	outcomesToRead    []string // of the needs those whose final records are to be read
+	nextOutcomeReadAt int64    // not before
+	outcomeReads      int      // final records being read for needs
+
+	pendingReads  []func(ok bool) // wait for a read begun after they asked
+	readInFlight  bool
+	watchInFlight bool
+	nextWatchAt   int64
+	nextReadAt    int64
+	relist        *relist
 }
 
 // storeHealth is whether the state service answers, and what was said of it.
 type storeHealth struct {
-	storeOK  int64 // last answer from the state service
-	storeBad int64 // when it last began not to answer; 0: it answers
-	// storeRefuses: since it began to fail some of it were answers, not silence.
-	storeRefuses bool
-	condition    condition
-	conditionAt  int64
-	conditionNew condition // seen since newAt, not said yet
-	newAt        int64
+	lastReplyAt      int64 // last answer from the state service
+	unavailableSince int64 // when it last began not to answer; 0: it answers
+	// refusing: since it began to fail some of it were answers, not silence.
+	refusing          bool
+	condition         condition
+	conditionSince    int64
+	observedCondition condition // seen since newAt, not said yet
+	observedSince     int64
 }
 
 // writeState is what is being written, within the budget of changes.
 type writeState struct {
-	txns    []*transaction
-	writes  budget
-	turn    int // of the partitions to flush first
-	accepts int // submissions being recorded
+	transactions    []*transaction
+	budget          writeBudget
+	nextPartition   int // of the partitions to flush first
+	acceptsInFlight int // submissions being recorded
 }
 
 // cloudState is what is known of the cloud: its catalogue, what it refused of late,
 // how long machines boot, and its list.
 type cloudState struct {
-	types     []wire.MachineType
-	typeOf    map[string]*wire.MachineType
-	typesAt   int64
-	typesVer  uint64 // of the catalogue in the state service
-	typesKept string // its shape
-	typesBusy bool
-	pages     map[string]catalogPage // of the catalogue, by what follows its key
-	rentSeq   int
-	deletions deletions
-	refused   map[sched.Kind]int64
-	boots     map[string]boots // by type
-	listAt    int64
-	listing   bool
-	listed    map[string]*listedMachine
-	listRound int
-	sweeping  bool // this controller acts on the list
-	deleting  bool
-	// deleteTurn is which partition's machines are deleted next.
-	deleteTurn int
-	cloudBad   int64
+	machineTypes        []wire.MachineType
+	machineTypeByName   map[string]*wire.MachineType
+	nextCatalogReadAt   int64
+	catalogVersion      uint64 // of the catalogue in the state service
+	storedCatalogShape  string // its shape
+	catalogReadInFlight bool
+	catalogPages        map[string]storedCatalogPage // of the catalogue, by what follows its key
+	lastRequestNumber   int
+	recentDeletions     deletionLog
+	unavailableUntil    map[sched.InstanceKind]int64
+	bootTimes           map[string]bootTime // by type
+	nextListAt          int64
+	listInFlight        bool
+	listedInstances     map[string]*listedInstance
+	listRound           int
+	sweeping            bool // this controller acts on the list
+	deleteInFlight      bool
+	// nextDeletePartition is which partition's machines are deleted next.
+	nextDeletePartition int
+	nextDeleteAt        int64
 }
 
 // planState is when to plan, and what the last plans said.
 type planState struct {
-	cycleAt   int64
-	planAt    int64 // none before this time
-	wantCycle int64 // an early cycle is wanted at this time
-	summaryAt int64
-	urgent    map[string]urgency
-	why       map[string]string
-	ends      map[string]int64
-	reserved  map[string]sched.AdvanceReservation // machines kept for gangs that are due
+	nextCycleAt      int64
+	earliestPlanAt   int64 // none before this time
+	requestedCycleAt int64 // an early cycle is wanted at this time
+	nextSummaryAt    int64
+	urgencies        map[string]urgency
+	blockedReasons   map[string]string
+	expectedEnds     map[string]int64
+	reservations     map[string]sched.AdvanceReservation // machines kept for gangs that are due
 }
 
 // peerState is what is known of the other controllers, and what they are to be told.
 type peerState struct {
-	heartbeats map[string]*heard
-	schemas    map[string]int // by controller, the schema version that it is known to read
-	schemaAt   int64
-	// schemaVersion is that of our own announcement's key.
-	schemaVersion uint64
-	schemaAgreed  bool // all read ours; said so
-	heartbeatAt   int64
-	asks          []peer.Ask
-	notices       []cancellationNotice
+	peers                    map[string]*peerStatus
+	schemaVersions           map[string]int // by controller, the schema version that it is known to read
+	nextSchemaAnnouncementAt int64
+	// schemaKeyVersion is that of our own announcement's key.
+	schemaKeyVersion    uint64
+	schemaAgreed        bool // all read ours; said so
+	nextHeartbeatAt     int64
+	machineRequests     []peer.MachineRequest
+	cancellationNotices []cancellationNotice
 }
 
 // workerReach is whether workers reach us.
 type workerReach struct {
-	noTakeoverBefore int64 // takes no partition over before this
-	unreached        int64
-	heardAt          int64 // any worker, of whatever partition
-	cutOff           bool  // no worker reached us; none has answered since
-	probeAt          int64
-	probed           int
-	hearingSince     int64 // since when reports can be answered; 0: they can't
-	resumedAt        int64 // after a pause of the process
+	noFailoverBefore    int64 // takes no partition over before this
+	unreachedSince      int64
+	lastWorkerContactAt int64 // any worker, of whatever partition
+	isolatedFromWorkers bool  // no worker reached us; none has answered since
+	nextProbeAt         int64
+	nextProbeIndex      int
+	answeringSince      int64 // since when reports can be answered; 0: they can't
+	resumedAt           int64 // after a pause of the process
 }
 
-// finalsKept is how many final states are kept in memory.
-const finalsKept = 20_000
+// maxTerminalStates is how many final states are kept in memory.
+const maxTerminalStates = 20_000
 
 // New makes a controller. inc tells this process from earlier ones of the
 // same name; rng serves jitter alone.
-func New(set *settings.Settings, inc uint64, rng *rand.Rand) *Core {
-	c := &Core{set: set, rng: rng, inc: inc, store: map[uint64]func(*StoreReply){}, cloud: map[uint64]func(*CloudReply){}}
-	c.replica = replica{machines: map[string]*machine{}, jobs: map[string]*job{}, needs: map[string]*dependency{},
-		tombstones: map[string]origin{}, rows: map[string]int{}, finals: newFinals(finalsKept), usage: map[string]*sched.Res{}}
-	c.cloudState = cloudState{typeOf: map[string]*wire.MachineType{}, pages: map[string]catalogPage{}, deletions: deletions{at: map[string]int64{}},
-		refused: map[sched.Kind]int64{}, boots: map[string]boots{}, listed: map[string]*listedMachine{}}
-	c.planState = planState{why: map[string]string{}}
-	c.peerState = peerState{heartbeats: map[string]*heard{}, schemas: map[string]int{}}
-	c.lease.TTL = c.ttl()
-	c.dutyState = newDutyState()
-	for i := range set.Ops.Parts {
-		p := &partition{Holding: duty.Holding{ID: duty.OfPartition(i)}, idx: i, dirty: map[string]bool{}}
-		c.partitions, c.duties = append(c.partitions, p), append(c.duties, &p.Holding)
+func New(set *settings.Settings, inc uint64, rng *rand.Rand) *Controller {
+	c := &Controller{settings: set, random: rng, incarnation: inc, storeCalls: map[uint64]func(*StoreReply){}, cloudCalls: map[uint64]func(*CloudReply){}}
+	c.replica = replica{machines: map[string]*machine{}, jobs: map[string]*job{}, dependencies: map[string]*dependency{},
+		tombstones: map[string]recordOrigin{}, logReferences: map[string]int{}, terminalStates: newTerminalCache(maxTerminalStates), teamUsage: map[string]*sched.Resources{}}
+	c.cloudState = cloudState{machineTypeByName: map[string]*wire.MachineType{}, catalogPages: map[string]storedCatalogPage{}, recentDeletions: deletionLog{deletedAt: map[string]int64{}},
+		unavailableUntil: map[sched.InstanceKind]int64{}, bootTimes: map[string]bootTime{}, listedInstances: map[string]*listedInstance{}}
+	c.planState = planState{blockedReasons: map[string]string{}}
+	c.peerState = peerState{peers: map[string]*peerStatus{}, schemaVersions: map[string]int{}}
+	c.lease.TTL = c.leaseTTL()
+	c.roleState = newRoleState()
+	for i := range set.Operators.Partitions {
+		p := &partition{RoleState: duty.RoleState{Role: duty.PartitionRole(i)}, index: i, changedJobs: map[string]bool{}}
+		c.partitions, c.roles = append(c.partitions, p), append(c.roles, &p.RoleState)
 	}
-	c.duties = append(c.duties, c.fleet...)
-	for _, t := range set.Facts.Teams {
-		c.usage[t.Name] = &sched.Res{}
+	c.roles = append(c.roles, c.fleetRoles...)
+	for _, t := range set.Deployment.Teams {
+		c.teamUsage[t.Name] = &sched.Resources{}
 	}
 	return c
 }
 
 // Step takes one input at a time that never runs backwards.
-func (c *Core) Step(now int64, in Input) []Effect {
+func (c *Controller) Step(now int64, in Input) []Effect {
 	previous := c.now
 	c.now = max(c.now, now)
-	c.out = nil
-	c.notePause(previous)
-	c.take(in)
-	c.housekeep()
-	return c.out
+	c.effects = nil
+	c.detectPause(previous)
+	c.dispatch(in)
+	c.runPeriodicWork()
+	return c.effects
 }
 
-// take takes one input in.
-func (c *Core) take(in Input) {
+// dispatch takes one input in.
+func (c *Controller) dispatch(in Input) {
 	switch v := in.(type) {
 	case Tick:
 	case Submit:
-		c.submit(v)
-	case Poll:
-		c.poll(v)
+		c.handleSubmit(v)
+	case GetStatus:
+		c.handleStatus(v)
 	case Cancel:
-		c.cancel(v)
+		c.handleCancel(v)
 	case Explain:
-		c.explain(v)
+		c.handleExplain(v)
 	case Ready:
-		c.ready(v)
-	case ReportReceived:
-		c.report(v)
-	case CommandsAnswered:
-		c.commandsAnswered(v)
+		c.handleReady(v)
+	case WorkerHeartbeat:
+		c.handleWorkerHeartbeat(v)
+	case CommandReply:
+		c.handleCommandReply(v)
 	case *StoreReply:
-		c.storeReply(v)
+		c.handleStoreReply(v)
 	case *CloudReply:
-		c.cloudReply(v)
-	case HeartbeatReceived:
-		c.heartbeat(v.Heartbeat)
-	case ListDuties:
-		c.listDuties(v)
+		c.handleCloudReply(v)
+	case PeerHeartbeat:
+		c.handlePeerHeartbeat(v.Heartbeat)
+	case ListRoles:
+		c.handleListRoles(v)
 	case OrderRefused:
-		c.orderRefused(v)
+		c.countRefusedOrder(v)
 	case Stop:
-		c.stop()
+		c.beginStop()
 	}
 }
 
-// housekeep does what time and the last input made due.
-func (c *Core) housekeep() {
-	c.keepReplica()
-	c.keepLease()
-	c.keepNeeds()
-	c.flushes()
-	if c.now < c.tickAt {
+// runPeriodicWork does what time and the last input made due.
+func (c *Controller) runPeriodicWork() {
+	c.maintainWatch()
+	c.renewLease()
+	c.readUnknownOutcomes()
+	c.commitChanges()
+	if c.now < c.nextTickAt {
 		return
 	}
-	c.tickAt = c.now + Second/10
-	c.watchCondition()
-	c.noteHearing()
-	c.keepSchema()
-	c.keepExclusive()
-	c.keepRecording()
-	c.keepDuties()
-	c.keepMachines()
-	c.probe()
-	c.keepCloud()
-	c.cycle()
-	c.flushes()
-	c.sendHeartbeat()
+	c.nextTickAt = c.now + Second/10
+	c.trackCondition()
+	c.trackAnswering()
+	c.announceSchema()
+	c.trackExclusiveRoles()
+	c.trackRequestRecording()
+	c.reconcileRoles()
+	c.reconcileMachines()
+	c.probeWorkers()
+	c.reconcileCloud()
+	c.runSchedulingCycle()
+	c.commitChanges()
+	c.broadcastHeartbeat()
 	c.logSummary()
-	c.logRefused()
-	c.keepStopping()
+	c.logRefusedOrders()
+	c.completeStop()
 }
 
-func (c *Core) emit(e Effect) { c.out = append(c.out, e) }
+func (c *Controller) emit(e Effect) { c.effects = append(c.effects, e) }
 
-func (c *Core) log(level slog.Level, msg string, args ...any) {
+func (c *Controller) log(level slog.Level, msg string, args ...any) {
 	c.emit(Log{level, msg, args})
 }
 
-func (c *Core) debug(msg string, args ...any) { c.log(slog.LevelDebug, msg, args...) }
+func (c *Controller) logDebug(msg string, args ...any) { c.log(slog.LevelDebug, msg, args...) }
 
-func (c *Core) warn(msg string, args ...any) { c.log(slog.LevelWarn, msg, args...) }
+func (c *Controller) logWarn(msg string, args ...any) { c.log(slog.LevelWarn, msg, args...) }
 
-func (c *Core) fault(msg string, args ...any) { c.log(slog.LevelError, msg, args...) }
+func (c *Controller) logError(msg string, args ...any) { c.log(slog.LevelError, msg, args...) }
 
-func (c *Core) info(msg string, args ...any) { c.log(slog.LevelInfo, msg, args...) }
+func (c *Controller) logInfo(msg string, args ...any) { c.log(slog.LevelInfo, msg, args...) }
 
-func (c *Core) callStore(call StoreCall, f func(*StoreReply)) {
+func (c *Controller) callStore(call StoreCall, f func(*StoreReply)) {
 	c.nextCall++
 	call.Call = c.nextCall
-	c.store[call.Call] = f
+	c.storeCalls[call.Call] = f
 	c.emit(call)
 }
 
-func (c *Core) storeReply(r *StoreReply) {
-	f := c.store[r.Call]
+func (c *Controller) handleStoreReply(r *StoreReply) {
+	f := c.storeCalls[r.Call]
 	if f == nil {
 		return
 	}
-	delete(c.store, r.Call)
+	delete(c.storeCalls, r.Call)
 	switch {
 	case r.Unsent: // says nothing of the state service
 	case r.Status == 0 || r.Status >= 500:
-		c.storeRefuses = c.storeRefuses || r.Status != 0
-		if c.storeBad == 0 {
-			c.storeBad = c.now
+		c.refusing = c.refusing || r.Status != 0
+		if c.unavailableSince == 0 {
+			c.unavailableSince = c.now
 		}
 	case r.Status != 429:
-		c.storeOK, c.storeBad, c.storeRefuses = c.now, 0, false
+		c.lastReplyAt, c.unavailableSince, c.refusing = c.now, 0, false
 	}
 	f(r)
 }
 
-func (c *Core) callCloud(call CloudCall, f func(*CloudReply)) {
+func (c *Controller) callCloud(call CloudCall, f func(*CloudReply)) {
 	c.nextCall++
 	call.Call = c.nextCall
-	c.cloud[call.Call] = f
+	c.cloudCalls[call.Call] = f
 	c.emit(call)
 }
 
-func (c *Core) cloudReply(r *CloudReply) {
-	if f := c.cloud[r.Call]; f != nil {
-		delete(c.cloud, r.Call)
+func (c *Controller) handleCloudReply(r *CloudReply) {
+	if f := c.cloudCalls[r.Call]; f != nil {
+		delete(c.cloudCalls, r.Call)
 		f(r)
 	}
 }
 
 // jitter spreads d over 0.75 to 1.25 of itself.
-func (c *Core) jitter(d int64) int64 { return d*3/4 + c.rng.Int64N(d/2+1) }
+func (c *Controller) jitter(d int64) int64 { return d*3/4 + c.random.Int64N(d/2+1) }
 
-func (c *Core) answer(req uint64, status int, body any) {
-	c.emit(Answer{Req: req, Status: status, Body: body})
+func (c *Controller) answer(req uint64, status int, body any) {
+	c.emit(Answer{RequestID: req, Status: status, Body: body})
 }
 
 // refuse answers at once that the user should come back later.
-func (c *Core) refuse(req uint64, status int, why string, after int) {
-	c.emit(Answer{Req: req, Status: status, Body: wire.Error{Error: why}, RetryAfter: after})
+func (c *Controller) refuse(req uint64, status int, why string, after int) {
+	c.emit(Answer{RequestID: req, Status: status, Body: wire.Error{Error: why}, RetryAfterS: after})
 }
 
-func sorted[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
+func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
 
 func secs(s float64) int64 { return int64(s * float64(Second)) }
--- a/internal/core/elections.go
+++ b/internal/core/elections.go
@@ -12,162 +12,164 @@
 // wrote its key, which hangs on the holder's lease; its term is the version of that
 // key. Every write made under a duty guards that version.
 
-// takeoverStep is how much later than the one before each further candidate takes a
+// failoverStep is how much later than the one before each further candidate takes a
 // duty that came free.
-const takeoverStep = 3 * Second / 2
+const failoverStep = 3 * Second / 2
 
-// dutyKey is a duty's key in the state service.
-func dutyKey(id duty.ID) string {
-	if id.Kind == duty.Partition {
+// roleKey is a duty's key in the state service.
+func roleKey(id duty.Role) string {
+	if id.Kind == duty.PartitionLeader {
 		return partitionKey + strconv.Itoa(id.Index)
 	}
-	return fleetKey + id.String()
+	return fleetRoleKey + id.String()
 }
 
-// claim is what this process writes under the key of a duty that it takes.
-func (c *Core) claim() duty.Claim { return duty.Claim{Node: c.set.Node, Process: c.inc} }
+// leaderClaim is what this process writes under the key of a duty that it takes.
+func (c *Controller) leaderClaim() duty.Claim {
+	return duty.Claim{Node: c.settings.Node, Process: c.incarnation}
+}
 
 // grant gives the permission for something under a duty until our lease may have
 // ended; none without a lease that is known to hold.
-func (c *Core) grant(h *duty.Holding, action duty.Action) duty.Grant {
+func (c *Controller) grant(h *duty.RoleState, action duty.Action) duty.Grant {
 	if !c.leaseValid() {
 		return duty.Grant{}
 	}
-	return h.Grant(action, c.now, c.lease.Until())
+	return h.Grant(action, c.now, c.lease.ExpiresAt())
 }
 
 // commandGrant gives the permission to command workers: until the answer deadline.
-func (c *Core) commandGrant(p *partition) duty.Grant {
-	return p.Grant(duty.Command, c.now, c.answersUntil())
+func (c *Controller) commandGrant(p *partition) duty.Grant {
+	return p.Grant(duty.Command, c.now, c.answerDeadline())
 }
 
-// dutyChanged takes in a duty's key; version 0: it has none.
-func (c *Core) dutyChanged(h *duty.Holding, claim duty.Claim, version uint64) {
+// observeRole takes in a duty's key; version 0: it has none.
+func (c *Controller) observeRole(h *duty.RoleState, claim duty.Claim, version uint64) {
 	leased := c.lease.ID != 0
-	if h.Contradicts(claim, version, c.claim(), leased) {
-		c.loseDuty(h, "taken or expired")
+	if h.Contradicts(claim, version, c.leaderClaim(), leased) {
+		c.loseRole(h, "taken or expired")
 	}
-	if h.Observe(c.now, claim, version, c.claim(), leased) {
-		c.dutyTaken(h)
+	if h.Observe(c.now, claim, version, c.leaderClaim(), leased) {
+		c.roleAcquired(h)
 	}
 }
 
-// dutyTaken begins to act under a duty.
-func (c *Core) dutyTaken(h *duty.Holding) {
-	if h.ID.Kind == duty.Partition {
-		c.partitionTaken(c.partitions[h.ID.Index])
+// roleAcquired begins to act under a duty.
+func (c *Controller) roleAcquired(h *duty.RoleState) {
+	if h.Role.Kind == duty.PartitionLeader {
+		c.partitionAcquired(c.partitions[h.Role.Index])
 		return
 	}
-	c.info("duty taken over", "duty", h.ID.String(), "term", h.Term)
+	c.logInfo("duty taken over", "duty", h.Role.String(), "term", h.Term)
 }
 
-// loseDuty stops acting under a duty.
-func (c *Core) loseDuty(h *duty.Holding, why string) {
+// loseRole stops acting under a duty.
+func (c *Controller) loseRole(h *duty.RoleState, why string) {
 	h.End(c.now)
-	if h.ID.Kind == duty.Partition {
-		c.partitionLost(c.partitions[h.ID.Index], why)
+	if h.Role.Kind == duty.PartitionLeader {
+		c.partitionLost(c.partitions[h.Role.Index], why)
 		return
 	}
-	c.info("duty lost", "duty", h.ID.String(), "why", why)
+	c.logInfo("duty lost", "duty", h.Role.String(), "why", why)
 }
 
-// home is the controller that a duty belongs to by default, by its place among all.
-func (c *Core) home(id duty.ID) int {
+// defaultLeader is the controller that a duty belongs to by default, by its place among all.
+func (c *Controller) defaultLeader(id duty.Role) int {
 	at := id.Index
-	if id.Kind != duty.Partition {
-		at = len(c.partitions) + slices.Index(duty.FleetWide(), id)
+	if id.Kind != duty.PartitionLeader {
+		at = len(c.partitions) + slices.Index(duty.FleetRoles(), id)
 	}
-	return at % len(c.set.Nodes)
+	return at % len(c.settings.Nodes)
 }
 
-// takeoverRank is how many candidates come before a node for a duty. One that is
+// failoverRank is how many candidates come before a node for a duty. One that is
 // stopping is none.
-func (c *Core) takeoverRank(id duty.ID, node string) int {
-	n := len(c.set.Nodes)
+func (c *Controller) failoverRank(id duty.Role, node string) int {
+	n := len(c.settings.Nodes)
 	rank := 0
 	for i := range n {
-		candidate := c.set.Nodes[(c.home(id)+i)%n]
+		candidate := c.settings.Nodes[(c.defaultLeader(id)+i)%n]
 		if candidate == node {
 			break
 		}
-		if h := c.heartbeats[candidate]; h == nil || !h.stopping || c.now > h.at+leavingFor {
+		if h := c.peers[candidate]; h == nil || !h.stopping || c.now > h.lastHeartbeatAt+stoppingPeerTimeout {
 			rank++
 		}
 	}
 	return rank
 }
 
-// keepDuties takes the duties that are free for us, and gives back those that are
+// reconcileRoles takes the duties that are free for us, and gives back those that are
 // another's by default.
-func (c *Core) keepDuties() {
+func (c *Controller) reconcileRoles() {
 	if !c.synced {
 		return
 	}
-	for _, h := range c.duties {
-		switch wanted := c.wants(h); {
-		case h.Held() && !wanted:
-			c.resignDuty(h, c.unwantedWhy(h))
-		case h.Held():
-			c.handBack(h)
-		case wanted && !h.Taking && c.mayTake() && c.isFree(h):
-			c.takeDuty(h)
+	for _, h := range c.roles {
+		switch wanted := c.wantsRole(h); {
+		case h.Leads() && !wanted:
+			c.resignRole(h, c.resignReason(h))
+		case h.Leads():
+			c.returnToDefaultLeader(h)
+		case wanted && !h.Acquiring && c.mayAcquireRoles() && c.isVacant(h):
+			c.acquireRole(h)
 		}
 	}
 }
 
-// mayTake tells whether we are fit to take duties: with a lease that lasts for a while
+// mayAcquireRoles tells whether we are fit to take duties: with a lease that lasts for a while
 // yet, and not cut off.
-func (c *Core) mayTake() bool {
-	if c.lease.ID == 0 || c.now >= c.lease.SentAt+c.ttl()/2 || c.now < c.noTakeoverBefore {
+func (c *Controller) mayAcquireRoles() bool {
+	if c.lease.ID == 0 || c.now >= c.lease.RenewalSentAt+c.leaseTTL()/2 || c.now < c.noFailoverBefore {
 		return false
 	}
-	return !c.cutOff || !c.othersAble()
+	return !c.isolatedFromWorkers || !c.healthyPeerKnown()
 }
 
-// isFree tells whether a duty may be taken by us now: an earlier process of ours holds
+// isVacant tells whether a duty may be taken by us now: an earlier process of ours holds
 // it, or nobody does and it is our turn.
-func (c *Core) isFree(h *duty.Holding) bool {
+func (c *Controller) isVacant(h *duty.RoleState) bool {
 	if h.Term > 0 {
-		return h.Claim.Node == c.set.Node
+		return h.Claim.Node == c.settings.Node
 	}
-	return c.now >= h.FreeAt+int64(c.takeoverRank(h.ID, c.set.Node))*takeoverStep
+	return c.now >= h.VacantAt+int64(c.failoverRank(h.Role, c.settings.Node))*failoverStep
 }
 
-func (c *Core) takeDuty(h *duty.Holding) {
-	h.Taking = true
-	t := &transaction{grant: electionGrant, req: wire.Txn{If: []wire.Guard{{Key: dutyKey(h.ID), Version: h.Term}},
-		Then: []wire.Write{{Put: dutyKey(h.ID), Value: mustJSON(c.claim()), Lease: c.lease.ID}}}}
-	free := func() { h.Taking = false; h.FreeAt = max(h.FreeAt, c.now-Second) }
+func (c *Controller) acquireRole(h *duty.RoleState) {
+	h.Acquiring = true
+	t := &transaction{grant: electionGrant, request: wire.Transaction{Compares: []wire.Compare{{Key: roleKey(h.Role), Version: h.Term}},
+		Writes: []wire.Write{{Put: roleKey(h.Role), Value: mustMarshal(c.leaderClaim()), Lease: c.lease.ID}}}}
+	free := func() { h.Acquiring = false; h.VacantAt = max(h.VacantAt, c.now-Second) }
 	// Held only once the replica shows it: then it shows all before it too.
-	t.ok = func(uint64) { c.read(func(bool) { free() }) }
-	t.failed = free
-	c.txns = append(c.txns, t)
-	c.sendTxn(t)
+	t.onCommitted = func(uint64) { c.readLatest(func(bool) { free() }) }
+	t.onRefused = free
+	c.transactions = append(c.transactions, t)
+	c.sendTransaction(t)
 }
 
 // electionGrant permits to take a duty or to give it up: the write guards its key.
-func electionGrant() duty.Grant { return duty.Shared(duty.ForDuty, duty.Write) }
+func electionGrant() duty.Grant { return duty.SharedGrant(duty.ForElection, duty.Write) }
 
-// handBack returns a duty to the controller that it belongs to by default,
+// returnToDefaultLeader returns a duty to the controller that it belongs to by default,
 // once that one has been well for a while.
-func (c *Core) handBack(d *duty.Holding) {
-	owner := c.set.Nodes[c.home(d.ID)]
-	h := c.heartbeats[owner]
-	if owner == c.set.Node || c.now < d.TookAt+15*Second || h == nil || !h.storeOK || h.stopping || c.now > h.at+3*Second || c.now < h.since+8*Second {
+func (c *Controller) returnToDefaultLeader(d *duty.RoleState) {
+	owner := c.settings.Nodes[c.defaultLeader(d.Role)]
+	h := c.peers[owner]
+	if owner == c.settings.Node || c.now < d.AcquiredAt+15*Second || h == nil || !h.healthy || h.stopping || c.now > h.lastHeartbeatAt+3*Second || c.now < h.healthySince+8*Second {
 		return
 	}
-	c.resignDuty(d, "handed back to "+owner)
+	c.resignRole(d, "handed back to "+owner)
 }
 
-// resignDuty gives a duty up. We stop acting under it before the key goes.
-func (c *Core) resignDuty(h *duty.Holding, why string) {
+// resignRole gives a duty up. We stop acting under it before the key goes.
+func (c *Controller) resignRole(h *duty.RoleState, why string) {
 	term := h.Term
-	c.loseDuty(h, why)
+	c.loseRole(h, why)
 	h.Resign(c.now)
-	h.FreeAt = c.now + 3*Second
-	t := &transaction{grant: electionGrant, ok: func(uint64) {}, failed: func() {}}
-	t.req.If = []wire.Guard{{Key: dutyKey(h.ID), Version: term}}
-	t.req.Then = []wire.Write{{Delete: dutyKey(h.ID)}}
-	c.txns = append(c.txns, t)
-	c.sendTxn(t)
+	h.VacantAt = c.now + 3*Second
+	t := &transaction{grant: electionGrant, onCommitted: func(uint64) {}, onRefused: func() {}}
+	t.request.Compares = []wire.Compare{{Key: roleKey(h.Role), Version: term}}
+	t.request.Writes = []wire.Write{{Delete: roleKey(h.Role)}}
+	c.transactions = append(c.transactions, t)
+	c.sendTransaction(t)
 }
--- a/internal/core/entries.go
+++ b/internal/core/entries.go
@@ -6,18 +6,18 @@
 	"spurmoor/internal/wire"
 )
 
-// builder fills the log entries of a flush.
-type builder struct {
-	c     *Core
-	p     *partition
-	f     *flush
-	guard func(key string, ver uint64)
-	conds int
-	limit int // bytes of an entry
-	most  int // entries
-	slots int // new ones taken
-	grow  bool
-	seen  map[*task]bool
+// entryBuilder fills the log entries of a flush.
+type entryBuilder struct {
+	c           *Controller
+	partition   *partition
+	commit      *logCommit
+	compare     func(key string, ver uint64)
+	maxCompares int
+	entryLimit  int // bytes of an entry
+	maxEntries  int // entries
+	newSlots    int // new ones taken
+	growLog     bool
+	included    map[*task]bool
 }
 
 // openEntry begins an entry: in the oldest one's slot, with the rows and runs that
@@ -26,258 +26,258 @@
 // the oldest holds more than an entry may have now, for it was written when more
 // was admitted, or its runs were broken up, part of that goes into a new slot:
 // some flushes later the rest fits, and the log never stands still.
-func (b *builder) openEntry() bool {
-	k := len(b.f.entries)
-	if k >= b.most {
+func (b *entryBuilder) openEntry() bool {
+	k := len(b.commit.entries)
+	if k >= b.maxEntries {
 		return false
 	}
-	e := entry{seq: 1}
-	if n := len(b.p.log); n > 0 {
-		e.seq = b.p.log[n-1].seq + 1 + uint64(k)
+	e := logEntry{sequence: 1}
+	if n := len(b.partition.log); n > 0 {
+		e.sequence = b.partition.log[n-1].sequence + 1 + uint64(k)
 	}
-	reused := k - b.slots
-	b.f.size = 0
-	var rows []machineRow
-	var tasks []sentTask
-	fresh := b.grow || len(b.p.log)-reused < minSlots
+	reused := k - b.newSlots
+	b.commit.lastEntrySize = 0
+	var rows []machineRecord
+	var tasks []taskChange
+	fresh := b.growLog || len(b.partition.log)-reused < minLogSlots
 	if !fresh {
-		old := b.p.log[reused]
+		old := b.partition.log[reused]
 		size := 0
-		if rows, tasks, size = b.held(old); size > b.limit {
-			fresh, b.grow = true, true
+		if rows, tasks, size = b.carriedOver(old); size > b.entryLimit {
+			fresh, b.growLog = true, true
 		} else {
 			e.slot = old.slot
-			b.grow = size > b.limit/keptShare
+			b.growLog = size > b.entryLimit/carriedOverShare
 		}
 	}
 	if fresh {
-		e.slot = len(b.p.log) + b.slots
-		b.slots++
+		e.slot = len(b.partition.log) + b.newSlots
+		b.newSlots++
 	}
-	b.f.entries = append(b.f.entries, e)
+	b.commit.entries = append(b.commit.entries, e)
 	if k == 0 {
-		for _, o := range b.p.log {
+		for _, o := range b.partition.log {
 			if o.slot == e.slot {
-				b.f.was = o.ver
+				b.commit.previousSlotVersion = o.version
 			}
 		}
-		b.guard(slotKey(b.p.idx, e.slot), b.f.was)
+		b.compare(slotKey(b.partition.index, e.slot), b.commit.previousSlotVersion)
 	}
 	for _, r := range rows {
-		if b.f.size+r.size() > b.limit {
+		if b.commit.lastEntrySize+r.encodedSize() > b.entryLimit {
 			return true
 		}
-		b.row(r)
+		b.addMachine(r)
 	}
 	for _, s := range tasks {
-		if b.f.size+b.sizeOf(s) > b.limit {
+		if b.commit.lastEntrySize+b.sizeOf(s) > b.entryLimit {
 			return true
 		}
-		b.seen[s.j.touch(s.n)] = true
-		b.add(s)
+		b.included[s.job.ensureTask(s.index)] = true
+		b.addTask(s)
 	}
 	return true
 }
 
-// room has room for so many bytes, in a new entry if need be.
-func (b *builder) room(n int) bool {
-	for b.f.size+n > b.limit {
-		if b.f.size == 0 || !b.openEntry() {
+// reserveSpace has room for so many bytes, in a new entry if need be.
+func (b *entryBuilder) reserveSpace(n int) bool {
+	for b.commit.lastEntrySize+n > b.entryLimit {
+		if b.commit.lastEntrySize == 0 || !b.openEntry() {
 			return false
 		}
 	}
 	return true
 }
 
-// held is what an entry alone still holds, and how many bytes that is. Of a run
+// carriedOver is what an entry alone still holds, and how many bytes that is. Of a run
 // of tasks every second may be left, in as many runs.
-func (b *builder) held(old entry) ([]machineRow, []sentTask, int) {
-	rows, size := b.heldRows(old)
-	var tasks []sentTask
-	last := run{}
+func (b *entryBuilder) carriedOver(old logEntry) ([]machineRecord, []taskChange, int) {
+	rows, size := b.carriedOverMachines(old)
+	var tasks []taskChange
+	last := taskRun{}
 	for _, r := range old.runs {
 		j := b.c.jobs[r.Job]
-		if j == nil || j.over || slices.Contains(b.f.finals, j) {
+		if j == nil || j.terminal || slices.Contains(b.commit.terminalJobs, j) {
 			continue
 		}
-		for n := r.From; n < r.From+r.count() && n < j.spec.Tasks; n++ {
-			t := j.touch(n)
-			if t.logged != old.seq || b.seen[t] {
+		for n := r.First; n < r.First+r.taskCount() && n < j.spec.Tasks; n++ {
+			t := j.ensureTask(n)
+			if t.loggedIn != old.sequence || b.included[t] {
 				continue
 			}
-			gen := t.gen
+			gen := t.generation
 			if t.changed {
 				gen-- // what it became since is still to be committed
 			}
-			s := sentTask{j, n, gen, t.kept, 0}
+			s := taskChange{j, n, gen, t.committed, 0}
 			tasks = append(tasks, s)
-			if s.joins(last) {
-				size -= last.size()
-				last.N = last.count() + 1
+			if s.extends(last) {
+				size -= last.encodedSize()
+				last.Tasks = last.taskCount() + 1
 			} else {
-				last = s.run()
+				last = s.asRun()
 			}
-			size += last.size()
+			size += last.encodedSize()
 		}
 	}
 	return rows, tasks, size
 }
 
-// heldRows is which machines' records an entry alone still holds, and their size.
-func (b *builder) heldRows(old entry) ([]machineRow, int) {
-	var rows []machineRow
+// carriedOverMachines is which machines' records an entry alone still holds, and their size.
+func (b *entryBuilder) carriedOverMachines(old logEntry) ([]machineRecord, int) {
+	var rows []machineRecord
 	size := 0
-	for _, r := range old.rows {
-		here := origin{r.Epoch, b.p.idx, old.seq}
-		if m := b.c.machines[r.Name]; m != nil && m.from == here {
-			r = m.rec
-		} else if t, ok := b.c.tombstones[r.Name]; !ok || t != here || b.c.rows[r.Name] <= 1 {
+	for _, r := range old.machines {
+		here := recordOrigin{r.Epoch, b.partition.index, old.sequence}
+		if m := b.c.machines[r.Name]; m != nil && m.origin == here {
+			r = m.record
+		} else if t, ok := b.c.tombstones[r.Name]; !ok || t != here || b.c.logReferences[r.Name] <= 1 {
 			continue
 		}
-		size += r.size()
+		size += r.encodedSize()
 		rows = append(rows, r)
 	}
 	return rows, size
 }
 
-// run gives a task as a run of one.
-func (s sentTask) run() run {
-	return run{Job: s.j.id, From: s.n, State: s.s.state, Attempt: s.s.attempt, Machine: s.s.machine}
+// asRun gives a task as a run of one.
+func (s taskChange) asRun() taskRun {
+	return taskRun{Job: s.job.id, First: s.index, State: s.record.state, Attempt: s.record.attempt, Machine: s.record.machine}
 }
 
-// joins tells whether a task makes a run one longer.
-func (s sentTask) joins(r run) bool {
-	return r.Job == s.j.id && r.From+r.count() == s.n && (taskRecord{r.State, r.Attempt, r.Machine}) == s.s
+// extends tells whether a task makes a run one longer.
+func (s taskChange) extends(r taskRun) bool {
+	return r.Job == s.job.id && r.First+r.taskCount() == s.index && (taskRecord{r.State, r.Attempt, r.Machine}) == s.record
 }
 
 // sizeOf is how many bytes a task takes at the most.
-func (b *builder) sizeOf(s sentTask) int { return s.run().size() }
+func (b *entryBuilder) sizeOf(s taskChange) int { return s.asRun().encodedSize() }
 
-// add logs a task in the last entry, joined to the run before if it is like it.
-func (b *builder) add(s sentTask) {
-	last := &b.f.entries[len(b.f.entries)-1]
-	s.seq = last.seq
-	b.f.tasks = append(b.f.tasks, s)
-	if k := len(last.runs) - 1; k >= 0 && s.joins(last.runs[k]) {
+// addTask logs a task in the last entry, joined to the run before if it is like it.
+func (b *entryBuilder) addTask(s taskChange) {
+	last := &b.commit.entries[len(b.commit.entries)-1]
+	s.sequence = last.sequence
+	b.commit.tasks = append(b.commit.tasks, s)
+	if k := len(last.runs) - 1; k >= 0 && s.extends(last.runs[k]) {
 		r := &last.runs[k]
-		b.f.size -= r.size()
-		r.N = r.count() + 1
-		b.f.size += r.size()
+		b.commit.lastEntrySize -= r.encodedSize()
+		r.Tasks = r.taskCount() + 1
+		b.commit.lastEntrySize += r.encodedSize()
 		return
 	}
-	b.f.size += s.run().size()
-	last.runs = append(last.runs, s.run())
+	b.commit.lastEntrySize += s.asRun().encodedSize()
+	last.runs = append(last.runs, s.asRun())
 }
 
-func (b *builder) row(r machineRow) {
-	last := &b.f.entries[len(b.f.entries)-1]
-	last.rows = append(last.rows, r)
-	b.f.size += r.size()
+func (b *entryBuilder) addMachine(r machineRecord) {
+	last := &b.commit.entries[len(b.commit.entries)-1]
+	last.machines = append(last.machines, r)
+	b.commit.lastEntrySize += r.encodedSize()
 }
 
-// fresh records machines rented and adopted. Adoptions and rentals exclude
+// addNewMachines records machines rented and adopted. Adoptions and rentals exclude
 // each other: an adoption changes a key that rentals guard, and guards that no
 // other partition's log went on unseen, which would change its oldest slot or
 // begin a new one.
-func (b *builder) fresh() {
-	c, p := b.c, b.p
+func (b *entryBuilder) addNewMachines() {
+	c, p := b.c, b.partition
 	adopts := false
-	for _, n := range p.fresh {
-		n.rows = slices.DeleteFunc(n.rows, func(r machineRow) bool { return c.machines[r.Name] != nil })
+	for _, n := range p.machineBatches {
+		n.records = slices.DeleteFunc(n.records, func(r machineRecord) bool { return c.machines[r.Name] != nil })
 		if n.adopt && !adopts {
-			if len(b.f.req.If)+3*len(c.partitions) > b.conds || b.most <= len(b.f.entries) {
+			if len(b.commit.request.Compares)+3*len(c.partitions) > b.maxCompares || b.maxEntries <= len(b.commit.entries) {
 				continue
 			}
 			adopts = true
-			b.most--
-			b.f.req.Then = append(b.f.req.Then, wire.Write{Put: adoptKey, Value: mustJSON(struct{}{})})
+			b.maxEntries--
+			b.commit.request.Writes = append(b.commit.request.Writes, wire.Write{Put: adoptionKey, Value: mustMarshal(struct{}{})})
 			for _, o := range c.partitions {
 				if o == p {
 					continue
 				}
-				b.guard(slotKey(o.idx, len(o.log)), 0)
+				b.compare(slotKey(o.index, len(o.log)), 0)
 				if len(o.log) > 0 {
-					b.guard(slotKey(o.idx, o.log[0].slot), o.log[0].ver)
+					b.compare(slotKey(o.index, o.log[0].slot), o.log[0].version)
 				}
 			}
 		}
 		size := 0
-		for i := range n.rows {
-			n.rows[i].Epoch = c.tombstones[n.rows[i].Name].epoch + 1
-			size += n.rows[i].size()
+		for i := range n.records {
+			n.records[i].Epoch = c.tombstones[n.records[i].Name].epoch + 1
+			size += n.records[i].encodedSize()
 		}
-		if !b.room(size) {
+		if !b.reserveSpace(size) {
 			break
 		}
-		if len(b.f.fresh) == 0 {
-			b.guard(adoptKey, c.adoptVer)
+		if len(b.commit.machineBatches) == 0 {
+			b.compare(adoptionKey, c.adoptionVersion)
 		}
-		for _, r := range n.rows {
-			b.row(r)
+		for _, r := range n.records {
+			b.addMachine(r)
 		}
-		b.f.fresh = append(b.f.fresh, n)
+		b.commit.machineBatches = append(b.commit.machineBatches, n)
 	}
 }
 
-// ops records what is to become of machines.
-func (b *builder) ops() {
-	left := b.p.ops[:0]
-	for _, m := range b.p.ops {
-		if m.op != opNone && b.c.machines[m.name] == m && m.rec.Cur == b.p.idx {
+// addRecordChanges records what is to become of machines.
+func (b *entryBuilder) addRecordChanges() {
+	left := b.partition.recordChanges[:0]
+	for _, m := range b.partition.recordChanges {
+		if m.pendingChange != noRecordChange && b.c.machines[m.name] == m && m.record.Partition == b.partition.index {
 			left = append(left, m)
 		}
 	}
-	clear(b.p.ops[len(left):])
-	b.p.ops = left
+	clear(b.partition.recordChanges[len(left):])
+	b.partition.recordChanges = left
 	for _, m := range left {
-		r := m.rec
-		switch m.op {
-		case opDelete:
-			r.Gone = true
-		case opDropRecord:
-			r = machineRow{Name: r.Name, Cur: r.Cur, Dead: true, Epoch: r.Epoch + 1}
-		case opRaiseToken:
-			r.Token = 0
-		case opLend:
-			r.Cur, r.Token = m.opTo, 0
+		r := m.record
+		switch m.pendingChange {
+		case condemnRecord:
+			r.Condemned = true
+		case dropRecord:
+			r = machineRecord{Name: r.Name, Partition: r.Partition, Deleted: true, Epoch: r.Epoch + 1}
+		case raiseToken:
+			r.MinToken = 0
+		case transferRecord:
+			r.Partition, r.MinToken = m.transferTo, 0
 			r.Epoch++
 		}
-		if !b.room(r.size()) {
+		if !b.reserveSpace(r.encodedSize()) {
 			return
 		}
-		b.row(r)
-		b.f.ops = append(b.f.ops, sentOp{m, m.op})
+		b.addMachine(r)
+		b.commit.recordChanges = append(b.commit.recordChanges, recordChange{m, m.pendingChange})
 	}
 }
 
-// tasks logs what changed of tasks. A start guards its job's key: it and a
+// addTaskChanges logs what changed of tasks. A start guards its job's key: it and a
 // cancellation cannot both win.
-func (b *builder) tasks(ids []string) {
+func (b *entryBuilder) addTaskChanges(ids []string) {
 	for _, id := range ids {
 		j := b.c.jobs[id]
-		if j == nil || j.nChanged == 0 || slices.Contains(b.f.finals, j) {
+		if j == nil || j.changedTasks == 0 || slices.Contains(b.commit.terminalJobs, j) {
 			continue
 		}
 		guarded := false
-		for _, k := range j.chunkList() {
+		for _, k := range j.chunkIndexes() {
 			for i := range j.chunks[k] {
 				t := &j.chunks[k][i]
 				if !t.changed {
 					continue
 				}
-				if t.state == placed && !guarded {
-					if len(b.f.req.If) >= b.conds {
+				if t.state == taskPlaced && !guarded {
+					if len(b.commit.request.Compares) >= b.maxCompares {
 						continue
 					}
 					guarded = true
-					b.guard(jobKey+id, j.ver)
+					b.compare(jobKey+id, j.version)
 				}
-				s := sentTask{j, k*chunkSize + i, t.gen, t.taskRecord, 0}
-				if !b.room(b.sizeOf(s)) {
+				s := taskChange{j, k*chunkSize + i, t.generation, t.taskRecord, 0}
+				if !b.reserveSpace(b.sizeOf(s)) {
 					return
 				}
-				b.seen[t] = true
-				b.add(s)
+				b.included[t] = true
+				b.addTask(s)
 			}
 		}
 	}
--- a/internal/core/finals.go
+++ b/internal/core/finals.go
@@ -1,26 +1,26 @@
 package core
 
-// finals keeps the states of jobs lately over; the oldest give way.
-type finals struct {
-	state map[string]finalRecord
-	ring  []string
-	next  int
+// terminalCache keeps the states of jobs lately over; the oldest give way.
+type terminalCache struct {
+	records map[string]terminalRecord
+	order   []string
+	oldest  int
 }
 
-func newFinals(n int) *finals {
-	return &finals{state: map[string]finalRecord{}, ring: make([]string, 0, n)}
+func newTerminalCache(n int) *terminalCache {
+	return &terminalCache{records: map[string]terminalRecord{}, order: make([]string, 0, n)}
 }
 
-func (f *finals) add(id string, rec finalRecord) {
-	if _, ok := f.state[id]; ok {
+func (f *terminalCache) add(id string, rec terminalRecord) {
+	if _, ok := f.records[id]; ok {
 		return
 	}
-	f.state[id] = rec
-	if len(f.ring) < cap(f.ring) {
-		f.ring = append(f.ring, id)
+	f.records[id] = rec
+	if len(f.order) < cap(f.order) {
+		f.order = append(f.order, id)
 		return
 	}
-	delete(f.state, f.ring[f.next])
-	f.ring[f.next] = id
-	f.next = (f.next + 1) % len(f.ring)
+	delete(f.records, f.order[f.oldest])
+	f.order[f.oldest] = id
+	f.oldest = (f.oldest + 1) % len(f.order)
 }
--- a/internal/core/findings.go
+++ b/internal/core/findings.go
@@ -11,107 +11,109 @@
 // too. It tells them for a few seconds; nothing rests on it, for each judges by what
 // it knows itself, and a machine's silence is noticed without the list.
 
-// findings is what was found in the list and is told to the others.
-type findings struct {
-	failed   []finding
-	unlisted []finding
-	strays   []finding
+// listFindings is what was found in the list and is told to the others.
+type listFindings struct {
+	failed   []listFinding
+	unlisted []listFinding
+	orphans  []listFinding
 }
 
-// finding is something found in the cloud's list at a time.
-type finding struct {
-	stray peer.Stray // only its name, of a machine that is known
-	at    int64
+// listFinding is something found in the cloud's list at a time.
+type listFinding struct {
+	instance peer.Orphan // only its name, of a machine that is known
+	foundAt  int64
 }
 
 const (
-	findingsFor  = 5 * Second
-	maxFindings  = 100 // of a sort, in one message
-	strayGraceS  = 5   // beyond twice the lag of the list
-	unlistGraceS = 10
+	findingDuration = 5 * Second
+	maxFindings     = 100 // of a sort, in one message
+	orphanGraceS    = 5   // beyond twice the lag of the list
+	unlistGraceS    = 10
 )
 
-// tell notes something for the others.
-func (c *Core) tell(list *[]finding, stray peer.Stray) {
-	known := slices.ContainsFunc(*list, func(f finding) bool { return f.stray.Machine == stray.Machine })
+// addFinding notes something for the others.
+func (c *Controller) addFinding(list *[]listFinding, stray peer.Orphan) {
+	known := slices.ContainsFunc(*list, func(f listFinding) bool { return f.instance.Machine == stray.Machine })
 	if !known && len(*list) < maxFindings {
-		*list = append(*list, finding{stray, c.now})
+		*list = append(*list, listFinding{stray, c.now})
 	}
 }
 
-// current drops what was told for long enough and gives the rest.
-func (c *Core) current(list *[]finding) []finding {
-	*list = slices.DeleteFunc(*list, func(f finding) bool { return c.now > f.at+findingsFor })
+// currentFindings drops what was told for long enough and gives the rest.
+func (c *Controller) currentFindings(list *[]listFinding) []listFinding {
+	*list = slices.DeleteFunc(*list, func(f listFinding) bool { return c.now > f.foundAt+findingDuration })
 	return *list
 }
 
-func names(list []finding) []string {
+func findingNames(list []listFinding) []string {
 	var names []string
 	for _, f := range list {
-		names = append(names, f.stray.Machine)
+		names = append(names, f.instance.Machine)
 	}
 	return names
 }
 
-func strays(list []finding) []peer.Stray {
-	var strays []peer.Stray
+func findingOrphans(list []listFinding) []peer.Orphan {
+	var strays []peer.Orphan
 	for _, f := range list {
-		strays = append(strays, f.stray)
+		strays = append(strays, f.instance)
 	}
 	return strays
 }
 
-// foundFailed acts on a machine that the cloud lists as failed.
-func (c *Core) foundFailed(m *machine) {
-	if c.heldPartition(m) != nil {
-		c.remove(m, "failed")
+// handleFailedInstance acts on a machine that the cloud lists as failed.
+func (c *Controller) handleFailedInstance(m *machine) {
+	if c.ledPartition(m) != nil {
+		c.scaleIn(m, "failed")
 		return
 	}
-	c.tell(&c.findings.failed, peer.Stray{Machine: m.name})
+	c.addFinding(&c.findings.failed, peer.Orphan{Machine: m.name})
 }
 
-// foundUnlisted acts on a machine that the cloud listed once and does not any more.
-func (c *Core) foundUnlisted(name string) {
+// handleUnlistedInstance acts on a machine that the cloud listed once and does not any more.
+func (c *Controller) handleUnlistedInstance(name string) {
 	m := c.machines[name]
-	if m == nil || m.rec.Gone {
+	if m == nil || m.record.Condemned {
 		return
 	}
-	if c.heldPartition(m) == nil {
-		c.tell(&c.findings.unlisted, peer.Stray{Machine: name})
+	if c.ledPartition(m) == nil {
+		c.addFinding(&c.findings.unlisted, peer.Orphan{Machine: name})
 		return
 	}
-	if c.now > m.seenAt+c.unlistedAfter() {
-		c.remove(m, "no longer listed")
+	if c.now > m.lastSeenAt+c.unlistedTimeout() {
+		c.scaleIn(m, "no longer listed")
 	}
 }
 
-// unlistedAfter is how long a machine must be absent from the list, and silent, to be
+// unlistedTimeout is how long a machine must be absent from the list, and silent, to be
 // taken for gone.
-func (c *Core) unlistedAfter() int64 { return secs(2*c.set.Facts.Cloud.ListLagS + unlistGraceS) }
+func (c *Controller) unlistedTimeout() int64 {
+	return secs(2*c.settings.Deployment.Cloud.ListLagS + unlistGraceS)
+}
 
-// foundStray acts on a machine in the list of which no record is known.
-func (c *Core) foundStray(cm wire.CloudMachine) {
-	stray := peer.Stray{Machine: cm.ID, Type: cm.Type, Zone: cm.Zone, Spot: cm.Spot}
-	if !c.adopt(stray, "listed") {
-		c.tell(&c.findings.strays, stray)
+// handleOrphan acts on a machine in the list of which no record is known.
+func (c *Controller) handleOrphan(cm wire.Instance) {
+	stray := peer.Orphan{Machine: cm.ID, Type: cm.Type, Zone: cm.Zone, Spot: cm.Spot}
+	if !c.adoptOrphan(stray, "listed") {
+		c.addFinding(&c.findings.orphans, stray)
 	}
 }
 
-// takeFindings acts on what another controller found in the list.
-func (c *Core) takeFindings(h *peer.Heartbeat) {
+// applyPeerFindings acts on what another controller found in the list.
+func (c *Controller) applyPeerFindings(h *peer.Heartbeat) {
 	for _, name := range h.Failed {
-		if m := c.machines[name]; m != nil && c.heldPartition(m) != nil {
-			c.remove(m, "failed")
+		if m := c.machines[name]; m != nil && c.ledPartition(m) != nil {
+			c.scaleIn(m, "failed")
 		}
 	}
 	for _, name := range h.Unlisted {
-		if m := c.machines[name]; m != nil && c.heldPartition(m) != nil {
-			c.foundUnlisted(name)
+		if m := c.machines[name]; m != nil && c.ledPartition(m) != nil {
+			c.handleUnlistedInstance(name)
 		}
 	}
-	for _, stray := range h.Strays {
+	for _, stray := range h.Orphans {
 		if c.machines[stray.Machine] == nil {
-			c.adopt(stray, "listed")
+			c.adoptOrphan(stray, "listed")
 		}
 	}
 }
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -8,91 +8,91 @@
 	"spurmoor/internal/duty"
 )
 
-// dutyState is which duties there are, who holds them, and what was refused of what
+// roleState is which duties there are, who holds them, and what was refused of what
 // was ordered under them.
-type dutyState struct {
-	duties    []*duty.Holding // all: the partitions' first
-	fleet     []*duty.Holding // the fleet's
-	exclusive bool            // the fleet's have one holder each; said so
-	recording bool            // rentals are recorded before they are sent; said so
-	refusals  refusals
-	findings  findings
-	stopping  bool
-	stopped   bool
+type roleState struct {
+	roles             []*duty.RoleState // all: the partitions' first
+	fleetRoles        []*duty.RoleState // the fleet's
+	exclusive         bool              // the fleet's have one holder each; said so
+	recordingRequests bool              // rentals are recorded before they are sent; said so
+	refusedOrders     refusedOrderCounts
+	findings          listFindings
+	stopping          bool
+	stopped           bool
 }
 
-func newDutyState() dutyState {
-	s := dutyState{refusals: refusals{total: map[refusedOrder]int{}, burst: map[refusedOrder]int{}}}
-	for _, id := range duty.FleetWide() {
-		s.fleet = append(s.fleet, &duty.Holding{ID: id})
+func newRoleState() roleState {
+	s := roleState{refusedOrders: refusedOrderCounts{total: map[refusedOrder]int{}, burst: map[refusedOrder]int{}}}
+	for _, id := range duty.FleetRoles() {
+		s.fleetRoles = append(s.fleetRoles, &duty.RoleState{Role: id})
 	}
 	return s
 }
 
-// fleetDuty gives one of the fleet's duties.
-func (c *Core) fleetDuty(kind duty.Kind) *duty.Holding {
-	at := slices.IndexFunc(c.fleet, func(h *duty.Holding) bool { return h.ID.Kind == kind })
-	return c.fleet[at]
+// fleetRole gives one of the fleet's duties.
+func (c *Controller) fleetRole(kind duty.RoleKind) *duty.RoleState {
+	at := slices.IndexFunc(c.fleetRoles, func(h *duty.RoleState) bool { return h.Role.Kind == kind })
+	return c.fleetRoles[at]
 }
 
-// oneHolder tells whether a duty of the fleet has one holder: the operators want it so,
+// isExclusive tells whether a duty of the fleet has one holder: the operators want it so,
 // and every controller knows what the key means. Until then each does it, as the
 // versions before did, and the guards of its writes keep that safe.
-func (c *Core) oneHolder(kind duty.Kind) bool {
-	return c.set.Ops.Duties.Has(duty.ID{Kind: kind}) && c.allRead(formDuties)
+func (c *Controller) isExclusive(kind duty.RoleKind) bool {
+	return c.settings.Operators.Roles.IsExclusive(duty.Role{Kind: kind}) && c.allReadSchema(schemaRoles)
 }
 
 // fleetGrant gives the permission for something under a duty of the fleet.
-func (c *Core) fleetGrant(kind duty.Kind, action duty.Action) duty.Grant {
-	if !c.oneHolder(kind) {
-		return duty.Shared(duty.ForFleet, action)
+func (c *Controller) fleetGrant(kind duty.RoleKind, action duty.Action) duty.Grant {
+	if !c.isExclusive(kind) {
+		return duty.SharedGrant(duty.ForFleet, action)
 	}
-	return c.grant(c.fleetDuty(kind), action)
+	return c.grant(c.fleetRole(kind), action)
 }
 
-// mayDo tells whether this controller is the one to see to a duty of the fleet now.
-func (c *Core) mayDo(kind duty.Kind) bool {
+// mayPerform tells whether this controller is the one to see to a duty of the fleet now.
+func (c *Controller) mayPerform(kind duty.RoleKind) bool {
 	return c.fleetGrant(kind, duty.Write).Check(duty.Write, c.now) == ""
 }
 
-// wants tells whether we should hold a duty, or take it when it is free. Strays are
+// wantsRole tells whether we should hold a duty, or take it when it is free. Strays are
 // recorded in a partition, so who adopts them must hold one.
-func (c *Core) wants(h *duty.Holding) bool {
+func (c *Controller) wantsRole(h *duty.RoleState) bool {
 	switch {
 	case c.stopping:
 		return false
-	case h.ID.Kind == duty.Partition:
+	case h.Role.Kind == duty.PartitionLeader:
 		return true
-	case h.ID.Kind == duty.Strays && !c.holdsPartition():
+	case h.Role.Kind == duty.OrphanAdopter && !c.leadsAnyPartition():
 		return false
 	}
-	return c.oneHolder(h.ID.Kind)
+	return c.isExclusive(h.Role.Kind)
 }
 
-// unwantedWhy says why a duty that we hold is given up.
-func (c *Core) unwantedWhy(h *duty.Holding) string {
+// resignReason says why a duty that we hold is given up.
+func (c *Controller) resignReason(h *duty.RoleState) string {
 	switch {
 	case c.stopping:
 		return "this controller stops"
-	case c.oneHolder(h.ID.Kind):
+	case c.isExclusive(h.Role.Kind):
 		return "this controller holds no partition"
 	}
 	return "a controller does not know the fleet's duties"
 }
 
-// holdsPartition tells whether we hold any partition.
-func (c *Core) holdsPartition() bool {
-	return slices.ContainsFunc(c.partitions, func(p *partition) bool { return p.Held() })
+// leadsAnyPartition tells whether we hold any partition.
+func (c *Controller) leadsAnyPartition() bool {
+	return slices.ContainsFunc(c.partitions, func(p *partition) bool { return p.Leads() })
 }
 
-// applyFleetDuty takes in the key of one of the fleet's duties. One that can't be read
+// applyFleetRole takes in the key of one of the fleet's duties. One that can't be read
 // names no holder but is held: until its lease has run out nobody takes it.
-func (c *Core) applyFleetDuty(name string, value []byte, version uint64) error {
-	id, err := duty.ParseFleet(name)
+func (c *Controller) applyFleetRole(name string, value []byte, version uint64) error {
+	id, err := duty.ParseFleetRole(name)
 	if err != nil {
 		return nil // of a later version
 	}
-	h := c.fleetDuty(id.Kind)
+	h := c.fleetRole(id.Kind)
 	if h.Term >= version {
 		return nil
 	}
@@ -100,52 +100,52 @@
 	if err = json.Unmarshal(value, &claim); err != nil {
 		claim = duty.Claim{}
 	}
-	c.dutyChanged(h, claim, version)
+	c.observeRole(h, claim, version)
 	return err
 }
 
-// dropFleetDuty takes in that the key of one of the fleet's duties was deleted.
-func (c *Core) dropFleetDuty(name string, version uint64) {
-	if id, err := duty.ParseFleet(name); err == nil && c.fleetDuty(id.Kind).Term < version {
-		c.dutyChanged(c.fleetDuty(id.Kind), duty.Claim{}, 0)
+// deleteFleetRole takes in that the key of one of the fleet's duties was deleted.
+func (c *Controller) deleteFleetRole(name string, version uint64) {
+	if id, err := duty.ParseFleetRole(name); err == nil && c.fleetRole(id.Kind).Term < version {
+		c.observeRole(c.fleetRole(id.Kind), duty.Claim{}, 0)
 	}
 }
 
-// forgetFleet forgets who holds the fleet's duties, before everything is read again.
-func (c *Core) forgetFleet() {
-	for _, h := range c.fleet {
-		if h.Held() {
-			c.loseDuty(h, "everything is read again")
+// forgetFleetRoles forgets who holds the fleet's duties, before everything is read again.
+func (c *Controller) forgetFleetRoles() {
+	for _, h := range c.fleetRoles {
+		if h.Leads() {
+			c.loseRole(h, "everything is read again")
 		}
 		h.Forget(c.now)
 	}
 }
 
-// keepExclusive says when the fleet's duties begin or cease to have one holder each.
-func (c *Core) keepExclusive() {
-	now := len(c.set.Ops.Duties.Exclusive) > 0 && c.allRead(formDuties)
+// trackExclusiveRoles says when the fleet's duties begin or cease to have one holder each.
+func (c *Controller) trackExclusiveRoles() {
+	now := len(c.settings.Operators.Roles.Exclusive) > 0 && c.allReadSchema(schemaRoles)
 	if now != c.exclusive {
 		c.exclusive = now
-		c.info("the fleet's duties have one holder each", "exclusive", now, "duties", c.set.Ops.Duties.Exclusive)
+		c.logInfo("the fleet's duties have one holder each", "exclusive", now, "duties", c.settings.Operators.Roles.Exclusive)
 	}
 }
 
-// leavingFor is how long a controller that said that it stops is passed over when
+// stoppingPeerTimeout is how long a controller that said that it stops is passed over when
 // duties come free.
-const leavingFor = 10 * Second
+const stoppingPeerTimeout = 10 * Second
 
-// stop gives up all that we hold, so that others take it at once.
-func (c *Core) stop() {
+// beginStop gives up all that we hold, so that others take it at once.
+func (c *Controller) beginStop() {
 	c.stopping = true
-	c.info("controller stops")
-	c.heartbeatAt = c.now
-	c.sendHeartbeat()
-	c.keepDuties()
+	c.logInfo("controller stops")
+	c.nextHeartbeatAt = c.now
+	c.broadcastHeartbeat()
+	c.reconcileRoles()
 }
 
-// keepStopping tells when everything is given up.
-func (c *Core) keepStopping() {
-	if !c.stopping || c.stopped || slices.ContainsFunc(c.txns, func(t *transaction) bool { return !t.over }) {
+// completeStop tells when everything is given up.
+func (c *Controller) completeStop() {
+	if !c.stopping || c.stopped || slices.ContainsFunc(c.transactions, func(t *transaction) bool { return !t.settled }) {
 		return
 	}
 	c.stopped = true
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -6,88 +6,88 @@
 	"spurmoor/internal/peer"
 )
 
-type heard struct {
-	since   int64
-	at      int64
-	storeOK bool
-	idle    map[string]bool
-	form    int
-	writes  float64 // changes that it makes a second
+type peerStatus struct {
+	healthySince    int64
+	lastHeartbeatAt int64
+	healthy         bool
+	idleMachines    map[string]bool
+	schemaVersion   int
+	writeRate       float64 // changes that it makes a second
 	// stopping: it gives up what it holds, and ends.
 	stopping bool
 }
 
-// sendHeartbeat tells the other controllers how we are and what we want.
-func (c *Core) sendHeartbeat() {
-	if c.now < c.heartbeatAt {
+// broadcastHeartbeat tells the other controllers how we are and what we want.
+func (c *Controller) broadcastHeartbeat() {
+	if c.now < c.nextHeartbeatAt {
 		return
 	}
-	c.heartbeatAt = c.now + Second
-	able := c.synced && !c.stopping && !c.cutOff && c.now >= c.noTakeoverBefore && (c.storeBad == 0 || c.now < c.storeBad+Second) && c.lease.ID != 0
-	if w := &c.writes; c.now >= w.toldAt+Second {
-		w.rate = (w.rate + (w.sum-w.told)*float64(Second)/float64(c.now-w.toldAt)) / 2
-		w.told, w.toldAt = w.sum, c.now
+	c.nextHeartbeatAt = c.now + Second
+	able := c.synced && !c.stopping && !c.isolatedFromWorkers && c.now >= c.noFailoverBefore && (c.unavailableSince == 0 || c.now < c.unavailableSince+Second) && c.lease.ID != 0
+	if w := &c.budget; c.now >= w.measuredAt+Second {
+		w.spendRate = (w.spendRate + (w.spent-w.measuredSpent)*float64(Second)/float64(c.now-w.measuredAt)) / 2
+		w.measuredSpent, w.measuredAt = w.spent, c.now
 	}
 	f := &c.findings
-	c.emit(Broadcast{&peer.Heartbeat{Writes: max(0.01, c.writes.rate), Node: c.set.Node, StoreOK: able, Idle: c.idle(), Asks: c.asks,
-		Cancelled: c.pendingNotices(), Form: SchemaVersion, Stopping: c.stopping,
-		Failed: names(c.current(&f.failed)), Unlisted: names(c.current(&f.unlisted)), Strays: strays(c.current(&f.strays))}})
+	c.emit(Broadcast{&peer.Heartbeat{WriteRate: max(0.01, c.budget.spendRate), Node: c.settings.Node, Healthy: able, IdleMachines: c.idleOffers(), MachineRequests: c.machineRequests,
+		CancelledJobs: c.pendingNotices(), SchemaVersion: SchemaVersion, Stopping: c.stopping,
+		Failed: findingNames(c.currentFindings(&f.failed)), Unlisted: findingNames(c.currentFindings(&f.unlisted)), Orphans: findingOrphans(c.currentFindings(&f.orphans))}})
 }
 
 // cancellationNotice is a cancellation that we confirmed to its user.
 type cancellationNotice struct {
-	id string
-	at int64
+	job         string
+	confirmedAt int64
 }
 
 // A cancellation is told to the other controllers for a few seconds: its holder
 // may not see the state service, and its tasks then end sooner. Nothing rests on
 // it: an unknown or lost one is in effect within the answer deadline and a lease.
 const (
-	tellFor = 5 * Second
-	maxTold = 400
+	noticeDuration = 5 * Second
+	maxTold        = 400
 )
 
-func (c *Core) notifyCancelled(id string) {
-	if len(c.notices) < maxTold {
-		c.notices = append(c.notices, cancellationNotice{id, c.now})
+func (c *Controller) notifyCancelled(id string) {
+	if len(c.cancellationNotices) < maxTold {
+		c.cancellationNotices = append(c.cancellationNotices, cancellationNotice{id, c.now})
 	}
-	c.heartbeatAt = min(c.heartbeatAt, c.now)
+	c.nextHeartbeatAt = min(c.nextHeartbeatAt, c.now)
 }
 
-func (c *Core) pendingNotices() []string {
-	c.notices = slices.DeleteFunc(c.notices, func(t cancellationNotice) bool { return c.now > t.at+tellFor })
+func (c *Controller) pendingNotices() []string {
+	c.cancellationNotices = slices.DeleteFunc(c.cancellationNotices, func(t cancellationNotice) bool { return c.now > t.confirmedAt+noticeDuration })
 	var ids []string
-	for _, t := range c.notices {
-		ids = append(ids, t.id)
+	for _, t := range c.cancellationNotices {
+		ids = append(ids, t.job)
 	}
 	return ids
 }
 
-func (c *Core) heartbeat(h *peer.Heartbeat) {
-	if !slices.Contains(c.set.Nodes, h.Node) || h.Node == c.set.Node {
+func (c *Controller) handlePeerHeartbeat(h *peer.Heartbeat) {
+	if !slices.Contains(c.settings.Nodes, h.Node) || h.Node == c.settings.Node {
 		return
 	}
-	was := c.heartbeats[h.Node]
-	if was == nil || c.now > was.at+4*Second || !was.storeOK {
-		was = &heard{since: c.now}
-		c.heartbeats[h.Node] = was
+	was := c.peers[h.Node]
+	if was == nil || c.now > was.lastHeartbeatAt+4*Second || !was.healthy {
+		was = &peerStatus{healthySince: c.now}
+		c.peers[h.Node] = was
 	}
-	was.at, was.storeOK, was.idle, was.form, was.writes = c.now, h.StoreOK, map[string]bool{}, h.Form, h.Writes
+	was.lastHeartbeatAt, was.healthy, was.idleMachines, was.schemaVersion, was.writeRate = c.now, h.Healthy, map[string]bool{}, h.SchemaVersion, h.WriteRate
 	was.stopping = h.Stopping
-	c.noteSchema(h.Node, h.Form)
-	for _, i := range h.Idle {
-		was.idle[i.Machine] = true
+	c.observeSchema(h.Node, h.SchemaVersion)
+	for _, i := range h.IdleMachines {
+		was.idleMachines[i.Machine] = true
 	}
-	for _, id := range h.Cancelled {
-		if j := c.jobs[id]; j != nil && !j.over && !j.mustNotRun() {
-			c.info("cancelled, says another controller", "job", id, "by", h.Node)
-			j.noticed = true
-			c.stopJob(j)
+	for _, id := range h.CancelledJobs {
+		if j := c.jobs[id]; j != nil && !j.terminal && !j.mustNotRun() {
+			c.logInfo("cancelled, says another controller", "job", id, "by", h.Node)
+			j.cancelledElsewhere = true
+			c.requestJobStop(j)
 		}
 	}
 	if c.synced {
-		c.handleAsks(h.Asks)
-		c.takeFindings(h)
+		c.handleMachineRequests(h.MachineRequests)
+		c.applyPeerFindings(h)
 	}
 }
--- a/internal/core/job.go
+++ b/internal/core/job.go
@@ -15,9 +15,9 @@
 
 // States of tasks.
 const (
-	queued uint8 = iota
-	placed       // on its machine until proven gone
-	done
+	taskPending uint8 = iota
+	taskPlaced        // on its machine until proven gone
+	taskDone
 )
 
 // taskRecord is what the log keeps of a task.
@@ -29,95 +29,95 @@
 
 type task struct {
 	taskRecord
-	kept    taskRecord // as committed
-	changed bool       // differs from what was committed, or is being committed
-	gen     uint32     // counts changes
-	logged  uint64     // the log entry that last held it; 0: none
+	committed  taskRecord // as committed
+	changed    bool       // differs from what was committed, or is being committed
+	generation uint32     // counts changes
+	loggedIn   uint64     // the log entry that last held it; 0: none
 
 	// what is known since take-over only
-	seen     bool   // its machine has reported it
-	reported string // state last reported
-	since    int64  // running since
-	placedAt int64
-	leaving  int64 // told to stop since
-	grace    float64
-	holdOff  int64  // not to be placed before
-	pushed   uint64 // token of a direct start that may still be on its way
+	observed         bool   // its machine has reported it
+	reportedState    string // state last reported
+	runningSince     int64  // running since
+	placedAt         int64
+	stopRequestedAt  int64 // told to stop since
+	graceS           float64
+	notBefore        int64  // not to be placed before
+	directStartToken uint64 // token of a direct start that may still be on its way
 }
 
 type job struct {
-	id        string
-	spec      wire.Job
-	need      sched.Res
-	at        int64
-	cancelled bool  // its user or, doomed, that of a job that it needs did
-	noticed   bool  // another controller says that it told its user so
-	haltedAt  int64 // since when, at the earliest, as far as we know
-	ver       uint64
-	partition int
-	chunks    map[int][]task
-	nPlaced   int
-	nDone     int
-	nChanged  int  // tasks to commit
-	over      bool // its final state is committed, the replica not there yet
-
-	needs         []string // jobs that must be done first
-	openNeeds     int      // of those not done, or not known to be
-	unsure        int      // of those over, it is not known how
-	needed        int64    // when the last of them was done
-	needWithdrawn bool     // one of them is withdrawn
+	id                 string
+	spec               wire.Job
+	request            sched.Resources
+	acceptedAt         int64
+	cancelled          bool  // its user or, doomed, that of a job that it needs did
+	cancelledElsewhere bool  // another controller says that it told its user so
+	stopRequiredSince  int64 // since when, at the earliest, as far as we know
+	version            uint64
+	partition          int
+	chunks             map[int][]task
+	placedTasks        int
+	doneTasks          int
+	changedTasks       int  // tasks to commit
+	terminal           bool // its final state is committed, the replica not there yet
+
+	dependencies        []string // jobs that must be done first
+	pendingDependencies int      // of those not done, or not known to be
+	unknownDependencies int      // of those over, it is not known how
+	dependenciesDoneAt  int64    // when the last of them was done
+	dependencyCancelled bool     // one of them is withdrawn
 
 	endedAt int64 // when its final state was first due
 
-	placing  bool            // a gang whose start is being committed
-	avoid    map[string]bool // machines that it failed on
-	suspect  bool            // fails wherever it runs: submitted with a mistake
-	failedAt int64
-	failures int  // since this controller plans it
-	spoiled  bool // a task of this attempt of the gang has exited
-	holdOff  int64
-	backOff  int64
-	// reservedAt is since when machines are promised to it; unpromised, until
+	startUncommitted bool            // a gang whose start is being committed
+	failedMachines   map[string]bool // machines that it failed on
+	suspect          bool            // fails wherever it runs: submitted with a mistake
+	lastFailureAt    int64
+	failureCount     int  // since this controller plans it
+	attemptSpoiled   bool // a task of this attempt of the gang has exited
+	notBefore        int64
+	backoff          int64
+	// reservedSince is since when machines are promised to it; unpromised, until
 	// when none are any more, for it did not begin.
-	reservedAt, unpromised int64
-	zones                  map[string]int
+	reservedSince, noReservationBefore int64
+	tasksPerZone                       map[string]int
 }
 
 type taskID struct {
-	job string
-	n   int
+	job   string
+	index int
 }
 
-func (t taskID) String() string { return t.job + "/" + strconv.Itoa(t.n) }
+func (t taskID) String() string { return t.job + "/" + strconv.Itoa(t.index) }
 
 func (t taskID) compare(o taskID) int {
-	return cmp.Or(strings.Compare(t.job, o.job), cmp.Compare(t.n, o.n))
+	return cmp.Or(strings.Compare(t.job, o.job), cmp.Compare(t.index, o.index))
 }
 
-func parseTask(s string) (taskID, bool) {
+func parseTaskID(s string) (taskID, bool) {
 	id, num, ok := strings.Cut(s, "/")
 	n, err := strconv.Atoi(num)
 	return taskID{id, n}, ok && err == nil && n >= 0
 }
 
-// stopJob has a job's machines told at once that it must not run any more.
-func (c *Core) stopJob(j *job) {
-	if j.haltedAt == 0 {
-		j.haltedAt = c.replicaAt
+// requestJobStop has a job's machines told at once that it must not run any more.
+func (c *Controller) requestJobStop(j *job) {
+	if j.stopRequiredSince == 0 {
+		j.stopRequiredSince = c.currentAsOf
 	}
-	if j.nPlaced == 0 || !c.partitions[j.partition].Held() {
+	if j.placedTasks == 0 || !c.partitions[j.partition].Leads() {
 		return
 	}
-	for _, k := range j.chunkList() {
+	for _, k := range j.chunkIndexes() {
 		for i := range j.chunks[k] {
 			if m := c.machines[j.chunks[k][i].machine]; m != nil {
-				m.pushAt = min(m.pushAt, c.now)
+				m.nextCommandAt = min(m.nextCommandAt, c.now)
 			}
 		}
 	}
 }
 
-func (j *job) chunkList() []int {
+func (j *job) chunkIndexes() []int {
 	var list []int
 	for n := 0; n*chunkSize < j.spec.Tasks; n++ {
 		if j.chunks[n] != nil {
@@ -127,8 +127,8 @@
 	return list
 }
 
-// touch gives a task, made if nothing about it was known.
-func (j *job) touch(n int) *task {
+// ensureTask gives a task, made if nothing about it was known.
+func (j *job) ensureTask(n int) *task {
 	ch := j.chunks[n/chunkSize]
 	if ch == nil {
 		ch = make([]task, min(chunkSize, j.spec.Tasks-n/chunkSize*chunkSize))
@@ -148,99 +148,99 @@
 	return nil
 }
 
-// mark has a job looked at for what is to be committed.
-func (c *Core) mark(j *job) {
-	if p := c.partitions[j.partition]; p.Held() && c.jobs[j.id] == j && !j.over {
-		p.dirty[j.id] = true
+// markChanged has a job looked at for what is to be committed.
+func (c *Controller) markChanged(j *job) {
+	if p := c.partitions[j.partition]; p.Leads() && c.jobs[j.id] == j && !j.terminal {
+		p.changedJobs[j.id] = true
 	}
 }
 
-// change changes a task, to be committed.
-func (c *Core) change(j *job, n int, s taskRecord) {
-	t := j.touch(n)
+// changeTask changes a task, to be committed.
+func (c *Controller) changeTask(j *job, n int, s taskRecord) {
+	t := j.ensureTask(n)
 	if m := c.machines[t.machine]; m != nil && m.name != s.machine {
-		m.left[j.id] = true
+		m.departedJobs[j.id] = true
 	}
-	c.assign(j, n, s)
-	t.gen++
+	c.setTask(j, n, s)
+	t.generation++
 	if !t.changed {
 		t.changed = true
-		j.nChanged++
+		j.changedTasks++
 	}
-	c.mark(j)
+	c.markChanged(j)
 }
 
-// revert throws away what is not committed of a job.
-func (c *Core) revert(j *job) {
-	j.placing = false
-	for _, k := range j.chunkList() {
+// revertUncommitted throws away what is not committed of a job.
+func (c *Controller) revertUncommitted(j *job) {
+	j.startUncommitted = false
+	for _, k := range j.chunkIndexes() {
 		for i := range j.chunks[k] {
 			if t := &j.chunks[k][i]; t.changed {
-				c.assign(j, k*chunkSize+i, t.kept)
+				c.setTask(j, k*chunkSize+i, t.committed)
 			}
 		}
 	}
 }
 
-// durable tells whether what is known of a task is committed.
-func (j *job) durable(n int) bool {
+// isCommitted tells whether what is known of a task is committed.
+func (j *job) isCommitted(n int) bool {
 	t := j.task(n)
 	return t == nil || !t.changed
 }
 
-// assign changes a task and every count that depends on it.
-func (c *Core) assign(j *job, n int, s taskRecord) {
-	t := j.touch(n)
+// setTask changes a task and every count that depends on it.
+func (c *Controller) setTask(j *job, n int, s taskRecord) {
+	t := j.ensureTask(n)
 	if t.changed {
 		t.changed = false
-		j.nChanged--
+		j.changedTasks--
 	}
-	c.count(j, n, t, -1)
-	*t = task{taskRecord: s, kept: t.kept, gen: t.gen, logged: t.logged, placedAt: c.now, holdOff: t.holdOff}
-	c.count(j, n, t, 1)
-	if j.nPlaced == 0 {
-		j.spoiled = false
+	c.countTask(j, n, t, -1)
+	*t = task{taskRecord: s, committed: t.committed, generation: t.generation, loggedIn: t.loggedIn, placedAt: c.now, notBefore: t.notBefore}
+	c.countTask(j, n, t, 1)
+	if j.placedTasks == 0 {
+		j.attemptSpoiled = false
 	}
 }
 
-func (c *Core) count(j *job, n int, t *task, by int) {
+func (c *Controller) countTask(j *job, n int, t *task, by int) {
 	switch t.state {
-	case done:
-		j.nDone += by
-	case placed:
-		j.nPlaced += by
-		if u := c.usage[j.spec.Team]; u != nil {
-			*u = u.Add(j.need, int64(by))
+	case taskDone:
+		j.doneTasks += by
+	case taskPlaced:
+		j.placedTasks += by
+		if u := c.teamUsage[j.spec.Team]; u != nil {
+			*u = u.Add(j.request, int64(by))
 		}
 		if m := c.machines[t.machine]; m != nil {
-			c.countMachine(j, n, m, by)
+			c.countOnMachine(j, n, m, by)
 		}
 	}
 }
 
-func (c *Core) countMachine(j *job, n int, m *machine, by int) {
-	m.used = m.used.Add(j.need, int64(by))
-	j.zones[m.rec.Zone] += by
+func (c *Controller) countOnMachine(j *job, n int, m *machine, by int) {
+	m.allocated = m.allocated.Add(j.request, int64(by))
+	j.tasksPerZone[m.record.Zone] += by
 	id := taskID{j.id, n}
-	at, found := slices.BinarySearchFunc(m.tasksOn, id, taskID.compare)
+	at, found := slices.BinarySearchFunc(m.taskIDs, id, taskID.compare)
 	switch {
 	case by > 0 && !found:
-		m.tasksOn = slices.Insert(m.tasksOn, at, id)
+		m.taskIDs = slices.Insert(m.taskIDs, at, id)
 	case by < 0 && found:
-		m.tasksOn = slices.Delete(m.tasksOn, at, at+1)
-		if len(m.tasksOn) == 0 {
-			m.idleAt = c.now
+		m.taskIDs = slices.Delete(m.taskIDs, at, at+1)
+		if len(m.taskIDs) == 0 {
+			m.idleSince = c.now
 		}
 	}
 }
 
-// countOn counts the tasks of a job on a machine whose record came later
+// countTasksOn counts the tasks of a job on a machine whose record came later
 // than theirs.
-func (c *Core) countOn(j *job, m *machine) {
-	for _, k := range j.chunkList() {
+func (c *Controller) countTasksOn(j *job, m *machine) {
+	for _, k := range j.chunkIndexes() {
 		for i := range j.chunks[k] {
-			if t := &j.chunks[k][i]; t.state == placed && t.machine == m.name {
-				c.countMachine(j, k*chunkSize+i, m, 1)
+			if t := &j.chunks[k][i]; t.state == taskPlaced && t.machine == m.name {
+				c.countOnMachine(j, k*chunkSize+i, m, 1)
 			}
 		}
 	}
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -5,83 +5,83 @@
 	"spurmoor/internal/wire"
 )
 
-// origin says which row of which log told the latest of a machine.
-type origin struct {
-	epoch uint64
-	part  int
-	seq   uint64
+// recordOrigin says which row of which log told the latest of a machine.
+type recordOrigin struct {
+	epoch     uint64
+	partition int
+	sequence  uint64
 }
 
-// before tells whether a row tells something newer.
-func (o origin) before(row origin, cur int) bool {
+// olderThan tells whether a row tells something newer.
+func (o recordOrigin) olderThan(row recordOrigin, cur int) bool {
 	switch {
 	case row.epoch != o.epoch:
 		return o.epoch < row.epoch
-	case row.part == o.part:
-		return o.seq <= row.seq
+	case row.partition == o.partition:
+		return o.sequence <= row.sequence
 	}
-	return row.part == cur
+	return row.partition == cur
 }
 
 type machine struct {
-	name    string
-	rec     machineRow // Token: the least token, from its record
-	from    origin
-	typ     *wire.MachineType
-	used    sched.Res
-	tasksOn []taskID        // recorded here, in order
-	left    map[string]bool // jobs whose tasks left, perhaps not committed yet
+	name         string
+	record       machineRecord // Token: the least token, from its record
+	origin       recordOrigin
+	machineType  *wire.MachineType
+	allocated    sched.Resources
+	taskIDs      []taskID        // recorded here, in order
+	departedJobs map[string]bool // jobs whose tasks left, perhaps not committed yet
 
-	op   machineOp // change of its record that waits or is being committed
-	opTo int       // partition that it is to go to
+	pendingChange recordChangeKind // change of its record that waits or is being committed
+	transferTo    int              // partition that it is to go to
 
-	addr          string
-	session       uint64
-	seq           uint64
-	ready         bool  // it reported with our token
-	seenAt        int64 // last heard
-	reportAt      int64 // last report: where none comes its lease runs out, whatever else is heard
-	bornAt        int64 // rented
-	waitFrom      int64 // since when we wait for its first report
-	upAt          int64 // first report
-	deadAt        int64 // by then its lease has run out unless we answer again
-	pushAt        int64
-	pushing       bool
-	lastCommands  []wire.Command // by the last answer to a report
-	ignoringSince int64          // since when it needs to be told the same again; 0: it obeys
-	notice        int64          // taken at about this time; 0: no notice
-	idleAt        int64
-	images        []image
-	failures      failures
-	faulty        bool // fails what it is given: drained and returned
-	claim         string
-	claimTo       int64
-	reported      []wire.TaskReport
-	// startedBy is the highest token of a direct start sent there by us.
-	startedBy    uint64
-	startUnknown bool // a direct start had no answer: its token must be outdone
-	moveTo       int  // partition that is to get it once it is empty; -1: none
-	evict        bool // its tasks are stopped for the move
-	claimG       bool // the claim is by a guarantee
-	delSent      bool
-	delOK        bool
+	address           string
+	incarnation       uint64
+	heartbeatSequence uint64
+	tokenConfirmed    bool  // it reported with our token
+	lastSeenAt        int64 // last heard
+	lastHeartbeatAt   int64 // last report: where none comes its lease runs out, whatever else is heard
+	launchedAt        int64 // rented
+	awaitedSince      int64 // since when we wait for its first report
+	firstHeartbeatAt  int64 // first report
+	leaseExpiresAt    int64 // by then its lease has run out unless we answer again
+	nextCommandAt     int64
+	commandInFlight   bool
+	lastCommands      []wire.Command // by the last answer to a report
+	ignoringSince     int64          // since when it needs to be told the same again; 0: it obeys
+	interruptionAt    int64          // taken at about this time; 0: no notice
+	idleSince         int64
+	cachedImages      []cachedImage
+	failures          failureEvidence
+	quarantined       bool // fails what it is given: drained and returned
+	claimedBy         string
+	claimExpiresAt    int64
+	reportedTasks     []wire.TaskStatus
+	// highestStartToken is the highest token of a direct start sent there by us.
+	highestStartToken   uint64
+	startOutcomeUnknown bool // a direct start had no answer: its token must be outdone
+	moveToPartition     int  // partition that is to get it once it is empty; -1: none
+	preemptForMove      bool // its tasks are stopped for the move
+	claimGuaranteed     bool // the claim is by a guarantee
+	deleteSent          bool
+	deleteConfirmed     bool
 }
 
-// machineOp is a change of a machine's record.
-type machineOp int
+// recordChangeKind is a change of a machine's record.
+type recordChangeKind int
 
 const (
-	opNone       machineOp = iota
-	opDelete               // never to be used again, to be deleted
-	opDropRecord           // its record goes
-	opLend                 // to another partition
-	opRaiseToken           // its token rises
-	opCopyRecord           // into our log, from that of the partition that it came from
+	noRecordChange recordChangeKind = iota
+	condemnRecord                   // never to be used again, to be deleted
+	dropRecord                      // its record goes
+	transferRecord                  // to another partition
+	raiseToken                      // its token rises
+	copyRecord                      // into our log, from that of the partition that it came from
 )
 
-func (m *machine) busy() bool { return m.op != opNone }
+func (m *machine) recordChangePending() bool { return m.pendingChange != noRecordChange }
 
-type image struct {
-	name string
-	gb   float64
+type cachedImage struct {
+	name   string
+	sizeGB float64
 }
--- a/internal/core/messages.go
+++ b/internal/core/messages.go
@@ -19,68 +19,68 @@
 	Tick struct{}
 	// Submit is POST /work.
 	Submit struct {
-		Req  uint64
-		Body []byte
+		RequestID uint64
+		Body      []byte
 	}
-	// Poll is GET /work/{id}.
-	Poll struct {
-		Req uint64
-		ID  string
+	// GetStatus is GET /work/{id}.
+	GetStatus struct {
+		RequestID uint64
+		ID        string
 	}
 	// Cancel is POST /work/{id}/cancel.
 	Cancel struct {
-		Req uint64
-		ID  string
+		RequestID uint64
+		ID        string
 	}
 	// Explain is GET /why/{id}.
 	Explain struct {
-		Req uint64
-		ID  string
+		RequestID uint64
+		ID        string
 	}
 	// Ready is GET /ready.
-	Ready struct{ Req uint64 }
-	// ReportReceived is a worker's report.
-	ReportReceived struct {
-		Req    uint64
-		Report *wire.Report
+	Ready struct{ RequestID uint64 }
+	// WorkerHeartbeat is a worker's report.
+	WorkerHeartbeat struct {
+		RequestID uint64
+		Heartbeat *wire.Heartbeat
 	}
-	// CommandsAnswered answers SendCommands.
-	CommandsAnswered struct {
-		Machine string
-		Token   uint64
-		Starts  bool
-		Unsent  bool // too many were out: nothing left this process
-		Status  int
-		Report  *wire.Report
+	// CommandReply answers SendCommands.
+	CommandReply struct {
+		Machine   string
+		Token     uint64
+		Starts    bool
+		Unsent    bool // too many were out: nothing left this process
+		Status    int
+		Heartbeat *wire.Heartbeat
 	}
 	// StoreReply answers a StoreCall.
 	StoreReply struct {
-		Call   uint64
-		Status int
-		Unsent bool // its grant had ended: nothing left this process
-		Item   wire.Item
-		Items  wire.Items
-		Txn    wire.TxnResult
-		Follow wire.WatchResponse
-		Lease  uint64
+		Call        uint64
+		Status      int
+		Unsent      bool // its grant had ended: nothing left this process
+		Item        wire.KeyValue
+		Page        wire.KeyValuePage
+		Transaction wire.TransactionResult
+		Watch       wire.WatchResponse
+		Lease       uint64
 	}
 	// CloudReply answers a CloudCall.
 	CloudReply struct {
-		Call     uint64
-		Status   int
-		Unsent   bool // its grant had ended: nothing left this process
-		Catalog  wire.Catalog
-		Names    []string
-		Machines wire.MachineList
+		Call      uint64
+		Status    int
+		Unsent    bool // its grant had ended: nothing left this process
+		Catalog   wire.Catalog
+		Launched  []string
+		Instances wire.InstancePage
 	}
-	// HeartbeatReceived is a message of another controller.
-	HeartbeatReceived struct{ Heartbeat *peer.Heartbeat }
-	// ListDuties is GET /duties.
-	ListDuties struct{ Req uint64 }
+	// PeerHeartbeat is a message of another controller.
+	PeerHeartbeat struct{ Heartbeat *peer.Heartbeat }
+	// ListRoles is GET /duties.
+	ListRoles struct{ RequestID uint64 }
 	// OrderRefused tells that an order did not leave this process, for its grant
 	// did not permit it any more.
 	OrderRefused struct {
-		Duty   string
+		Role   string
 		Action duty.Action
 		Reason duty.Reason
 	}
@@ -96,30 +96,30 @@
 	// Answer answers a request of a user, worker or health check. The answer that
 	// renews a worker's lease is a duty.Order[wire.ReportResponse].
 	Answer struct {
-		Req        uint64
-		Status     int
-		Body       any
-		RetryAfter int
+		RequestID   uint64
+		Status      int
+		Body        any
+		RetryAfterS int
 	}
 	// StoreCall is a request to the state service.
 	StoreCall struct {
-		Call   uint64
-		Op     StoreOp
-		Key    string // get, list (after), extend (unused)
-		Since  uint64
-		WaitMs int
-		Lease  uint64
-		TTLMs  int64
-		Txn    duty.Order[*wire.Txn]
-		Urgent bool // lease renewals: not held back by the budget
+		Call        uint64
+		Op          StoreOp
+		Key         string // get, list (after), extend (unused)
+		Since       uint64
+		WaitMs      int
+		Lease       uint64
+		TTLMs       int64
+		Transaction duty.Order[*wire.Transaction]
+		Urgent      bool // lease renewals: not held back by the budget
 	}
 	// CloudCall is a request to the cloud.
 	CloudCall struct {
-		Call  uint64
-		Op    CloudOp
-		Rent  duty.Order[*wire.Rent]
-		Names duty.Order[[]string] // to be deleted
-		After string
+		Call   uint64
+		Op     CloudOp
+		Launch duty.Order[*wire.LaunchRequest]
+		Delete duty.Order[[]string] // to be deleted
+		After  string
 	}
 	// SendCommands sends commands to a worker directly.
 	SendCommands struct {
@@ -134,9 +134,9 @@
 	Stopped struct{}
 	// Log is a line for the log.
 	Log struct {
-		Level slog.Level
-		Msg   string
-		Args  []any
+		Level   slog.Level
+		Message string
+		Args    []any
 	}
 )
 
@@ -147,7 +147,7 @@
 const (
 	OpGet StoreOp = iota
 	OpList
-	OpTxn
+	OpTransaction
 	OpGrantLease
 	OpRenewLease
 	OpWatch
@@ -158,26 +158,26 @@
 
 // Requests to the cloud.
 const (
-	OpCatalog CloudOp = iota
-	OpRent
+	OpReadCatalog CloudOp = iota
+	OpLaunch
 	OpDelete
-	OpMachines
+	OpListInstances
 )
 
-func (Tick) input()              {}
-func (Submit) input()            {}
-func (Poll) input()              {}
-func (Cancel) input()            {}
-func (Explain) input()           {}
-func (Ready) input()             {}
-func (ReportReceived) input()    {}
-func (CommandsAnswered) input()  {}
-func (*StoreReply) input()       {}
-func (*CloudReply) input()       {}
-func (HeartbeatReceived) input() {}
-func (ListDuties) input()        {}
-func (OrderRefused) input()      {}
-func (Stop) input()              {}
+func (Tick) input()            {}
+func (Submit) input()          {}
+func (GetStatus) input()       {}
+func (Cancel) input()          {}
+func (Explain) input()         {}
+func (Ready) input()           {}
+func (WorkerHeartbeat) input() {}
+func (CommandReply) input()    {}
+func (*StoreReply) input()     {}
+func (*CloudReply) input()     {}
+func (PeerHeartbeat) input()   {}
+func (ListRoles) input()       {}
+func (OrderRefused) input()    {}
+func (Stop) input()            {}
 
 func (Answer) effect()       {}
 func (StoreCall) effect()    {}
--- a/internal/core/needs.go
+++ b/internal/core/needs.go
@@ -14,237 +14,237 @@
 // nothing. A need whose key is gone was done or withdrawn; which of the two, the
 // order of the changes says, or its final record.
 
-// outcome is what became of a job that others need.
-type outcome uint8
+// dependencyOutcome is what became of a job that others need.
+type dependencyOutcome uint8
 
 const (
-	outcomeUnknown   outcome = iota // over; its final record is being read
-	unfinished                      // neither
-	outcomeDone                     // done
-	outcomeWithdrawn                // cancelled, or needs one that is
+	outcomeUnknown   dependencyOutcome = iota // over; its final record is being read
+	outcomePending                            // neither
+	outcomeDone                               // done
+	outcomeCancelled                          // cancelled, or needs one that is
 )
 
 // dependency is a job that unfinished others dependency.
 type dependency struct {
-	outcome
-	at int64 // when it was done
-	by []*job
+	dependencyOutcome
+	doneAt     int64 // when it was done
+	dependents []*job
 }
 
-// maxReads bounds the final records being read at a time for needs.
-const maxReads = 32
+// maxOutcomeReads bounds the final records being read at a time for needs.
+const maxOutcomeReads = 32
 
-// link notes what a job needs.
-func (c *Core) link(j *job) {
-	for _, id := range j.needs {
-		n := c.needs[id]
+// linkDependencies notes what a job needs.
+func (c *Controller) linkDependencies(j *job) {
+	for _, id := range j.dependencies {
+		n := c.dependencies[id]
 		if n == nil {
 			n = &dependency{}
-			if n.outcome, n.at = c.knownOutcome(id); n.outcome == outcomeUnknown {
-				c.needsToRead = append(c.needsToRead, id)
+			if n.dependencyOutcome, n.doneAt = c.knownOutcome(id); n.dependencyOutcome == outcomeUnknown {
+				c.outcomesToRead = append(c.outcomesToRead, id)
 			}
-			c.needs[id] = n
+			c.dependencies[id] = n
 		}
-		n.by = append(n.by, j)
+		n.dependents = append(n.dependents, j)
 	}
-	c.review(j)
+	c.reviewDependencies(j)
 }
 
-// unlink forgets what a job that is over needed.
-func (c *Core) unlink(j *job) {
-	for _, id := range j.needs {
-		n := c.needs[id]
+// unlinkDependencies forgets what a job that is over needed.
+func (c *Controller) unlinkDependencies(j *job) {
+	for _, id := range j.dependencies {
+		n := c.dependencies[id]
 		if n == nil {
 			continue
 		}
-		if n.by = slices.DeleteFunc(n.by, func(o *job) bool { return o == j }); len(n.by) == 0 {
-			delete(c.needs, id)
+		if n.dependents = slices.DeleteFunc(n.dependents, func(o *job) bool { return o == j }); len(n.dependents) == 0 {
+			delete(c.dependencies, id)
 		}
 	}
 }
 
 // knownOutcome tells what became of a job, as far as no read is needed for it.
-func (c *Core) knownOutcome(id string) (outcome, int64) {
-	if rec, ok := c.finals.state[id]; ok {
-		return rec.outcome(), rec.At
+func (c *Controller) knownOutcome(id string) (dependencyOutcome, int64) {
+	if rec, ok := c.terminalStates.records[id]; ok {
+		return rec.outcome(), rec.EndedAt
 	}
 	switch j := c.jobs[id]; {
 	case j == nil:
 		return outcomeUnknown, 0
 	case j.cancelled:
-		return outcomeWithdrawn, 0
+		return outcomeCancelled, 0
 	}
-	return unfinished, 0
+	return outcomePending, 0
 }
 
-func (r finalRecord) outcome() outcome {
-	if r.State == wire.Done {
+func (r terminalRecord) outcome() dependencyOutcome {
+	if r.State == wire.JobDone {
 		return outcomeDone
 	}
-	return outcomeWithdrawn
+	return outcomeCancelled
 }
 
-// settleNeed takes in what became of a job, and what follows for those that need it.
-func (c *Core) settleNeed(id string, o outcome, at int64) {
-	n := c.needs[id]
-	if n == nil || n.outcome == o || n.outcome >= outcomeDone {
+// settleOutcome takes in what became of a job, and what follows for those that need it.
+func (c *Controller) settleOutcome(id string, o dependencyOutcome, at int64) {
+	n := c.dependencies[id]
+	if n == nil || n.dependencyOutcome == o || n.dependencyOutcome >= outcomeDone {
 		return
 	}
-	if n.outcome, n.at = o, at; o == outcomeUnknown {
-		c.needsToRead = append(c.needsToRead, id)
+	if n.dependencyOutcome, n.doneAt = o, at; o == outcomeUnknown {
+		c.outcomesToRead = append(c.outcomesToRead, id)
 	}
-	for _, j := range n.by {
-		c.review(j)
+	for _, j := range n.dependents {
+		c.reviewDependencies(j)
 	}
 }
 
-// review works out anew whether a job must wait, and whether it is withdrawn.
-func (c *Core) review(j *job) {
-	had := j.openNeeds
-	j.openNeeds, j.unsure, j.needed = 0, 0, 0
-	for _, id := range j.needs {
-		switch n := c.needs[id]; n.outcome {
+// reviewDependencies works out anew whether a job must wait, and whether it is withdrawn.
+func (c *Controller) reviewDependencies(j *job) {
+	had := j.pendingDependencies
+	j.pendingDependencies, j.unknownDependencies, j.dependenciesDoneAt = 0, 0, 0
+	for _, id := range j.dependencies {
+		switch n := c.dependencies[id]; n.dependencyOutcome {
 		case outcomeDone:
-			j.needed = max(j.needed, n.at)
+			j.dependenciesDoneAt = max(j.dependenciesDoneAt, n.doneAt)
 			continue
 		case outcomeUnknown:
-			j.unsure++
-		case outcomeWithdrawn:
-			j.needWithdrawn = true
+			j.unknownDependencies++
+		case outcomeCancelled:
+			j.dependencyCancelled = true
 		}
-		j.openNeeds++
+		j.pendingDependencies++
 	}
-	if had > 0 && j.openNeeds == 0 {
-		c.debug("all that the job needs is done", "job", j.id, "after_s", (c.now-j.at)/Second)
-		c.planWithin(0)
+	if had > 0 && j.pendingDependencies == 0 {
+		c.logDebug("all that the job needs is done", "job", j.id, "after_s", (c.now-j.acceptedAt)/Second)
+		c.requestPlanWithin(0)
 	}
-	if j.needWithdrawn && !j.cancelled {
+	if j.dependencyCancelled && !j.cancelled {
 		j.cancelled = true
-		c.debug("job withdrawn with one that it needs", "job", j.id)
-		c.mark(j)
-		c.settleNeed(j.id, outcomeWithdrawn, 0)
+		c.logDebug("job withdrawn with one that it needs", "job", j.id)
+		c.markChanged(j)
+		c.settleOutcome(j.id, outcomeCancelled, 0)
 	}
 }
 
-// from is when a job could have started: its times count from there.
-func (j *job) from() int64 { return max(j.at, j.needed) }
+// eligibleAt is when a job could have started: its times count from there.
+func (j *job) eligibleAt() int64 { return max(j.acceptedAt, j.dependenciesDoneAt) }
 
-// begun tells whether some task was started, so that all it needs is done.
-func (j *job) begun() bool { return j.nPlaced+j.nDone > 0 }
+// hasStarted tells whether some task was started, so that all it needs is done.
+func (j *job) hasStarted() bool { return j.placedTasks+j.doneTasks > 0 }
 
-// final tells what a job that vanished from the replica had become, if that is
+// terminalOutcome tells what a job that vanished from the replica had become, if that is
 // known. A cancellation changes the job's key before its end does, and a final
 // state guards the version that it follows: without one the job was done.
-func (c *Core) final(j *job) (finalRecord, bool) {
-	if rec, ok := c.finals.state[j.id]; ok {
+func (c *Controller) terminalOutcome(j *job) (terminalRecord, bool) {
+	if rec, ok := c.terminalStates.records[j.id]; ok {
 		return rec, true
 	}
 	switch {
 	case j.cancelled:
-		return finalRecord{State: wire.Cancelled, Done: j.nDone}, true
-	case j.unsure > 0 && !j.begun():
-		return finalRecord{}, false
+		return terminalRecord{State: wire.JobCancelled, DoneTasks: j.doneTasks}, true
+	case j.unknownDependencies > 0 && !j.hasStarted():
+		return terminalRecord{}, false
 	}
-	return finalRecord{State: wire.Done, Done: j.spec.Tasks, At: c.now}, true
+	return terminalRecord{State: wire.JobDone, DoneTasks: j.spec.Tasks, EndedAt: c.now}, true
 }
 
-// keepNeeds reads the final records of needs that were over before the replica
+// readUnknownOutcomes reads the final records of needs that were over before the replica
 // could show how, a few at a time.
-func (c *Core) keepNeeds() {
-	if !c.synced || c.now < c.unsureAt {
+func (c *Controller) readUnknownOutcomes() {
+	if !c.synced || c.now < c.nextOutcomeReadAt {
 		return
 	}
-	for len(c.needsToRead) > 0 && c.needReads < maxReads/2 {
-		id := c.needsToRead[0]
-		c.needsToRead = c.needsToRead[1:]
-		if n := c.needs[id]; n == nil || n.outcome != outcomeUnknown {
+	for len(c.outcomesToRead) > 0 && c.outcomeReads < maxOutcomeReads/2 {
+		id := c.outcomesToRead[0]
+		c.outcomesToRead = c.outcomesToRead[1:]
+		if n := c.dependencies[id]; n == nil || n.dependencyOutcome != outcomeUnknown {
 			continue
 		}
 		if o, at := c.knownOutcome(id); o != outcomeUnknown {
-			c.settleNeed(id, o, at)
+			c.settleOutcome(id, o, at)
 			continue
 		}
-		c.readNeed(id, func(f found) {
-			if n := c.needs[id]; f != known && n != nil && n.outcome == outcomeUnknown {
-				if f == never {
-					c.fault("no trace of a job that others need", "job", id)
+		c.readOutcome(id, func(f lookupResult) {
+			if n := c.dependencies[id]; f != jobKnown && n != nil && n.dependencyOutcome == outcomeUnknown {
+				if f == jobNeverAccepted {
+					c.logError("no trace of a job that others need", "job", id)
 				}
-				c.needsToRead, c.unsureAt = append(c.needsToRead, id), c.now+c.jitter(Second/2)
+				c.outcomesToRead, c.nextOutcomeReadAt = append(c.outcomesToRead, id), c.now+c.jitter(Second/2)
 			}
 		})
 	}
 }
 
-// readNeed is readFinal for a need, of which so many are read at a time; what
+// readOutcome is readFinal for a need, of which so many are read at a time; what
 // users ask of jobs that are over does not count.
-func (c *Core) readNeed(id string, f func(found)) {
-	c.needReads++
-	c.readFinal(id, func(found found) {
-		c.needReads--
+func (c *Controller) readOutcome(id string, f func(lookupResult)) {
+	c.outcomeReads++
+	c.readTerminalRecord(id, func(found lookupResult) {
+		c.outcomeReads--
 		f(found)
 	})
 }
 
-// readFinal reads a job's final record, and notes what it says.
-func (c *Core) readFinal(id string, f func(found)) {
-	c.callStore(StoreCall{Op: OpGet, Key: overKey + id}, func(r *StoreReply) {
-		var rec finalRecord
+// readTerminalRecord reads a job's final record, and notes what it says.
+func (c *Controller) readTerminalRecord(id string, f func(lookupResult)) {
+	c.callStore(StoreCall{Op: OpGet, Key: terminalKey + id}, func(r *StoreReply) {
+		var rec terminalRecord
 		switch {
 		case r.Status == 404:
-			f(never)
+			f(jobNeverAccepted)
 		case r.Status == 200 && json.Unmarshal(r.Item.Value, &rec) == nil && rec.State != "":
-			c.finals.add(id, rec)
-			c.settleNeed(id, rec.outcome(), rec.At)
-			f(known)
+			c.terminalStates.add(id, rec)
+			c.settleOutcome(id, rec.outcome(), rec.EndedAt)
+			f(jobKnown)
 		default:
-			f(unknown)
+			f(lookupUnknown)
 		}
 	})
 }
 
-// checkNeeds makes sure that all jobs that a submission names were accepted, from a
+// verifyDependencies makes sure that all jobs that a submission names were accepted, from a
 // read begun after it arrived where the replica doesn't know one. It gives 0, or
 // the status of a refusal.
-func (c *Core) checkNeeds(spec *wire.Job, f func(status int, why string)) {
-	if len(c.unknownNeeds(spec)) == 0 {
-		f(c.judgeNeeds(spec))
+func (c *Controller) verifyDependencies(spec *wire.Job, f func(status int, why string)) {
+	if len(c.unknownDependencies(spec)) == 0 {
+		f(c.rejectServiceDependencies(spec))
 		return
 	}
-	c.read(func(ok bool) {
+	c.readLatest(func(ok bool) {
 		if !ok {
 			f(503, "the state service did not answer")
 			return
 		}
 		// What is left is over or was never accepted. A long list is read in
 		// several tries of its user, each of which finds more of it known.
-		list := c.unknownNeeds(spec)
+		list := c.unknownDependencies(spec)
 		if len(list) == 0 {
-			f(c.judgeNeeds(spec))
+			f(c.rejectServiceDependencies(spec))
 			return
 		}
-		most := max(0, maxReads-c.needReads)
+		most := max(0, maxOutcomeReads-c.outcomeReads)
 		if most == 0 {
 			f(503, "too many submissions that name others at a time")
 			return
 		}
 		all := len(list) <= most
-		c.readNeeds(list[:min(len(list), most)], func(missing string, failed bool) {
+		c.readOutcomes(list[:min(len(list), most)], func(missing string, failed bool) {
 			switch {
 			case missing != "":
 				f(422, missing+" was never accepted")
 			case failed || !all:
 				f(503, "not all jobs that it names could be looked up")
 			default:
-				f(c.judgeNeeds(spec))
+				f(c.rejectServiceDependencies(spec))
 			}
 		})
 	})
 }
 
-// unknownNeeds lists the jobs a submission names of which nothing is known.
-func (c *Core) unknownNeeds(spec *wire.Job) []string {
+// unknownDependencies lists the jobs a submission names of which nothing is known.
+func (c *Controller) unknownDependencies(spec *wire.Job) []string {
 	var list []string
-	for _, id := range spec.Needs {
+	for _, id := range spec.Dependencies {
 		if o, _ := c.knownOutcome(id); o == outcomeUnknown {
 			list = append(list, id)
 		}
@@ -252,27 +252,27 @@
 	return list
 }
 
-// judgeNeeds tells whether accepted jobs may be waited for.
-func (c *Core) judgeNeeds(spec *wire.Job) (status int, why string) {
-	for _, id := range spec.Needs {
-		if j := c.jobs[id]; j != nil && j.spec.Kind == wire.Daemon {
+// rejectServiceDependencies tells whether accepted jobs may be waited for.
+func (c *Controller) rejectServiceDependencies(spec *wire.Job) (status int, why string) {
+	for _, id := range spec.Dependencies {
+		if j := c.jobs[id]; j != nil && j.spec.Kind == wire.Service {
 			return 422, id + " is a service: it is never done"
 		}
 	}
 	return 0, ""
 }
 
-// readNeeds reads the final records of jobs, and tells which was never accepted,
+// readOutcomes reads the final records of jobs, and tells which was never accepted,
 // if any, and whether some could not be read.
-func (c *Core) readNeeds(list []string, f func(missing string, failed bool)) {
+func (c *Controller) readOutcomes(list []string, f func(missing string, failed bool)) {
 	left, missing, failed := len(list), "", false
 	for _, id := range list {
-		c.readNeed(id, func(found found) {
+		c.readOutcome(id, func(found lookupResult) {
 			left--
 			switch found {
-			case never:
+			case jobNeverAccepted:
 				missing = id
-			case unknown:
+			case lookupUnknown:
 				failed = true
 			}
 			if left == 0 {
@@ -282,19 +282,19 @@
 	}
 }
 
-// shorten leaves of what a job needs only what is not over: the rest says
+// dropSettledDependencies leaves of what a job needs only what is not over: the rest says
 // nothing any more. One that needs a withdrawn job is withdrawn itself.
-func (c *Core) shorten(rec *jobRecord) {
+func (c *Controller) dropSettledDependencies(rec *jobRecord) {
 	var left []string
-	for _, id := range rec.Spec.Needs {
+	for _, id := range rec.Spec.Dependencies {
 		switch o, _ := c.knownOutcome(id); o {
 		case outcomeDone:
-		case outcomeWithdrawn:
-			rec.Spec.Needs, rec.Cancelled = nil, true
+		case outcomeCancelled:
+			rec.Spec.Dependencies, rec.Cancelled = nil, true
 			return
 		default:
 			left = append(left, id)
 		}
 	}
-	rec.Spec.Needs = left
+	rec.Spec.Dependencies = left
 }
--- a/internal/core/packing.go
+++ b/internal/core/packing.go
@@ -7,22 +7,22 @@
 	"strconv"
 )
 
-// pack moves a job's needs into a form that takes a quarter of the room.
-func (r *jobRecord) pack() {
-	ids := slices.Clone(r.Spec.Needs)
+// packDependencies moves a job's needs into a form that takes a quarter of the room.
+func (r *jobRecord) packDependencies() {
+	ids := slices.Clone(r.Spec.Dependencies)
 	// By length, for leading zeros tell ids apart, then as numbers.
 	slices.SortFunc(ids, func(a, b string) int { return cmp.Or(cmp.Compare(len(a), len(b)), cmp.Compare(a, b)) })
-	r.Spec.Needs = nil
+	r.Spec.Dependencies = nil
 	for len(ids) > 0 {
 		same := slices.IndexFunc(ids, func(id string) bool { return len(id) != len(ids[0]) })
 		if same < 0 {
 			same = len(ids)
 		}
-		r.Packed = binary.AppendUvarint(binary.AppendUvarint(r.Packed, uint64(len(ids[0])-len(idPrefix))), uint64(same))
+		r.PackedDependencies = binary.AppendUvarint(binary.AppendUvarint(r.PackedDependencies, uint64(len(ids[0])-len(idPrefix))), uint64(same))
 		last := uint64(0)
 		for _, id := range ids[:same] {
 			n, _ := strconv.ParseUint(id[len(idPrefix):], 10, 64) // its form was checked
-			r.Packed = binary.AppendUvarint(r.Packed, n-last)
+			r.PackedDependencies = binary.AppendUvarint(r.PackedDependencies, n-last)
 			last = n
 		}
 		ids = ids[same:]
@@ -31,10 +31,10 @@
 
 const idPrefix = "wk-"
 
-// needs gives what a job needs, in whichever form it is kept.
-func (r *jobRecord) needs() []string {
-	ids := r.Spec.Needs
-	b := r.Packed
+// dependencies gives what a job needs, in whichever form it is kept.
+func (r *jobRecord) dependencies() []string {
+	ids := r.Spec.Dependencies
+	b := r.PackedDependencies
 	next := func() uint64 {
 		v, n := binary.Uvarint(b)
 		b = b[max(0, n):]
--- a/internal/core/pause.go
+++ b/internal/core/pause.go
@@ -1,47 +1,49 @@
 package core
 
-// pauseAfter is the gap between two inputs that counts as a pause of the
+// pauseThreshold is the gap between two inputs that counts as a pause of the
 // process. Ticks come every tenth of a second.
-const pauseAfter = 2 * Second
+const pauseThreshold = 2 * Second
 
-// hearPeersFor is how long after a pause a controller waits for the others'
+// peerGracePeriod is how long after a pause a controller waits for the others'
 // heartbeats before it takes their silence for theirs.
-const hearPeersFor = 3 * Second
+const peerGracePeriod = 3 * Second
 
-// notePause logs that the process did not run for a while although its clock
+// detectPause logs that the process did not run for a while although its clock
 // did, as after a virtual machine was suspended.
-func (c *Core) notePause(previous int64) {
-	if previous == 0 || c.now-previous < pauseAfter {
+func (c *Controller) detectPause(previous int64) {
+	if previous == 0 || c.now-previous < pauseThreshold {
 		return
 	}
-	c.hearingSince = 0
+	c.answeringSince = 0
 	c.resumedAt = c.now
-	c.warn("process was paused", "for_s", (c.now-previous)/Second, "lease_valid", c.leaseValid())
+	c.logWarn("process was paused", "for_s", (c.now-previous)/Second, "lease_valid", c.leaseValid())
 }
 
 // justResumed tells whether the process stood still so lately that it can't have
 // heard from the others since. One that resumed after its lease, but within its answer
 // deadline, once took their silence during its own pause for an outage of all, and
 // answered workers that another controller commanded by then.
-func (c *Core) justResumed() bool { return c.resumedAt > 0 && c.now < c.resumedAt+hearPeersFor }
+func (c *Controller) justResumed() bool {
+	return c.resumedAt > 0 && c.now < c.resumedAt+peerGracePeriod
+}
 
 // leaseValid tells whether our lease is known to hold now. Nothing is decided
 // without it: a controller that resumed after a long pause judged its machines
 // by its clock before it learned that others had taken its partition over, and
 // until then reported all their tasks as gone.
-func (c *Core) leaseValid() bool { return c.lease.Valid(c.now) }
+func (c *Controller) leaseValid() bool { return c.lease.Valid(c.now) }
 
-// noteHearing notes since when reports can be answered.
-func (c *Core) noteHearing() {
+// trackAnswering notes since when reports can be answered.
+func (c *Controller) trackAnswering() {
 	switch {
-	case !c.synced || !c.mayAnswer():
-		c.hearingSince = 0
-	case c.hearingSince == 0:
-		c.hearingSince = c.now
+	case !c.synced || !c.mayAnswerHeartbeats():
+		c.answeringSince = 0
+	case c.answeringSince == 0:
+		c.answeringSince = c.now
 	}
 }
 
-// since gives a time from which a machine's silence may be counted: none that was
+// silenceCountsFrom gives a time from which a machine's silence may be counted: none that was
 // ours. After an outage of 70 s in which no report could be answered, 77 of some 390
 // machines were returned as silent before their reports came again.
-func (c *Core) since(at int64) int64 { return max(at, c.hearingSince) }
+func (c *Controller) silenceCountsFrom(at int64) int64 { return max(at, c.answeringSince) }
--- a/internal/core/plan.go
+++ b/internal/core/plan.go
@@ -6,78 +6,78 @@
 	"spurmoor/internal/wire"
 )
 
-// planWithin wants a cycle no later than d from now.
-func (c *Core) planWithin(d int64) {
-	if at := c.now + d; c.wantCycle == 0 || at < c.wantCycle {
-		c.wantCycle = at
+// requestPlanWithin wants a cycle no later than d from now.
+func (c *Controller) requestPlanWithin(d int64) {
+	if at := c.now + d; c.requestedCycleAt == 0 || at < c.requestedCycleAt {
+		c.requestedCycleAt = at
 	}
 }
 
-// cycle ranks and places for every partition that we hold: every cycle_s, and
+// runSchedulingCycle ranks and places for every partition that we hold: every cycle_s, and
 // early when something arrived or ended.
-func (c *Core) cycle() {
-	if !c.synced || c.now < c.cycleAt && (c.wantCycle == 0 || c.now < c.wantCycle) {
+func (c *Controller) runSchedulingCycle() {
+	if !c.synced || c.now < c.nextCycleAt && (c.requestedCycleAt == 0 || c.now < c.requestedCycleAt) {
 		return
 	}
-	if c.now < c.planAt {
+	if c.now < c.earliestPlanAt {
 		return // an early cycle is not a cycle for each report
 	}
-	c.cycleAt, c.wantCycle = c.now+secs(c.set.Ops.CycleS), 0
-	c.planAt = c.now + planGap(len(c.machines), len(c.jobs))
-	c.asks = nil
-	c.why, c.ends = map[string]string{}, map[string]int64{}
-	if len(c.types) == 0 {
+	c.nextCycleAt, c.requestedCycleAt = c.now+secs(c.settings.Operators.CycleIntervalS), 0
+	c.earliestPlanAt = c.now + minPlanInterval(len(c.machines), len(c.jobs))
+	c.machineRequests = nil
+	c.blockedReasons, c.expectedEnds = map[string]string{}, map[string]int64{}
+	if len(c.machineTypes) == 0 {
 		return
 	}
-	c.urgencies()
-	c.reserveAhead()
+	c.computeUrgencies()
+	c.planReservations()
 	for _, p := range c.partitions {
-		if p.Held() {
-			c.plan(p)
+		if p.Leads() {
+			c.planPartition(p)
 		}
 	}
 }
 
-// planGap is the least time between cycles: it grows with what a plan looks
+// minPlanInterval is the least time between cycles: it grows with what a plan looks
 // at, so that planning takes a bounded share of the processor.
-func planGap(machines, jobs int) int64 {
+func minPlanInterval(machines, jobs int) int64 {
 	return Second/10 + int64(machines)*Second/2500 + int64(jobs)*Second/2500
 }
 
-// plan makes and carries out one partition's plan.
-func (c *Core) plan(p *partition) {
-	v, jobs := c.view(p)
-	plan := sched.Make(v)
-	c.placeAll(plan.Starts, jobs)
-	c.makeRoom(plan.Evictions)
-	for _, r := range plan.Rentals {
-		c.rent(p, r.Kind, r.Count)
+// planPartition makes and carries out one partition's plan.
+func (c *Controller) planPartition(p *partition) {
+	v, jobs := c.snapshotFor(p)
+	plan := sched.MakePlan(v)
+	c.bindTasks(plan.Bindings, jobs)
+	c.preemptTasks(plan.Preemptions)
+	for _, r := range plan.ScaleOuts {
+		c.scaleOut(p, r.Kind, r.Count)
 	}
-	c.askOthers(p, plan, jobs)
-	p.short = len(plan.Why) > 0
-	for id, why := range plan.Why {
-		c.why[id] = why
+	c.requestMachines(p, plan, jobs)
+	p.hasBlockedJobs = len(plan.BlockedReasons) > 0
+	for id, why := range plan.BlockedReasons {
+		c.blockedReasons[id] = why
 	}
-	for id, end := range plan.Ends {
+	for id, end := range plan.ExpectedEnds {
 		if jobs[id] != nil {
-			c.ends[id] = end
+			c.expectedEnds[id] = end
 		}
 	}
 }
 
-// placeAll records the starts of a plan, to be committed.
-func (c *Core) placeAll(starts []sched.Start, jobs map[string]*job) {
+// bindTasks records the starts of a plan, to be committed.
+func (c *Controller) bindTasks(starts []sched.Binding, jobs map[string]*job) {
 	next, gangAttempt := map[string][]int{}, map[string]uint64{}
 	for _, s := range starts {
 		j := jobs[s.Job.ID]
 		if _, ok := next[j.id]; !ok {
-			next[j.id] = j.waiting(c.now, c.placeMost(j))
+			next[j.id] = j.placeable(c.now, c.maxTasksPerPlan(j))
 			if j.spec.Kind == wire.Gang {
 				gangAttempt[j.id] = j.lastAttempt()
-				if !j.gathering() {
+				if !j.isReassembling() {
 					gangAttempt[j.id]++
 				}
-				j.placing = true
+				j.startUncommitted = true
 			}
 		}
 		n := next[j.id][0]
@@ -89,64 +89,64 @@
 		if j.spec.Kind == wire.Gang {
 			attempt = gangAttempt[j.id]
 		}
-		c.change(j, n, taskRecord{placed, attempt, s.Machine.Name})
-		c.debug("task placed", "job", j.id, "task", n, "attempt", attempt, "machine", s.Machine.Name, "waited_s", (c.now-j.from())/Second)
-		if m := c.machines[s.Machine.Name]; m.claim == j.id {
-			m.claim = ""
+		c.changeTask(j, n, taskRecord{taskPlaced, attempt, s.Machine.Name})
+		c.logDebug("task placed", "job", j.id, "task", n, "attempt", attempt, "machine", s.Machine.Name, "waited_s", (c.now-j.eligibleAt())/Second)
+		if m := c.machines[s.Machine.Name]; m.claimedBy == j.id {
+			m.claimedBy = ""
 		}
 	}
 }
 
-// claimFor is how long a machine is kept for the job that it is emptied for.
-const claimFor = 40 * Second
+// claimDuration is how long a machine is kept for the job that it is emptied for.
+const claimDuration = 40 * Second
 
-// makeRoom has tasks stopped where a plan says so, and the machines kept for the
+// preemptTasks has tasks stopped where a plan says so, and the machines kept for the
 // jobs that they are stopped for.
-func (c *Core) makeRoom(evictions []sched.Eviction) {
+func (c *Controller) preemptTasks(evictions []sched.Preemption) {
 	for _, e := range evictions {
 		m := c.machines[e.Machine.Name]
-		again := m.claim == e.For.ID
-		m.claim, m.claimTo, m.claimG = e.For.ID, c.now+claimFor, e.Guaranteed
+		again := m.claimedBy == e.For.ID
+		m.claimedBy, m.claimExpiresAt, m.claimGuaranteed = e.For.ID, c.now+claimDuration, e.WithinGuarantee
 		if again {
 			continue
 		}
-		if e.Machine.Foreign {
-			c.info("machine asked for", "for", e.For.ID, "machine", m.name, "partition", m.rec.Cur, "tasks", len(e.Uses))
+		if e.Machine.OtherPartition {
+			c.logInfo("machine asked for", "for", e.For.ID, "machine", m.name, "partition", m.record.Partition, "tasks", len(e.Victims))
 			continue
 		}
-		c.info("room made", "for", e.For.ID, "machine", m.name, "tasks", len(e.Uses))
-		for _, u := range e.Uses {
+		c.logInfo("room made", "for", e.For.ID, "machine", m.name, "tasks", len(e.Victims))
+		for _, u := range e.Victims {
 			j := c.jobs[u.Job.ID]
-			c.leave(j, j.task(u.Index), "room for "+e.For.ID)
+			c.requestTaskStop(j, j.task(u.TaskIndex), "room for "+e.For.ID)
 		}
 	}
 }
 
-// maxAsks bounds what is asked of the others at a time, so that one message holds it;
+// maxMachineRequests bounds what is asked of the others at a time, so that one message holds it;
 // what is still wanted is asked with the next plan.
-const maxAsks = 500
+const maxMachineRequests = 500
 
-// askOthers asks the other partitions for machines of theirs that the partition needs.
-func (c *Core) askOthers(p *partition, plan *sched.Plan, jobs map[string]*job) {
+// requestMachines asks the other partitions for machines of theirs that the partition needs.
+func (c *Controller) requestMachines(p *partition, plan *sched.Plan, jobs map[string]*job) {
 	for _, m := range plan.Borrow {
-		if len(c.asks) >= maxAsks {
+		if len(c.machineRequests) >= maxMachineRequests {
 			break
 		}
-		rec := c.machines[m.Name].rec
-		c.asks = append(c.asks, peer.Ask{Machine: m.Name, Part: p.idx, Reclaim: rec.Home == p.idx})
+		rec := c.machines[m.Name].record
+		c.machineRequests = append(c.machineRequests, peer.MachineRequest{Machine: m.Name, Partition: p.index, Reclaim: rec.HomePartition == p.index})
 	}
-	for _, m := range c.order {
+	for _, m := range c.machinesByName {
 		// Asked again until it comes: a message may be lost.
-		if m.claim != "" && m.rec.Cur != p.idx && jobs[m.claim] != nil && len(c.asks) < maxAsks {
-			c.asks = append(c.asks, peer.Ask{Machine: m.name, Part: p.idx, Tier: wire.Tier(jobs[m.claim].spec.Priority), Lent: c.tier(jobs[m.claim]), Guaranteed: m.claimG})
+		if m.claimedBy != "" && m.record.Partition != p.index && jobs[m.claimedBy] != nil && len(c.machineRequests) < maxMachineRequests {
+			c.machineRequests = append(c.machineRequests, peer.MachineRequest{Machine: m.name, Partition: p.index, Tier: wire.Tier(jobs[m.claimedBy].spec.Priority), InheritedTier: c.effectiveTier(jobs[m.claimedBy]), Guaranteed: m.claimGuaranteed})
 		}
 	}
-	if m := c.spare(p, jobs, plan.Why); m != nil {
-		c.asks = append(c.asks, peer.Ask{Machine: m.name, Part: p.idx, Spare: true})
+	if m := c.chooseSpare(p, jobs, plan.BlockedReasons); m != nil {
+		c.machineRequests = append(c.machineRequests, peer.MachineRequest{Machine: m.name, Partition: p.index, Spare: true})
 	}
-	if len(c.asks) > 0 {
-		c.heartbeatAt = c.now
-		c.handleAsks(c.asks)
+	if len(c.machineRequests) > 0 {
+		c.nextHeartbeatAt = c.now
+		c.handleMachineRequests(c.machineRequests)
 	}
 }
 
--- a/internal/core/summary.go
+++ b/internal/core/summary.go
@@ -1,67 +1,67 @@
 package core
 
-// summaryEvery is how often the log says how things stand.
-const summaryEvery = 30 * Second
+// summaryInterval is how often the log says how things stand.
+const summaryInterval = 30 * Second
 
-// blockedNamed is of how many blocked jobs of a team the summary says why they wait.
-const blockedNamed = 2
+// maxNamedBlockedJobs is of how many blocked jobs of a team the summary says why they wait.
+const maxNamedBlockedJobs = 2
 
 // logSummary says now and then how things stand and why the first blocked jobs
 // of each team wait.
-func (c *Core) logSummary() {
-	if c.now < c.summaryAt {
+func (c *Controller) logSummary() {
+	if c.now < c.nextSummaryAt {
 		return
 	}
-	c.summaryAt = c.now + summaryEvery
+	c.nextSummaryAt = c.now + summaryInterval
 	if !c.synced {
 		return
 	}
 	var parts []int
 	for _, p := range c.partitions {
-		if p.Held() {
-			parts = append(parts, p.idx)
+		if p.Leads() {
+			parts = append(parts, p.index)
 		}
 	}
 	up, idle, on := c.countMachines()
 	waiting, held := c.countWaiting()
-	c.info("summary", "partitions", parts, "machines_up", up, "machines_idle", idle, "tasks_on", on, "jobs", len(c.jobs), "jobs_waiting", waiting, "jobs_waiting_for_jobs", held, "revision", c.rev)
+	c.logInfo("summary", "partitions", parts, "machines_up", up, "machines_idle", idle, "tasks_on", on, "jobs", len(c.jobs), "jobs_waiting", waiting, "jobs_waiting_for_jobs", held, "revision", c.revision)
 	named := map[string]int{}
-	for _, id := range sorted(c.why) {
+	for _, id := range sortedKeys(c.blockedReasons) {
 		j := c.jobs[id]
-		if j == nil || named[j.spec.Team] >= blockedNamed {
+		if j == nil || named[j.spec.Team] >= maxNamedBlockedJobs {
 			continue
 		}
 		named[j.spec.Team]++
-		c.info("job waits", "job", id, "team", j.spec.Team, "for_s", (c.now-j.from())/Second, "why", c.why[id])
+		c.logInfo("job waits", "job", id, "team", j.spec.Team, "for_s", (c.now-j.eligibleAt())/Second, "why", c.blockedReasons[id])
 	}
 }
 
 // countMachines counts our machines that are up, those of them without tasks, and
 // the tasks on all of ours.
-func (c *Core) countMachines() (up, idle, tasks int) {
+func (c *Controller) countMachines() (up, idle, tasks int) {
 	for _, m := range c.machines {
-		if c.heldPartition(m) == nil {
+		if c.ledPartition(m) == nil {
 			continue
 		}
-		if m.upAt > 0 {
+		if m.firstHeartbeatAt > 0 {
 			up++
-			if len(m.tasksOn) == 0 {
+			if len(m.taskIDs) == 0 {
 				idle++
 			}
 		}
-		tasks += len(m.tasksOn)
+		tasks += len(m.taskIDs)
 	}
 	return up, idle, tasks
 }
 
 // countWaiting counts our jobs with tasks to place, and those that wait for others.
-func (c *Core) countWaiting() (forRoom, forJobs int) {
+func (c *Controller) countWaiting() (forRoom, forJobs int) {
 	for _, j := range c.jobs {
 		switch {
-		case !c.partitions[j.partition].Held():
-		case j.openNeeds > 0:
+		case !c.partitions[j.partition].Leads():
+		case j.pendingDependencies > 0:
 			forJobs++
-		case j.nPlaced+j.nDone < j.spec.Tasks:
+		case j.placedTasks+j.doneTasks < j.spec.Tasks:
 			forRoom++
 		}
 	}
--- a/internal/core/urgency.go
+++ b/internal/core/urgency.go
@@ -8,37 +8,37 @@
 // urgency is what a job is ranked by: its own priority and deadline, or those of
 // the most urgent job that needs it.
 type urgency struct {
-	tier int
-	due  sched.Due
+	tier     int
+	deadline sched.Deadline
 }
 
-// urgencies works out every job's, by the replica.
-func (c *Core) urgencies() {
-	c.urgent = map[string]urgency{}
-	slowest := c.slowest()
+// computeUrgencies works out every job's, by the replica.
+func (c *Controller) computeUrgencies() {
+	c.urgencies = map[string]urgency{}
+	slowest := c.slowestFetchSPerGB()
 	var of func(j *job) urgency
 	of = func(j *job) urgency {
-		if u, ok := c.urgent[j.id]; ok {
+		if u, ok := c.urgencies[j.id]; ok {
 			return u
 		}
 		u := urgency{tier: wire.Tier(j.spec.Priority)}
 		if j.spec.DeadlineS > 0 {
-			u.due = sched.Due{At: j.at, S: j.spec.DeadlineS, Class: j.spec.Class}
+			u.deadline = sched.Deadline{SubmittedAt: j.acceptedAt, WithinS: j.spec.DeadlineS, Class: j.spec.Class}
 		}
-		if n := c.needs[j.id]; n != nil {
-			for _, d := range n.by {
-				if d.cancelled || d.over {
+		if n := c.dependencies[j.id]; n != nil {
+			for _, d := range n.dependents {
+				if d.cancelled || d.terminal {
 					continue // what it lent goes with it
 				}
 				lent := of(d)
 				u.tier = max(u.tier, lent.tier)
-				lent.due.After += d.spec.EstimateS + d.spec.ImageGB*slowest
-				if lent.due.S > 0 && (u.due.S == 0 || lent.due.Latest() < u.due.Latest()) {
-					u.due = lent.due
+				lent.deadline.DownstreamS += d.spec.EstimateS + d.spec.ImageGB*slowest
+				if lent.deadline.WithinS > 0 && (u.deadline.WithinS == 0 || lent.deadline.Latest() < u.deadline.Latest()) {
+					u.deadline = lent.deadline
 				}
 			}
 		}
-		c.urgent[j.id] = u
+		c.urgencies[j.id] = u
 		return u
 	}
 	for _, j := range c.jobs {
@@ -46,10 +46,10 @@
 	}
 }
 
-// slowest is how many seconds the slowest type takes to fetch a gigabyte.
-func (c *Core) slowest() float64 {
+// slowestFetchSPerGB is how many seconds the slowest type takes to fetch a gigabyte.
+func (c *Controller) slowestFetchSPerGB() float64 {
 	s := 0.0
-	for _, t := range c.types {
+	for _, t := range c.machineTypes {
 		if t.FetchGBs > 0 {
 			s = max(s, 1/t.FetchGBs)
 		}
@@ -57,9 +57,9 @@
 	return s
 }
 
-// tier is the tier that a job is treated as having.
-func (c *Core) tier(j *job) int {
-	if u, ok := c.urgent[j.id]; ok {
+// effectiveTier is the tier that a job is treated as having.
+func (c *Controller) effectiveTier(j *job) int {
+	if u, ok := c.urgencies[j.id]; ok {
 		return u.tier
 	}
 	return wire.Tier(j.spec.Priority)
