--- a/internal/core/users.go
+++ b/internal/core/users.go
@@ -8,54 +8,54 @@
 	"spurmoor/internal/wire"
 )
 
-// found is what is known of a job.
-type found int
+// lookupResult is what is known of a job.
+type lookupResult int
 
 const (
-	unknown found = iota // could not be told
-	never                // no such job was accepted
-	known
+	lookupUnknown    lookupResult = iota // could not be told
+	jobNeverAccepted                     // no such job was accepted
+	jobKnown
 )
 
-// applyOwn takes in what we wrote, unless the replica is past it already: the
+// applyOwnWrite takes in what we wrote, unless the replica is past it already: the
 // key may have been deleted since.
-func (c *Core) applyOwn(key string, value []byte, rev uint64) {
-	if rev > c.rev {
-		c.apply(key, value, rev)
+func (c *Controller) applyOwnWrite(key string, value []byte, rev uint64) {
+	if rev > c.revision {
+		c.applyPut(key, value, rev)
 	}
 }
 
-// lookup tells a job's state, no older than any that was told before: a
+// lookUpJob tells a job's state, no older than any that was told before: a
 // final one from memory, any other after a read begun now.
-func (c *Core) lookup(id string, f func(found, wire.JobStatus)) {
-	final := func(rec finalRecord) {
+func (c *Controller) lookUpJob(id string, f func(lookupResult, wire.JobStatus)) {
+	final := func(rec terminalRecord) {
 		zero := 0
-		f(known, wire.JobStatus{ID: id, State: rec.State, Done: &rec.Done, Running: &zero})
+		f(jobKnown, wire.JobStatus{ID: id, State: rec.State, Done: &rec.DoneTasks, Running: &zero})
 	}
-	if rec, ok := c.finals.state[id]; ok {
+	if rec, ok := c.terminalStates.records[id]; ok {
 		final(rec)
 		return
 	}
 	if !wire.ValidID(id) {
-		f(never, wire.JobStatus{})
+		f(jobNeverAccepted, wire.JobStatus{})
 		return
 	}
-	c.read(func(ok bool) {
+	c.readLatest(func(ok bool) {
 		if !ok {
-			f(unknown, wire.JobStatus{})
+			f(lookupUnknown, wire.JobStatus{})
 			return
 		}
-		if j := c.jobs[id]; j != nil && !j.over {
-			if j.unsure > 0 && !j.begun() && !j.cancelled {
-				f(unknown, wire.JobStatus{}) // perhaps it is withdrawn
+		if j := c.jobs[id]; j != nil && !j.terminal {
+			if j.unknownDependencies > 0 && !j.hasStarted() && !j.cancelled {
+				f(lookupUnknown, wire.JobStatus{}) // perhaps it is withdrawn
 				return
 			}
-			f(known, j.status())
+			f(jobKnown, j.status())
 			return
 		}
-		c.readFinal(id, func(found found) {
-			if found == known {
-				final(c.finals.state[id])
+		c.readTerminalRecord(id, func(found lookupResult) {
+			if found == jobKnown {
+				final(c.terminalStates.records[id])
 				return
 			}
 			f(found, wire.JobStatus{})
@@ -64,66 +64,66 @@
 }
 
 func (j *job) status() wire.JobStatus {
-	state := wire.Pending
+	state := wire.JobPending
 	switch {
 	case j.cancelled:
-		state = wire.Cancelled
-	case j.nPlaced > 0:
-		state = wire.Running
+		state = wire.JobCancelled
+	case j.placedTasks > 0:
+		state = wire.JobRunning
 	}
-	d, r := j.nDone, j.nPlaced
+	d, r := j.doneTasks, j.placedTasks
 	return wire.JobStatus{ID: j.id, State: state, Done: &d, Running: &r}
 }
 
 // refusal is why a submission is not accepted, and when to try again.
 type refusal struct {
-	status int
-	why    string
-	after  int // seconds; 0: not again
+	status      int
+	reason      string
+	retryAfterS int // seconds; 0: not again
 }
 
-// maxAccepts bounds the submissions that are being recorded at a time.
-const maxAccepts = 100
+// maxAcceptsInFlight bounds the submissions that are being recorded at a time.
+const maxAcceptsInFlight = 100
 
-// storeAwayAfter is how long the state service must not answer before submissions
+// storeUnavailableAfter is how long the state service must not answer before submissions
 // are refused without asking it.
-const storeAwayAfter = 2 * Second
+const storeUnavailableAfter = 2 * Second
 
-func (c *Core) submit(v Submit) {
+func (c *Controller) handleSubmit(v Submit) {
 	spec, err := wire.ParseJob(v.Body)
 	if err != nil {
-		c.unlessKnown(v.Req, wire.JobID(v.Body), refusal{400, err.Error(), 0})
+		c.answerDuplicateOrRefuse(v.RequestID, wire.JobID(v.Body), refusal{400, err.Error(), 0})
 		return
 	}
 	if !c.synced {
-		c.refuse(v.Req, 503, "the state service has not been read yet", 1)
+		c.refuse(v.RequestID, 503, "the state service has not been read yet", 1)
 		return
 	}
-	if r := c.inadmissible(spec); r != nil {
-		c.unlessKnown(v.Req, spec.ID, *r)
+	if r := c.admissionRefusal(spec); r != nil {
+		c.answerDuplicateOrRefuse(v.RequestID, spec.ID, *r)
 		return
 	}
-	if c.storeBad > 0 && c.now > c.storeBad+storeAwayAfter {
-		c.refuse(v.Req, 503, "the state service does not answer", 1)
+	if c.unavailableSince > 0 && c.now > c.unavailableSince+storeUnavailableAfter {
+		c.refuse(v.RequestID, 503, "the state service does not answer", 1)
 		return
 	}
-	if len(spec.Needs) == 0 {
-		c.accept(v.Req, mustJSON(jobRecord{Spec: *spec, At: c.now}), spec)
+	if len(spec.Dependencies) == 0 {
+		c.recordJob(v.RequestID, mustMarshal(jobRecord{Spec: *spec, AcceptedAt: c.now}), spec)
 		return
 	}
-	c.submitWithNeeds(v.Req, spec)
+	c.submitWithDependencies(v.RequestID, spec)
 }
 
-// inadmissible says why a submission is not accepted whatever the state service
+// admissionRefusal says why a submission is not accepted whatever the state service
 // answers; nil if it may be.
-func (c *Core) inadmissible(spec *wire.Job) *refusal {
-	if len(c.types) == 0 {
+func (c *Controller) admissionRefusal(spec *wire.Job) *refusal {
+	if len(c.machineTypes) == 0 {
 		return &refusal{503, "the machine types are not known yet", 2}
 	}
-	if why := c.impossible(spec); why != "" {
+	if why := c.neverSchedulable(spec); why != "" {
 		return &refusal{422, why, 0}
 	}
-	if len(mustJSON(jobRecord{Spec: without(*spec), At: c.now})) > c.maxValue() {
+	if len(mustMarshal(jobRecord{Spec: withoutDependencies(*spec), AcceptedAt: c.now})) > c.maxValueBytes() {
 		return &refusal{400, "the job's description is too long", 0}
 	}
 	if o, _ := c.knownOutcome(spec.ID); o != outcomeUnknown {
@@ -131,113 +131,113 @@
 		// as a change all the same.
 		return &refusal{503, "the state service is busy", 1}
 	}
-	if len(c.jobs) >= c.set.MostJobs() || c.accepts >= maxAccepts {
+	if len(c.jobs) >= c.settings.MaxUnfinishedJobs() || c.acceptsInFlight >= maxAcceptsInFlight {
 		return &refusal{429, "too many unfinished jobs", 5}
 	}
 	return nil
 }
 
-// submitWithNeeds accepts a job that waits for others, once all of those are known
+// submitWithDependencies accepts a job that waits for others, once all of those are known
 // to have been accepted.
-func (c *Core) submitWithNeeds(reqID uint64, spec *wire.Job) {
-	if slices.Contains(spec.Needs, spec.ID) {
-		c.unlessKnown(reqID, spec.ID, refusal{422, "the job waits for itself", 0})
+func (c *Controller) submitWithDependencies(reqID uint64, spec *wire.Job) {
+	if slices.Contains(spec.Dependencies, spec.ID) {
+		c.answerDuplicateOrRefuse(reqID, spec.ID, refusal{422, "the job waits for itself", 0})
 		return
 	}
-	if !c.allRead(formDependencies) {
-		c.unlessKnown(reqID, spec.ID, refusal{503, "not all controllers know jobs that wait for jobs yet", 2})
+	if !c.allReadSchema(schemaDependencies) {
+		c.answerDuplicateOrRefuse(reqID, spec.ID, refusal{503, "not all controllers know jobs that wait for jobs yet", 2})
 		return
 	}
 	at := c.now
-	c.accepts++
-	c.checkNeeds(spec, func(status int, why string) {
-		c.accepts--
+	c.acceptsInFlight++
+	c.verifyDependencies(spec, func(status int, why string) {
+		c.acceptsInFlight--
 		if status != 0 {
-			c.unlessKnown(reqID, spec.ID, refusal{status, why, 1})
+			c.answerDuplicateOrRefuse(reqID, spec.ID, refusal{status, why, 1})
 			return
 		}
-		rec := jobRecord{Spec: *spec, At: at}
-		c.shorten(&rec)
-		value := mustJSON(rec)
-		if len(value) > c.maxValue() {
-			rec.pack()
-			value = mustJSON(rec)
+		rec := jobRecord{Spec: *spec, AcceptedAt: at}
+		c.dropSettledDependencies(&rec)
+		value := mustMarshal(rec)
+		if len(value) > c.maxValueBytes() {
+			rec.packDependencies()
+			value = mustMarshal(rec)
 		}
-		if len(value) > c.maxValue() {
-			c.unlessKnown(reqID, spec.ID, refusal{503, "it waits for more unfinished jobs than can be recorded", 5})
+		if len(value) > c.maxValueBytes() {
+			c.answerDuplicateOrRefuse(reqID, spec.ID, refusal{503, "it waits for more unfinished jobs than can be recorded", 5})
 			return
 		}
-		c.accept(reqID, value, spec)
+		c.recordJob(reqID, value, spec)
 	})
 }
 
-// without gives a job without what it needs.
-func without(spec wire.Job) wire.Job {
-	spec.Needs = nil
+// withoutDependencies gives a job without what it needs.
+func withoutDependencies(spec wire.Job) wire.Job {
+	spec.Dependencies = nil
 	return spec
 }
 
-// accept records a job, and tells its user once that is durable.
-func (c *Core) accept(reqID uint64, rec []byte, spec *wire.Job) {
-	c.accepts++
-	c.spend(1)
-	req := &wire.Txn{If: []wire.Guard{{Key: jobKey + spec.ID}, {Key: overKey + spec.ID}},
-		Then: []wire.Write{{Put: jobKey + spec.ID, Value: rec}}}
+// recordJob records a job, and tells its user once that is durable.
+func (c *Controller) recordJob(reqID uint64, rec []byte, spec *wire.Job) {
+	c.acceptsInFlight++
+	c.chargeWrites(1)
+	req := &wire.Transaction{Compares: []wire.Compare{{Key: jobKey + spec.ID}, {Key: terminalKey + spec.ID}},
+		Writes: []wire.Write{{Put: jobKey + spec.ID, Value: rec}}}
 	sent := c.now
-	c.callStore(StoreCall{Op: OpTxn, Txn: duty.Under(duty.Shared(duty.ForUser, duty.Write), req)}, func(r *StoreReply) {
-		c.accepts--
+	c.callStore(StoreCall{Op: OpTransaction, Transaction: duty.NewOrder(duty.SharedGrant(duty.ForUser, duty.Write), req)}, func(r *StoreReply) {
+		c.acceptsInFlight--
 		switch r.Status {
 		case 200:
-			c.applyOwn(jobKey+spec.ID, rec, r.Txn.Revision)
-			if len(spec.Needs) == 0 && c.now < sent+readAge {
-				c.answer(reqID, 201, wire.JobStatus{ID: spec.ID, State: wire.Pending})
+			c.applyOwnWrite(jobKey+spec.ID, rec, r.Transaction.Revision)
+			if len(spec.Dependencies) == 0 && c.now < sent+maxReadAge {
+				c.answer(reqID, 201, wire.JobStatus{ID: spec.ID, State: wire.JobPending})
 				return
 			}
 			// It, or what it needs, may have been cancelled meanwhile, told by another.
-			c.lookup(spec.ID, func(f found, s wire.JobStatus) {
-				if f != known {
+			c.lookUpJob(spec.ID, func(f lookupResult, s wire.JobStatus) {
+				if f != jobKnown {
 					c.refuse(reqID, 503, "the state service did not answer", 1)
 					return
 				}
 				c.answer(reqID, 201, wire.JobStatus{ID: spec.ID, State: s.State})
 			})
 		case 409:
-			c.unlessKnown(reqID, spec.ID, refusal{503, "the state service is busy", 1})
+			c.answerDuplicateOrRefuse(reqID, spec.ID, refusal{503, "the state service is busy", 1})
 		default:
 			c.refuse(reqID, 503, "the state service did not answer", 1)
 		}
 	})
 }
 
-// unlessKnown refuses a submission, but answers 200 where the job was
+// answerDuplicateOrRefuse refuses a submission, but answers 200 where the job was
 // accepted before, whatever its body says now.
-func (c *Core) unlessKnown(req uint64, id string, r refusal) {
+func (c *Controller) answerDuplicateOrRefuse(req uint64, id string, r refusal) {
 	if id == "" {
-		c.refuse(req, r.status, r.why, r.after)
+		c.refuse(req, r.status, r.reason, r.retryAfterS)
 		return
 	}
-	c.lookup(id, func(f found, s wire.JobStatus) {
+	c.lookUpJob(id, func(f lookupResult, s wire.JobStatus) {
 		switch f {
-		case known:
+		case jobKnown:
 			c.answer(req, 200, s)
-		case never:
-			c.refuse(req, r.status, r.why, r.after)
+		case jobNeverAccepted:
+			c.refuse(req, r.status, r.reason, r.retryAfterS)
 		default:
 			c.refuse(req, 503, "the state service did not answer", 1)
 		}
 	})
 }
 
-// impossible says why a job can never run.
-func (c *Core) impossible(j *wire.Job) string {
-	if _, ok := c.set.TeamPartition[j.Team]; !ok {
+// neverSchedulable says why a job can never run.
+func (c *Controller) neverSchedulable(j *wire.Job) string {
+	if _, ok := c.settings.TeamPartition[j.Team]; !ok {
 		return "unknown team"
 	}
-	need := sched.ResOf(j.CPUs, j.GPUs, j.MemoryGB)
+	need := sched.ResourcesOf(j.CPUs, j.GPUs, j.MemoryGB)
 	fits := false
-	for _, t := range c.types {
+	for _, t := range c.machineTypes {
 		for _, z := range t.Zones {
-			fits = fits || sched.Allowed(j, t.Name, z, false) && sched.ResOf(t.CPUs, t.GPUs, t.MemoryGB).Fits(need)
+			fits = fits || sched.Allowed(j, t.Name, z, false) && sched.ResourcesOf(t.CPUs, t.GPUs, t.MemoryGB).Fits(need)
 		}
 	}
 	if !fits {
@@ -247,8 +247,8 @@
 	if j.Kind != wire.Array {
 		n = j.Tasks
 	}
-	for _, t := range c.set.Facts.Teams {
-		limit := sched.ResOf(t.CPUsMax, t.GPUsMax, 0)
+	for _, t := range c.settings.Deployment.Teams {
+		limit := sched.ResourcesOf(t.MaxCPUs, t.MaxGPUs, 0)
 		if t.Name == j.Team && (limit.CPU > 0 && need.CPU*int64(n) > limit.CPU || limit.GPU > 0 && need.GPU*int64(n) > limit.GPU) {
 			return "the job needs more than the team's limit"
 		}
@@ -256,46 +256,46 @@
 	return ""
 }
 
-func (c *Core) poll(v Poll) {
-	c.lookup(v.ID, func(f found, s wire.JobStatus) {
+func (c *Controller) handleStatus(v GetStatus) {
+	c.lookUpJob(v.ID, func(f lookupResult, s wire.JobStatus) {
 		switch f {
-		case known:
-			c.answer(v.Req, 200, s)
-		case never:
-			c.refuse(v.Req, 404, "no such job", 0)
+		case jobKnown:
+			c.answer(v.RequestID, 200, s)
+		case jobNeverAccepted:
+			c.refuse(v.RequestID, 404, "no such job", 0)
 		default:
-			c.refuse(v.Req, 503, "the state service did not answer", 1)
+			c.refuse(v.RequestID, 503, "the state service did not answer", 1)
 		}
 	})
 }
 
-func (c *Core) cancel(v Cancel) { c.tryCancel(v, 4) }
+func (c *Controller) handleCancel(v Cancel) { c.tryCancel(v, 4) }
 
-func (c *Core) tryCancel(v Cancel, tries int) {
-	away := func() { c.refuse(v.Req, 503, "the state service did not answer", 1) }
-	c.lookup(v.ID, func(f found, s wire.JobStatus) {
+func (c *Controller) tryCancel(v Cancel, tries int) {
+	away := func() { c.refuse(v.RequestID, 503, "the state service did not answer", 1) }
+	c.lookUpJob(v.ID, func(f lookupResult, s wire.JobStatus) {
 		j := c.jobs[v.ID]
 		switch {
-		case f == never:
-			c.refuse(v.Req, 404, "no such job", 0)
-		case f == unknown:
+		case f == jobNeverAccepted:
+			c.refuse(v.RequestID, 404, "no such job", 0)
+		case f == lookupUnknown:
 			away()
-		case s.State == wire.Done || s.State == wire.Cancelled:
-			c.answer(v.Req, 200, wire.JobStatus{ID: v.ID, State: s.State})
+		case s.State == wire.JobDone || s.State == wire.JobCancelled:
+			c.answer(v.RequestID, 200, wire.JobStatus{ID: v.ID, State: s.State})
 		case j == nil || tries == 0:
 			away()
 		default:
 			// Nobody asks any more what a cancelled job needed.
-			rec := mustJSON(jobRecord{Spec: without(j.spec), At: j.at, Cancelled: true})
-			req := &wire.Txn{If: []wire.Guard{{Key: jobKey + j.id, Version: j.ver}},
-				Then: []wire.Write{{Put: jobKey + j.id, Value: rec}}}
-			c.spend(1)
-			c.callStore(StoreCall{Op: OpTxn, Txn: duty.Under(duty.Shared(duty.ForUser, duty.Write), req)}, func(r *StoreReply) {
+			rec := mustMarshal(jobRecord{Spec: withoutDependencies(j.spec), AcceptedAt: j.acceptedAt, Cancelled: true})
+			req := &wire.Transaction{Compares: []wire.Compare{{Key: jobKey + j.id, Version: j.version}},
+				Writes: []wire.Write{{Put: jobKey + j.id, Value: rec}}}
+			c.chargeWrites(1)
+			c.callStore(StoreCall{Op: OpTransaction, Transaction: duty.NewOrder(duty.SharedGrant(duty.ForUser, duty.Write), req)}, func(r *StoreReply) {
 				switch r.Status {
 				case 200:
-					c.applyOwn(jobKey+v.ID, rec, r.Txn.Revision)
+					c.applyOwnWrite(jobKey+v.ID, rec, r.Transaction.Revision)
 					c.notifyCancelled(v.ID)
-					c.answer(v.Req, 200, wire.JobStatus{ID: v.ID, State: wire.Cancelled})
+					c.answer(v.RequestID, 200, wire.JobStatus{ID: v.ID, State: wire.JobCancelled})
 				case 409:
 					c.tryCancel(v, tries-1)
 				default:
@@ -306,12 +306,12 @@
 	})
 }
 
-// ready says whether users should be sent here. Where the state service is
+// handleReady says whether users should be sent here. Where the state service is
 // away for every controller, all stay: leaving would only delay the return.
-func (c *Core) ready(v Ready) {
-	if !c.synced || c.stopping || c.storeBad > 0 && c.now > c.storeBad+Second && c.othersAble() {
-		c.refuse(v.Req, 503, string(c.conditionNow()), 1)
+func (c *Controller) handleReady(v Ready) {
+	if !c.synced || c.stopping || c.unavailableSince > 0 && c.now > c.unavailableSince+Second && c.healthyPeerKnown() {
+		c.refuse(v.RequestID, 503, string(c.currentCondition()), 1)
 		return
 	}
-	c.answer(v.Req, 200, wire.Readiness{Condition: string(c.conditionNow())})
+	c.answer(v.RequestID, 200, wire.Readiness{Condition: string(c.currentCondition())})
 }
--- a/internal/core/view.go
+++ b/internal/core/view.go
@@ -9,235 +9,237 @@
 	"spurmoor/internal/wire"
 )
 
-// viewer shows one partition to the planner.
-type viewer struct {
-	*Core
-	p     *partition
-	view  *sched.View
-	jobs  map[string]*job
-	shown map[string]*sched.Job
-	price []float64 // of the machines that each partition has
+// snapshotBuilder shows one partition to the planner.
+type snapshotBuilder struct {
+	*Controller
+	partition       *partition
+	snapshot        *sched.Snapshot
+	jobs            map[string]*job
+	schedulerJobs   map[string]*sched.Job
+	partitionPrices []float64 // of the machines that each partition has
 }
 
-// view shows a partition to the planner.
-func (c *Core) view(p *partition) (*sched.View, map[string]*job) {
-	v := &viewer{Core: c, p: p, jobs: map[string]*job{}, shown: map[string]*sched.Job{}, price: make([]float64, len(c.partitions)),
-		view: &sched.View{Now: c.now, Types: c.types, Teams: map[string]*sched.Team{}, Refused: map[sched.Kind]bool{}, Ops: &c.set.Ops, Aims: map[string][]settings.Objective{}}}
+// snapshotFor shows a partition to the planner.
+func (c *Controller) snapshotFor(p *partition) (*sched.Snapshot, map[string]*job) {
+	v := &snapshotBuilder{Controller: c, partition: p, jobs: map[string]*job{}, schedulerJobs: map[string]*sched.Job{}, partitionPrices: make([]float64, len(c.partitions)),
+		snapshot: &sched.Snapshot{Now: c.now, MachineTypes: c.machineTypes, Quotas: map[string]*sched.Quota{}, UnavailableKinds: map[sched.InstanceKind]bool{}, Operators: &c.settings.Operators, Objectives: map[string][]settings.Objective{}}}
 	v.addSettings()
 	v.addJobs()
 	for _, m := range c.machines {
-		if m.typ != nil && m.rec.Cur >= 0 && m.rec.Cur < len(v.price) && !m.rec.Gone {
-			v.price[m.rec.Cur] += m.typ.Price
+		if m.machineType != nil && m.record.Partition >= 0 && m.record.Partition < len(v.partitionPrices) && !m.record.Condemned {
+			v.partitionPrices[m.record.Partition] += m.machineType.Price
 		}
 	}
-	for _, m := range c.order {
-		if m.typ != nil && !m.rec.Gone && !m.faulty && m.notice == 0 {
+	for _, m := range c.machinesByName {
+		if m.machineType != nil && !m.record.Condemned && !m.quarantined && m.interruptionAt == 0 {
 			v.addMachine(m)
 		}
 	}
-	v.addRented()
-	return v.view, v.jobs
+	v.addPendingMachines()
+	return v.snapshot, v.jobs
 }
 
 // addSettings shows aims, teams and what the cloud refused of late.
-func (v *viewer) addSettings() {
-	for _, o := range v.set.Facts.Objectives {
-		v.view.Aims[o.Class] = append(v.view.Aims[o.Class], o)
+func (v *snapshotBuilder) addSettings() {
+	for _, o := range v.settings.Deployment.Objectives {
+		v.snapshot.Objectives[o.Class] = append(v.snapshot.Objectives[o.Class], o)
 	}
-	for _, t := range v.set.Facts.Teams {
-		v.view.Teams[t.Name] = v.team(t.Name)
+	for _, t := range v.settings.Deployment.Teams {
+		v.snapshot.Quotas[t.Name] = v.schedulerTeam(t.Name)
 	}
-	for k, until := range v.refused {
+	for k, until := range v.unavailableUntil {
 		if v.now < until {
-			v.view.Refused[k] = true
+			v.snapshot.UnavailableKinds[k] = true
 		} else {
-			delete(v.refused, k)
+			delete(v.unavailableUntil, k)
 		}
 	}
 }
 
 // addJobs shows the partition's jobs that may run.
-func (v *viewer) addJobs() {
-	for _, id := range sorted(v.Core.jobs) {
-		j := v.Core.jobs[id]
-		if j.partition != v.p.idx || j.over || j.mustNotRun() || j.openNeeds > 0 {
+func (v *snapshotBuilder) addJobs() {
+	for _, id := range sortedKeys(v.Controller.jobs) {
+		j := v.Controller.jobs[id]
+		if j.partition != v.partition.index || j.terminal || j.mustNotRun() || j.pendingDependencies > 0 {
 			continue
 		}
-		sj := v.jobView(j)
-		restarting := j.spec.Kind == wire.Gang && j.nPlaced > 0 && !j.gathering()
-		if v.now >= j.holdOff && !restarting {
-			sj.Pending = len(j.waiting(v.now, v.mostToPlace(j)))
+		sj := v.schedulerJob(j)
+		restarting := j.spec.Kind == wire.Gang && j.placedTasks > 0 && !j.isReassembling()
+		if v.now >= j.notBefore && !restarting {
+			sj.PendingTasks = len(j.placeable(v.now, v.placeableTasks(j)))
 		}
-		v.jobs[id], v.shown[id] = j, sj
-		v.view.Jobs = append(v.view.Jobs, sj)
+		v.jobs[id], v.schedulerJobs[id] = j, sj
+		v.snapshot.Jobs = append(v.snapshot.Jobs, sj)
 	}
 }
 
 // addMachine shows a machine if it is any use to the partition.
-func (v *viewer) addMachine(m *machine) {
-	sm := v.machineView(m)
-	if to := v.reservedFor(m); to >= 0 {
-		pr := v.reserved[m.name]
-		if sj := v.shown[pr.Job.ID]; sj != nil {
+func (v *snapshotBuilder) addMachine(m *machine) {
+	sm := v.schedulerMachine(m)
+	if to := v.reservedForPartition(m); to >= 0 {
+		pr := v.reservations[m.name]
+		if sj := v.schedulerJobs[pr.Job.ID]; sj != nil {
 			pr.Job = sj // the view's own
 		}
-		sm.Claim, sm.Reservation = "", &pr
-		if m.rec.Cur != v.p.idx {
-			if to == v.p.idx {
+		sm.ClaimedBy, sm.Reservation = "", &pr
+		if m.record.Partition != v.partition.index {
+			if to == v.partition.index {
 				// It is being emptied for us.
-				sm.Foreign, sm.Free, sm.ReadyAt = true, sm.Total, max(v.now, pr.At)
-				v.view.Machines = append(v.view.Machines, sm)
+				sm.OtherPartition, sm.Free, sm.ReadyAt = true, sm.Total, max(v.now, pr.ReadyAt)
+				v.snapshot.Machines = append(v.snapshot.Machines, sm)
 			}
 			return
 		}
 	}
-	if m.claim != "" && v.now > m.claimTo {
-		m.claim, sm.Claim = "", ""
+	if m.claimedBy != "" && v.now > m.claimExpiresAt {
+		m.claimedBy, sm.ClaimedBy = "", ""
 	}
 	useful := false
-	if m.rec.Cur != v.p.idx {
-		useful = v.foreign(m, sm)
+	if m.record.Partition != v.partition.index {
+		useful = v.fillOtherPartitions(m, sm)
 	} else {
-		useful = v.own(m, sm)
+		useful = v.fillOwn(m, sm)
 	}
 	if useful {
-		v.view.Machines = append(v.view.Machines, sm)
+		v.snapshot.Machines = append(v.snapshot.Machines, sm)
 	}
 }
 
-// foreign shows another partition's machine; it tells whether that is any use.
-func (v *viewer) foreign(m *machine, sm *sched.Machine) bool {
+// fillOtherPartitions shows another partition's machine; it tells whether that is any use.
+func (v *snapshotBuilder) fillOtherPartitions(m *machine, sm *sched.Machine) bool {
 	switch {
-	case v.idleAbroad(m.name):
+	case v.isBorrowable(m.name):
 		sm.Borrowable, sm.ReadyAt = true, v.now+2*Second
-	case m.rec.Home == v.p.idx && m.claim == "":
+	case m.record.HomePartition == v.partition.index && m.claimedBy == "":
 		// Lent out: ours again once its tasks have ended.
-		v.uses(sm, m, v.shown)
+		v.addAllocations(sm, m, v.schedulerJobs)
 		sm.ReadyAt = v.now + 2*Second
-		for _, u := range sm.Uses {
-			sm.ReadyAt = max(sm.ReadyAt, u.End)
+		for _, u := range sm.Allocations {
+			sm.ReadyAt = max(sm.ReadyAt, u.ExpectedEnd)
 		}
-		sm.Foreign, sm.Lent, sm.Fair = true, true, 2*v.price[v.p.idx] < v.price[m.rec.Cur]
-	case len(m.tasksOn) > 0:
-		sm.Foreign, sm.ReadyAt = true, v.now+5*Second
-		if m.claim != "" {
+		sm.OtherPartition, sm.LentOut, sm.BorrowerOverShare = true, true, 2*v.partitionPrices[v.partition.index] < v.partitionPrices[m.record.Partition]
+	case len(m.taskIDs) > 0:
+		sm.OtherPartition, sm.ReadyAt = true, v.now+5*Second
+		if m.claimedBy != "" {
 			sm.Free = sm.Total // it is being emptied for us
 		}
-		v.uses(sm, m, v.shown)
+		v.addAllocations(sm, m, v.schedulerJobs)
 	default:
 		return false
 	}
 	return true
 }
 
-// own shows a machine of the partition; it tells whether it has room, or will have.
-func (v *viewer) own(m *machine, sm *sched.Machine) bool {
-	if m.busy() || m.moveTo >= 0 {
+// fillOwn shows a machine of the partition; it tells whether it has room, or will have.
+func (v *snapshotBuilder) fillOwn(m *machine, sm *sched.Machine) bool {
+	if m.recordChangePending() || m.moveToPartition >= 0 {
 		return false
 	}
-	for _, i := range m.images {
-		sm.Images = append(sm.Images, i.name)
+	for _, i := range m.cachedImages {
+		sm.CachedImages = append(sm.CachedImages, i.name)
 	}
-	heard := m.ignoringSince == 0 && v.now < m.seenAt+v.lately() && !v.reportsMissing(m)
-	sm.Usable = m.ready && heard
+	heard := m.ignoringSince == 0 && v.now < m.lastSeenAt+v.contactTimeout() && !v.heartbeatsMissing(m)
+	sm.Schedulable = m.tokenConfirmed && heard
 	switch {
-	case sm.Usable:
-	case m.upAt == 0 && !v.overdue(m):
-		sm.ReadyAt = max(v.now+2*Second, m.bornAt+secs(m.typ.BootS))
-	case m.upAt > 0 && heard:
+	case sm.Schedulable:
+	case m.firstHeartbeatAt == 0 && !v.bootOverdue(m):
+		sm.ReadyAt = max(v.now+2*Second, m.launchedAt+secs(m.machineType.BootS))
+	case m.firstHeartbeatAt > 0 && heard:
 		sm.ReadyAt = v.now + 3*Second
 	default:
 		return false
 	}
-	v.uses(sm, m, v.shown)
+	v.addAllocations(sm, m, v.schedulerJobs)
 	return true
 }
 
-// addRented shows the machines that were asked for and are not recorded yet.
-func (v *viewer) addRented() {
-	kinds := make([]sched.Kind, 0, len(v.p.rents))
-	for k := range v.p.rents {
+// addPendingMachines shows the machines that were asked for and are not recorded yet.
+func (v *snapshotBuilder) addPendingMachines() {
+	kinds := make([]sched.InstanceKind, 0, len(v.partition.pendingMachines))
+	for k := range v.partition.pendingMachines {
 		kinds = append(kinds, k)
 	}
-	slices.SortFunc(kinds, func(a, b sched.Kind) int { return cmp.Compare(kindName(a).String(), kindName(b).String()) })
+	slices.SortFunc(kinds, func(a, b sched.InstanceKind) int { return cmp.Compare(kindName(a).String(), kindName(b).String()) })
 	for _, k := range kinds {
-		t := v.typeOf[k.Type]
+		t := v.machineTypeByName[k.Type]
 		if t == nil {
 			continue
 		}
-		total := sched.ResOf(t.CPUs, t.GPUs, t.MemoryGB)
-		for range v.p.rents[k] {
-			v.view.Machines = append(v.view.Machines, &sched.Machine{Type: t, Zone: k.Zone, Spot: k.Spot, Total: total, Free: total, ReadyAt: v.now + secs(t.BootS)})
+		total := sched.ResourcesOf(t.CPUs, t.GPUs, t.MemoryGB)
+		for range v.partition.pendingMachines[k] {
+			v.snapshot.Machines = append(v.snapshot.Machines, &sched.Machine{Type: t, Zone: k.Zone, Spot: k.Spot, Total: total, Free: total, ReadyAt: v.now + secs(t.BootS)})
 		}
 	}
 }
 
-// jobView shows a job to the planner.
-func (c *Core) jobView(j *job) *sched.Job {
-	sj := &sched.Job{ID: j.id, Spec: &j.spec, Need: j.need, Tier: c.tier(j), At: j.from(), Due: c.urgent[j.id].due, InZone: map[string]int{}, Avoid: j.avoid,
-		Deprioritized: c.deprioritized(j), Begun: j.begun()}
-	for z, n := range j.zones {
-		sj.InZone[z] = n
+// schedulerJob shows a job to the planner.
+func (c *Controller) schedulerJob(j *job) *sched.Job {
+	sj := &sched.Job{ID: j.id, Spec: &j.spec, Request: j.request, Tier: c.effectiveTier(j), EligibleAt: j.eligibleAt(), Deadline: c.urgencies[j.id].deadline, TasksPerZone: map[string]int{}, FailedMachines: j.failedMachines,
+		Deprioritized: c.deprioritized(j), Started: j.hasStarted()}
+	for z, n := range j.tasksPerZone {
+		sj.TasksPerZone[z] = n
 	}
 	return sj
 }
 
-// machineView shows a machine to the planner, without what runs on it.
-func (c *Core) machineView(m *machine) *sched.Machine {
-	total := sched.ResOf(m.typ.CPUs, m.typ.GPUs, m.typ.MemoryGB)
-	return &sched.Machine{Name: m.name, Type: m.typ, Zone: m.rec.Zone, Spot: m.rec.Spot, Total: total, Free: total.Add(m.used, -1), Claim: m.claim}
+// schedulerMachine shows a machine to the planner, without what runs on it.
+func (c *Controller) schedulerMachine(m *machine) *sched.Machine {
+	total := sched.ResourcesOf(m.machineType.CPUs, m.machineType.GPUs, m.machineType.MemoryGB)
+	return &sched.Machine{Name: m.name, Type: m.machineType, Zone: m.record.Zone, Spot: m.record.Spot, Total: total, Free: total.Add(m.allocated, -1), ClaimedBy: m.claimedBy}
 }
 
-// lately is how long ago a machine may have been heard to be given work.
-func (c *Core) lately() int64 { return max(8*Second, secs(1.6*c.set.Facts.Workers.ReportS)) }
+// contactTimeout is how long ago a machine may have been heard to be given work.
+func (c *Controller) contactTimeout() int64 {
+	return max(8*Second, secs(1.6*c.settings.Deployment.Workers.ReportS))
+}
 
-// busyFor is when a task on a machine is expected to end.
-func (c *Core) busyFor(j *job, t *task, m *machine) int64 {
+// expectedTaskEnd is when a task on a machine is expected to end.
+func (c *Controller) expectedTaskEnd(j *job, t *task, m *machine) int64 {
 	est := secs(j.spec.EstimateS)
-	end := t.placedAt + est + secs(j.spec.ImageGB/max(0.01, m.typ.FetchGBs))
-	if t.since > 0 {
-		end = t.since + est
+	end := t.placedAt + est + secs(j.spec.ImageGB/max(0.01, m.machineType.FetchGBs))
+	if t.runningSince > 0 {
+		end = t.runningSince + est
 	}
-	if t.leaving > 0 {
-		end = min(end, t.leaving+secs(t.grace+1))
+	if t.stopRequestedAt > 0 {
+		end = min(end, t.stopRequestedAt+secs(t.graceS+1))
 	}
 	// Overdue: the estimate was wrong; the longer it lasts the longer it may.
 	return max(end, c.now+Second+(c.now-t.placedAt)/5)
 }
 
-// isNew tells whether stopping a task would undo its start: users count only
+// startedRecently tells whether stopping a task would undo its start: users count only
 // starts that last for half a minute.
-func (c *Core) isNew(t *task) bool { return c.now < t.placedAt+30*Second }
+func (c *Controller) startedRecently(t *task) bool { return c.now < t.placedAt+30*Second }
 
-func (c *Core) lostBy(j *job, t *task) int64 {
-	if j.spec.CheckpointS > 0 {
-		return secs(j.spec.SaveS) + secs(5)
+func (c *Controller) lostWork(j *job, t *task) int64 {
+	if j.spec.CheckpointIntervalS > 0 {
+		return secs(j.spec.CheckpointSaveS) + secs(5)
 	}
-	if t.since == 0 {
+	if t.runningSince == 0 {
 		return (c.now - t.placedAt) / 2
 	}
-	return c.now - t.since
+	return c.now - t.runningSince
 }
 
-// uses shows the planner what runs on a machine.
-func (c *Core) uses(sm *sched.Machine, m *machine, shown map[string]*sched.Job) {
-	for _, id := range m.tasks() {
+// addAllocations shows the planner what runs on a machine.
+func (c *Controller) addAllocations(sm *sched.Machine, m *machine, shown map[string]*sched.Job) {
+	for _, id := range m.taskIDsCopy() {
 		j := c.jobs[id.job]
-		t := j.task(id.n)
+		t := j.task(id.index)
 		sj := shown[id.job]
 		if sj == nil && !j.cancelled {
-			sj = &sched.Job{ID: id.job, Spec: &j.spec, Need: j.need, Tier: c.tier(j)}
+			sj = &sched.Job{ID: id.job, Spec: &j.spec, Request: j.request, Tier: c.effectiveTier(j)}
 		}
-		u := sched.Use{Job: sj, Index: id.n, Need: j.need, End: c.now + 3*Second}
+		u := sched.Allocation{Job: sj, TaskIndex: id.index, Request: j.request, ExpectedEnd: c.now + 3*Second}
 		if sj != nil {
-			u.End, u.Lost, u.Leaving, u.New = c.busyFor(j, t, m), c.lostBy(j, t), t.leaving > 0, c.isNew(t)
+			u.ExpectedEnd, u.LostWork, u.Stopping, u.StartedRecently = c.expectedTaskEnd(j, t, m), c.lostWork(j, t), t.stopRequestedAt > 0, c.startedRecently(t)
 		}
-		sm.Uses = append(sm.Uses, u)
+		sm.Allocations = append(sm.Allocations, u)
 	}
 }
 
-// waiting lists tasks that may be placed now.
-func (j *job) waiting(now int64, most int) []int {
+// placeable lists tasks that may be placed now.
+func (j *job) placeable(now int64, most int) []int {
 	var list []int
 	for k := 0; k*chunkSize < j.spec.Tasks; k++ {
 		ch := j.chunks[k]
@@ -247,25 +249,25 @@
 			}
 			if ch == nil {
 				list = append(list, n)
-			} else if t := &ch[n%chunkSize]; t.state == queued && now >= t.holdOff {
+			} else if t := &ch[n%chunkSize]; t.state == taskPending && now >= t.notBefore {
 				list = append(list, n)
 			}
 		}
 	}
 	// A gang starts whole; but once one of its tasks is done all are, and what
 	// a lost machine could not report any more is only asked for again.
-	if j.spec.Kind == wire.Gang && len(list)+j.nDone < j.spec.Tasks && !j.gathering() {
+	if j.spec.Kind == wire.Gang && len(list)+j.doneTasks < j.spec.Tasks && !j.isReassembling() {
 		return nil
 	}
 	return list
 }
 
-// team shows a team to the planner.
-func (c *Core) team(name string) *sched.Team {
-	for _, t := range c.set.Facts.Teams {
+// schedulerTeam shows a team to the planner.
+func (c *Controller) schedulerTeam(name string) *sched.Quota {
+	for _, t := range c.settings.Deployment.Teams {
 		if t.Name == name {
-			return &sched.Team{Used: *c.usage[name], Guarantee: sched.ResOf(t.CPUs, t.GPUs, 0), Limit: sched.ResOf(t.CPUsMax, t.GPUsMax, 0)}
+			return &sched.Quota{Used: *c.teamUsage[name], Guaranteed: sched.ResourcesOf(t.GuaranteedCPUs, t.GuaranteedGPUs, 0), Limit: sched.ResourcesOf(t.MaxCPUs, t.MaxGPUs, 0)}
 		}
 	}
-	return &sched.Team{}
+	return &sched.Quota{}
 }
--- a/internal/duty/grant.go
+++ b/internal/duty/grant.go
@@ -9,14 +9,14 @@
 const (
 	// Write is a write of the holder's records to the state service.
 	Write Action = iota + 1
-	// Rent and Delete are requests to the cloud.
-	Rent
+	// Launch and Delete are requests to the cloud.
+	Launch
 	Delete
 	// Command sends commands to a worker, or answers its report.
 	Command
 )
 
-var actionNames = map[Action]string{Write: "write", Rent: "rent", Delete: "delete", Command: "command"}
+var actionNames = map[Action]string{Write: "write", Launch: "rent", Delete: "delete", Command: "command"}
 
 // String gives the action's name.
 func (a Action) String() string { return actionNames[a] }
@@ -30,10 +30,10 @@
 	NoGrant Reason = "no grant"
 	// WrongAction: the grant permits something else.
 	WrongAction Reason = "grant for another action"
-	// Expired: the time of the grant has run out.
-	Expired Reason = "expired"
-	// Ended: the duty was given up or lost since.
-	Ended Reason = "duty ended"
+	// GrantExpired: the time of the grant has run out.
+	GrantExpired Reason = "expired"
+	// RoleEnded: the duty was given up or lost since.
+	RoleEnded Reason = "duty ended"
 )
 
 // Purpose is what a shared grant is for.
@@ -44,8 +44,8 @@
 const (
 	// ForUser: accepting or cancelling a job; guarded by the job's key.
 	ForUser Purpose = iota + 1
-	// ForDuty: taking a duty or giving it up; guarded by the duty's key.
-	ForDuty
+	// ForElection: taking a duty or giving it up; guarded by the duty's key.
+	ForElection
 	// ForSchema: announcing which form this controller reads, under its own key.
 	ForSchema
 	// ForProbe: an empty direct command without a token, which no worker acts on.
@@ -56,12 +56,12 @@
 	ForFleet
 )
 
-var purposeNames = map[Purpose]string{ForUser: "users", ForDuty: "elections", ForSchema: "schema", ForProbe: "probes", ForFleet: "fleet"}
+var purposeNames = map[Purpose]string{ForUser: "users", ForElection: "elections", ForSchema: "schema", ForProbe: "probes", ForFleet: "fleet"}
 
-// tenure is one holder's time in a duty, under one term. Ended is set by the state
+// leaderTerm is one holder's time in a duty, under one term. Ended is set by the state
 // machine and read by whoever sends orders.
-type tenure struct {
-	id    ID
+type leaderTerm struct {
+	role  Role
 	term  uint64
 	ended atomic.Bool
 }
@@ -69,54 +69,56 @@
 // Grant is the permission to do one thing until a time. Only a Holding gives one,
 // or Shared; the zero Grant permits nothing.
 type Grant struct {
-	tenure  *tenure
-	action  Action
-	made    int64
-	until   int64
-	purpose Purpose
+	leaderTerm *leaderTerm
+	action     Action
+	grantedAt  int64
+	expiresAt  int64
+	purpose    Purpose
 }
 
-// Shared gives the grant for what every controller may do.
-func Shared(purpose Purpose, action Action) Grant { return Grant{action: action, purpose: purpose} }
+// SharedGrant gives the grant for what every controller may do.
+func SharedGrant(purpose Purpose, action Action) Grant {
+	return Grant{action: action, purpose: purpose}
+}
 
-// Duty names the duty, or what the grant is shared for.
-func (g Grant) Duty() string {
-	if g.tenure == nil {
+// RoleName names the duty, or what the grant is shared for.
+func (g Grant) RoleName() string {
+	if g.leaderTerm == nil {
 		return purposeNames[g.purpose]
 	}
-	return g.tenure.id.String()
+	return g.leaderTerm.role.String()
 }
 
 // Term is the term under which the duty is held; 0 for a shared grant.
 func (g Grant) Term() uint64 {
-	if g.tenure == nil {
+	if g.leaderTerm == nil {
 		return 0
 	}
-	return g.tenure.term
+	return g.leaderTerm.term
 }
 
 // Action is what the grant permits.
 func (g Grant) Action() Action { return g.action }
 
-// Made is when the grant was given; 0: a shared one, which has no time.
-func (g Grant) Made() int64 { return g.made }
+// GrantedAt is when the grant was given; 0: a shared one, which has no time.
+func (g Grant) GrantedAt() int64 { return g.grantedAt }
 
-// Until is when the grant ends; 0: a shared one, which does not.
-func (g Grant) Until() int64 { return g.until }
+// ExpiresAt is when the grant ends; 0: a shared one, which does not.
+func (g Grant) ExpiresAt() int64 { return g.expiresAt }
 
 // Check tells why something must not be done under the grant now; empty: it may be.
 func (g Grant) Check(action Action, now int64) Reason {
 	switch {
-	case g.tenure == nil && g.purpose == 0:
+	case g.leaderTerm == nil && g.purpose == 0:
 		return NoGrant
 	case g.action != action:
 		return WrongAction
-	case g.tenure == nil:
+	case g.leaderTerm == nil:
 		return ""
-	case g.tenure.ended.Load():
-		return Ended
-	case now >= g.until:
-		return Expired
+	case g.leaderTerm.ended.Load():
+		return RoleEnded
+	case now >= g.expiresAt:
+		return GrantExpired
 	}
 	return ""
 }
@@ -131,8 +133,8 @@
 	body  T
 }
 
-// Under makes an order.
-func Under[T any](grant Grant, body T) Order[T] { return Order[T]{grant, body} }
+// NewOrder makes an order.
+func NewOrder[T any](grant Grant, body T) Order[T] { return Order[T]{grant, body} }
 
 // Grant is what the order was made under.
 func (o Order[T]) Grant() Grant { return o.grant }
--- a/internal/duty/holding.go
+++ b/internal/duty/holding.go
@@ -7,88 +7,88 @@
 	Process uint64 `json:"i"`
 }
 
-// Holding is what one controller knows of a duty: who holds it, and whether that is
+// RoleState is what one controller knows of a duty: who holds it, and whether that is
 // this controller.
-type Holding struct {
-	ID    ID
-	Claim Claim  // of the holder; empty: nobody is known to hold it
-	Term  uint64 // the version of the duty's key when it was taken; 0: nobody holds it
-	Since int64  // when this controller learned of the term
-	// FreeAt is from when the duty may be taken.
-	FreeAt int64
-	// TookAt is when this controller took it last.
-	TookAt int64
-	// Taking: a request to take it is under way.
-	Taking bool
+type RoleState struct {
+	Role       Role
+	Claim      Claim  // of the holder; empty: nobody is known to hold it
+	Term       uint64 // the version of the duty's key when it was taken; 0: nobody holds it
+	ObservedAt int64  // when this controller learned of the term
+	// VacantAt is from when the duty may be taken.
+	VacantAt int64
+	// AcquiredAt is when this controller took it last.
+	AcquiredAt int64
+	// Acquiring: a request to take it is under way.
+	Acquiring bool
 
-	tenure   *tenure // this controller's; nil: it does not hold the duty
-	resigned uint64  // the last term that this controller gave up by itself
+	current      *leaderTerm // this controller's; nil: it does not hold the duty
+	resignedTerm uint64      // the last term that this controller gave up by itself
 }
 
-// Held tells whether this controller holds the duty.
-func (h *Holding) Held() bool { return h.tenure != nil }
+// Leads tells whether this controller holds the duty.
+func (h *RoleState) Leads() bool { return h.current != nil }
 
 // Contradicts tells whether this controller holds the duty and its key, as the state
 // service has it, says otherwise. own is this controller's claim, and leased whether
 // it has a lease at all.
-func (h *Holding) Contradicts(claim Claim, version uint64, own Claim, leased bool) bool {
-	return h.Held() && (version != h.Term || !h.mine(claim, version, own, leased))
+func (h *RoleState) Contradicts(claim Claim, version uint64, own Claim, leased bool) bool {
+	return h.Leads() && (version != h.Term || !h.namesUs(claim, version, own, leased))
 }
 
-// mine tells whether a claim makes this controller the holder. A term that it gave up
+// namesUs tells whether a claim makes this controller the holder. A term that it gave up
 // is never held again: the deletion of its key may still be carried out, and whoever
 // takes the duty then counts on our silence.
-func (h *Holding) mine(claim Claim, version uint64, own Claim, leased bool) bool {
-	return version > h.resigned && claim == own && leased
+func (h *RoleState) namesUs(claim Claim, version uint64, own Claim, leased bool) bool {
+	return version > h.resignedTerm && claim == own && leased
 }
 
 // Observe takes in the duty's key as the state service has it, a claim and its
 // version or version 0 for none, and tells whether this controller holds the duty
 // from now on and did not before.
-func (h *Holding) Observe(now int64, claim Claim, version uint64, own Claim, leased bool) (taken bool) {
+func (h *RoleState) Observe(now int64, claim Claim, version uint64, own Claim, leased bool) (taken bool) {
 	if version != h.Term || claim != h.Claim {
-		h.Since = now
+		h.ObservedAt = now
 	}
 	h.Claim, h.Term = claim, version
 	if version == 0 {
-		h.FreeAt = now
+		h.VacantAt = now
 	}
-	if h.Held() || !h.mine(claim, version, own, leased) {
+	if h.Leads() || !h.namesUs(claim, version, own, leased) {
 		return false
 	}
-	h.tenure = &tenure{id: h.ID, term: version}
-	h.TookAt = now
+	h.current = &leaderTerm{role: h.Role, term: version}
+	h.AcquiredAt = now
 	return true
 }
 
 // End ends this controller's holding, and with it all grants under it.
-func (h *Holding) End(now int64) {
-	if h.tenure == nil {
+func (h *RoleState) End(now int64) {
+	if h.current == nil {
 		return
 	}
-	h.tenure.ended.Store(true)
-	h.tenure = nil
-	h.FreeAt = now
+	h.current.ended.Store(true)
+	h.current = nil
+	h.VacantAt = now
 }
 
 // Resign ends this controller's holding for good and gives the term given up.
-func (h *Holding) Resign(now int64) (term uint64) {
-	h.resigned = h.Term
+func (h *RoleState) Resign(now int64) (term uint64) {
+	h.resignedTerm = h.Term
 	h.End(now)
 	h.Claim = Claim{} // not ours any more, whatever the replica still says
-	return h.resigned
+	return h.resignedTerm
 }
 
 // Forget forgets what the state service said, as before everything is read again.
-func (h *Holding) Forget(now int64) {
-	h.Claim, h.Term, h.FreeAt = Claim{}, 0, now
+func (h *RoleState) Forget(now int64) {
+	h.Claim, h.Term, h.VacantAt = Claim{}, 0, now
 }
 
 // Grant gives the permission to do something until a time. It permits nothing where
 // this controller does not hold the duty.
-func (h *Holding) Grant(action Action, now, until int64) Grant {
-	if h.tenure == nil {
+func (h *RoleState) Grant(action Action, now, until int64) Grant {
+	if h.current == nil {
 		return Grant{}
 	}
-	return Grant{tenure: h.tenure, action: action, made: now, until: until}
+	return Grant{leaderTerm: h.current, action: action, grantedAt: now, expiresAt: until}
 }
--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -15,12 +15,12 @@
 
 // Order is one order as it came to the gate.
 type Order struct {
-	At     int64  `json:"at"` // whole microseconds
-	Made   int64  `json:"made,omitzero"`
-	Duty   string `json:"duty"`
-	Term   uint64 `json:"term,omitzero"`
-	Action string `json:"action"`
-	Until  int64  `json:"until,omitzero"` // when its grant ends; 0: it does not
+	At        int64  `json:"at"` // whole microseconds
+	GrantedAt int64  `json:"made,omitzero"`
+	Role      string `json:"duty"`
+	Term      uint64 `json:"term,omitzero"`
+	Action    string `json:"action"`
+	ExpiresAt int64  `json:"until,omitzero"` // when its grant ends; 0: it does not
 	// Refused says why it did not leave; empty: it did.
 	Refused string `json:"refused,omitzero"`
 }
--- a/internal/sched/evict.go
+++ b/internal/sched/evict.go
@@ -15,13 +15,13 @@
 // lentMay tells whether a priority that was lent to j may stop u: tasks of
 // arrays only, that run for a while. Gangs that a pipeline needed put out others
 // of their own sort, one of them ten times.
-func (j *Job) lentMay(u Use) bool {
-	return u.Job.Tier < j.Tier && u.Job.Spec.Kind == wire.Array && !u.New
+func (j *Job) lentMay(u Allocation) bool {
+	return u.Job.Tier < j.Tier && u.Job.Spec.Kind == wire.Array && !u.StartedRecently
 }
 
 // mayStop tells whether PROTOCOL permits stopping u for j.
-func (p *planner) mayStop(j *Job, u Use) bool {
-	if u.Job == nil || u.Index < 0 {
+func (p *planner) mayStop(j *Job, u Allocation) bool {
+	if u.Job == nil || u.TaskIndex < 0 {
 		return false
 	}
 	if u.Job.Tier < j.ownTier() || j.lentMay(u) {
@@ -30,20 +30,20 @@
 	if u.Job.Tier > j.ownTier() {
 		return false // permitted within a guarantee, but it costs more than it serves
 	}
-	if u.New || u.Job.score > j.score {
+	if u.StartedRecently || u.Job.score > j.score {
 		return false // it would take the room again in the next cycle, and so on
 	}
-	mine, theirs := p.Teams[j.Spec.Team], p.Teams[u.Job.Spec.Team]
-	return mine != nil && theirs != nil && mine != theirs && mine.inGuarantee(j.Need, int64(j.Pending)) && theirs.Beyond(u.Need)
+	mine, theirs := p.Quotas[j.Spec.Team], p.Quotas[u.Job.Spec.Team]
+	return mine != nil && theirs != nil && mine != theirs && mine.inGuarantee(j.Request, int64(j.PendingTasks)) && theirs.KeepsGuaranteeWithout(u.Request)
 }
 
 func (p *planner) guaranteed(j *Job) bool {
-	t := p.Teams[j.Spec.Team]
-	return t != nil && t.inGuarantee(j.Need, int64(j.blocked))
+	t := p.Quotas[j.Spec.Team]
+	return t != nil && t.inGuarantee(j.Request, int64(j.blocked))
 }
 
-func (t *Team) inGuarantee(need Res, n int64) bool {
-	g := t.Guarantee
+func (t *Quota) inGuarantee(need Resources, n int64) bool {
+	g := t.Guaranteed
 	if g.CPU == 0 && g.GPU == 0 {
 		return false
 	}
@@ -51,9 +51,9 @@
 	return (g.CPU == 0 || u.CPU <= g.CPU) && (g.GPU == 0 || u.GPU <= g.GPU)
 }
 
-// Beyond tells whether a team has its whole guarantee even without need.
-func (t *Team) Beyond(need Res) bool {
-	g := t.Guarantee
+// KeepsGuaranteeWithout tells whether a team has its whole guarantee even without need.
+func (t *Quota) KeepsGuaranteeWithout(need Resources) bool {
+	g := t.Guaranteed
 	if g.CPU == 0 && g.GPU == 0 {
 		return false
 	}
@@ -79,7 +79,7 @@
 // clearing is what emptying a machine for a job costs.
 type clearing struct {
 	m    *Machine
-	uses []Use
+	uses []Allocation
 	lost int64
 	fits int
 }
@@ -98,7 +98,7 @@
 			continue
 		}
 		soon := p.roomAt(j, taken)
-		if soon < p.Now+int64((j.Spec.SaveS+10)*float64(Second)) {
+		if soon < p.Now+int64((j.Spec.CheckpointSaveS+10)*float64(Second)) {
 			continue
 		}
 		jobs++
@@ -108,11 +108,11 @@
 		}
 		for _, c := range set {
 			taken[c.m] = true
-			if c.m.Claim == j.ID {
+			if c.m.ClaimedBy == j.ID {
 				continue
 			}
 			machines++
-			p.plan.Evictions = append(p.plan.Evictions, Eviction{j, c.m, c.uses, p.guaranteed(j)})
+			p.plan.Preemptions = append(p.plan.Preemptions, Preemption{j, c.m, c.uses, p.guaranteed(j)})
 		}
 	}
 }
@@ -122,7 +122,7 @@
 // sure that it would be free soon.
 func (p *planner) roomAt(j *Job, taken map[*Machine]bool) int64 {
 	_, soon := p.soonestSet(j, func(m *Machine) bool {
-		ours := !m.Borrowable && (!m.Foreign || m.Claim == j.ID)
+		ours := !m.Borrowable && (!m.OtherPartition || m.ClaimedBy == j.ID)
 		return ours && !taken[m] && (p.resFor[m] == nil || p.resFor[m] == j)
 	})
 	return soon
@@ -140,7 +140,7 @@
 	equal := false
 	for _, c := range set {
 		lost += c.lost
-		equal = equal || slices.ContainsFunc(c.uses, func(u Use) bool { return u.Job.Tier >= j.ownTier() })
+		equal = equal || slices.ContainsFunc(c.uses, func(u Allocation) bool { return u.Job.Tier >= j.ownTier() })
 	}
 	if !equal {
 		return true
@@ -148,7 +148,7 @@
 	if lost > soon-p.Now {
 		return false // more work would be lost than wait saved
 	}
-	inTime := j.Due.S > 0 && soon < math.MaxInt64 && soon+int64(j.Spec.EstimateS*float64(Second)) <= j.Due.Latest()
+	inTime := j.Deadline.WithinS > 0 && soon < math.MaxInt64 && soon+int64(j.Spec.EstimateS*float64(Second)) <= j.Deadline.Latest()
 	return j.Tier <= j.ownTier() || !inTime // what it was lent for may be in time all the same
 }
 
@@ -162,7 +162,7 @@
 func (p *planner) clearings(j *Job, taken map[*Machine]bool) []clearing {
 	need := 1
 	if j.Spec.Kind == wire.Gang {
-		need = j.Pending
+		need = j.PendingTasks
 	}
 	byZone := map[string][]clearing{}
 	for _, m := range p.Machines {
@@ -191,7 +191,7 @@
 
 // clearable tells whether a machine may be emptied for a job.
 func (p *planner) clearable(j *Job, m *Machine) bool {
-	if !m.Usable && !m.Foreign && m.Claim != j.ID || m.Borrowable || !m.Total.Fits(j.Need) || !p.couldRun(j, m) {
+	if !m.Schedulable && !m.OtherPartition && m.ClaimedBy != j.ID || m.Borrowable || !m.Total.Fits(j.Request) || !p.couldRun(j, m) {
 		return false
 	}
 	at, reserved := p.reserved[m]
@@ -201,24 +201,24 @@
 // clearing works out what emptying a machine for up to need tasks of a job costs;
 // false: it can't be emptied.
 func (p *planner) clearing(j *Job, m *Machine, need int) (clearing, bool) {
-	if m.Claim == j.ID {
-		return clearing{m: m, fits: m.Total.Times(j.Need)}, true
+	if m.ClaimedBy == j.ID {
+		return clearing{m: m, fits: m.Total.Multiples(j.Request)}, true
 	}
 	c := clearing{m: m}
 	free := m.Free
-	uses := slices.Clone(m.Uses)
-	slices.SortStableFunc(uses, func(a, b Use) int { return cmp.Compare(a.Lost, b.Lost) })
+	uses := slices.Clone(m.Allocations)
+	slices.SortStableFunc(uses, func(a, b Allocation) int { return cmp.Compare(a.LostWork, b.LostWork) })
 	for _, u := range uses {
-		if free.Times(j.Need) >= need && !m.Foreign {
+		if free.Multiples(j.Request) >= need && !m.OtherPartition {
 			break
 		}
-		if u.Leaving || p.mayStop(j, u) {
-			free = free.Add(u.Need, 1)
-			c.lost += u.Lost
+		if u.Stopping || p.mayStop(j, u) {
+			free = free.Add(u.Request, 1)
+			c.lost += u.LostWork
 			c.uses = append(c.uses, u)
 		}
 	}
-	if m.Foreign {
+	if m.OtherPartition {
 		if len(c.uses) < len(uses) || len(uses) == 0 {
 			// It moves only empty; and one that is empty but not offered
 			// is being kept for another job: two partitions took it from
@@ -227,7 +227,7 @@
 		}
 		c.lost += 5 * Second
 	}
-	c.fits = free.Times(j.Need)
+	c.fits = free.Multiples(j.Request)
 	return c, true
 }
 
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -15,66 +15,66 @@
 		return 0
 	}
 	if j.Spec.OneZone {
-		for z, n := range j.InZone {
+		for z, n := range j.TasksPerZone {
 			if n > 0 && z != zone {
 				return 0
 			}
 		}
 	}
 	if j.Spec.Spread {
-		return (j.Spec.Tasks+1)/2 - j.InZone[zone]
+		return (j.Spec.Tasks+1)/2 - j.TasksPerZone[zone]
 	}
 	return j.Spec.Tasks
 }
 
 // usable tells whether the machine may take a task of the job now.
 func (p *planner) usable(j *Job, m *Machine) bool {
-	if !m.Usable || !m.Free.Fits(j.Need) || m.Borrowable || m.Foreign || j.Avoid[m.Name] ||
-		!Allowed(j.Spec, m.Type.Name, m.Zone, m.Spot) || (m.Claim != "" && m.Claim != j.ID) || p.cached && !m.Has(j.Spec.Image) {
+	if !m.Schedulable || !m.Free.Fits(j.Request) || m.Borrowable || m.OtherPartition || j.FailedMachines[m.Name] ||
+		!Allowed(j.Spec, m.Type.Name, m.Zone, m.Spot) || (m.ClaimedBy != "" && m.ClaimedBy != j.ID) || p.cached && !m.HasImage(j.Spec.Image) {
 		return false
 	}
 	if at, ok := p.reserved[m]; ok && p.resFor[m] != j {
 		end := p.Now + int64(j.Spec.EstimateS*float64(Second))
-		if !m.Has(j.Spec.Image) {
+		if !m.HasImage(j.Spec.Image) {
 			end += p.fetch(j, m.Type)
 		}
-		return j.Spec.Kind != wire.Daemon && end <= at
+		return j.Spec.Kind != wire.Service && end <= at
 	}
 	return true
 }
 
 func (p *planner) put(j *Job, m *Machine) {
-	m.Free = m.Free.Add(j.Need, -1)
-	if m.Claim == j.ID {
-		m.Claim = "" // it has what it was emptied for: the rest of the room is for all
+	m.Free = m.Free.Add(j.Request, -1)
+	if m.ClaimedBy == j.ID {
+		m.ClaimedBy = "" // it has what it was emptied for: the rest of the room is for all
 	}
-	j.InZone[m.Zone]++
-	j.Pending--
-	if t := p.Teams[j.Spec.Team]; t != nil {
-		t.Used = t.Used.Add(j.Need, 1)
+	j.TasksPerZone[m.Zone]++
+	j.PendingTasks--
+	if t := p.Quotas[j.Spec.Team]; t != nil {
+		t.Used = t.Used.Add(j.Request, 1)
 	}
 	end := p.Now + int64(j.Spec.EstimateS*float64(Second))
-	if !m.Has(j.Spec.Image) {
+	if !m.HasImage(j.Spec.Image) {
 		end += p.fetch(j, m.Type)
 	}
-	m.use(Use{Job: j, Index: -1, Need: j.Need, End: end})
-	if !m.Has(j.Spec.Image) {
-		m.Images = append(slices.Clip(m.Images), j.Spec.Image) // fetched once for all
+	m.use(Allocation{Job: j, TaskIndex: -1, Request: j.Request, ExpectedEnd: end})
+	if !m.HasImage(j.Spec.Image) {
+		m.CachedImages = append(slices.Clip(m.CachedImages), j.Spec.Image) // fetched once for all
 	}
 	p.ends(j, end)
-	p.plan.Starts = append(p.plan.Starts, Start{j, m})
+	p.plan.Bindings = append(p.plan.Bindings, Binding{j, m})
 }
 
 // place starts what fits of a job and tells how many tasks lack room.
 func (p *planner) place(j *Job) int {
-	want := min(j.Pending, p.limitAllows(j))
-	if j.Spec.Kind == wire.Gang && want < j.Pending || want == 0 {
-		p.plan.Why[j.ID] = "the team's limit is used up"
-		if t := p.Teams[j.Spec.Team]; t != nil && j.Spec.Kind == wire.Gang && !j.Deprioritized && t.reserved == (Res{}) {
+	want := min(j.PendingTasks, p.limitAllows(j))
+	if j.Spec.Kind == wire.Gang && want < j.PendingTasks || want == 0 {
+		p.plan.BlockedReasons[j.ID] = "the team's limit is used up"
+		if t := p.Quotas[j.Spec.Team]; t != nil && j.Spec.Kind == wire.Gang && !j.Deprioritized && t.reserved == (Resources{}) {
 			// Exception: what a team's limit leaves is reserved like machines, for
 			// the first of its gangs. Single tasks of the team took each piece as it
 			// came, and its gangs waited for minutes, or for ever.
-			t.reserved = t.reserved.Add(j.Need, int64(j.Pending))
+			t.reserved = t.reserved.Add(j.Request, int64(j.PendingTasks))
 		}
 		return 0
 	}
@@ -82,8 +82,8 @@
 		if p.placeGang(j) {
 			return 0
 		}
-		p.plan.Why[j.ID] = "no room for the whole gang at once"
-		return j.Pending
+		p.plan.BlockedReasons[j.ID] = "no room for the whole gang at once"
+		return j.PendingTasks
 	}
 	if j.Spec.Kind == wire.Array {
 		want = p.fill(j, want)
@@ -94,7 +94,7 @@
 		}
 	}
 	if want > 0 {
-		p.plan.Why[j.ID] = "no machine with room that the job may use"
+		p.plan.BlockedReasons[j.ID] = "no machine with room that the job may use"
 	}
 	return want
 }
@@ -114,7 +114,7 @@
 	}
 	slices.SortStableFunc(list, func(a, b choice) int { return slices.Compare(a.key[:], b.key[:]) })
 	for _, c := range list {
-		for want > 0 && c.m.Free.Fits(j.Need) && j.perZone(c.m.Zone) > 0 {
+		for want > 0 && c.m.Free.Fits(j.Request) && j.perZone(c.m.Zone) > 0 {
 			p.put(j, c.m)
 			want--
 		}
@@ -126,33 +126,33 @@
 // tasks fill: cheap kinds first, then a cached image, then the tightest room.
 func (p *planner) key(j *Job, m *Machine) [4]int64 {
 	var k [4]int64
-	if j.Spec.Kind == wire.Daemon {
-		k[0] = int64(j.InZone[m.Zone])
+	if j.Spec.Kind == wire.Service {
+		k[0] = int64(j.TasksPerZone[m.Zone])
 	}
-	if !m.Has(j.Spec.Image) {
+	if !m.HasImage(j.Spec.Image) {
 		k[1] = p.fetch(j, m.Type) / Second
 	}
 	if !m.Spot {
 		k[1] += 4
 	}
-	left := m.Free.Add(j.Need, -1)
+	left := m.Free.Add(j.Request, -1)
 	k[2], k[3] = left.GPU, left.CPU
 	return k
 }
 
 // limitAllows is how many more tasks the team's limit limitAllows.
 func (p *planner) limitAllows(j *Job) int {
-	t := p.Teams[j.Spec.Team]
+	t := p.Quotas[j.Spec.Team]
 	if t == nil {
 		return 0
 	}
-	n := j.Pending
+	n := j.PendingTasks
 	left := t.Limit.Add(t.Used, -1).Add(t.reserved, -1)
-	if t.Limit.CPU > 0 && j.Need.CPU > 0 {
-		n = min(n, int(max(0, left.CPU)/j.Need.CPU))
+	if t.Limit.CPU > 0 && j.Request.CPU > 0 {
+		n = min(n, int(max(0, left.CPU)/j.Request.CPU))
 	}
-	if t.Limit.GPU > 0 && j.Need.GPU > 0 {
-		n = min(n, int(max(0, left.GPU)/j.Need.GPU))
+	if t.Limit.GPU > 0 && j.Request.GPU > 0 {
+		n = min(n, int(max(0, left.GPU)/j.Request.GPU))
 	}
 	return n
 }
@@ -190,32 +190,32 @@
 	for z, ms := range byZone {
 		slices.SortStableFunc(ms, func(a, b *Machine) int {
 			cached := func(m *Machine) int {
-				if m.Has(j.Spec.Image) {
+				if m.HasImage(j.Spec.Image) {
 					return 0
 				}
 				return 1
 			}
-			return cmp.Or(cmp.Compare(b.Free.Times(j.Need), a.Free.Times(j.Need)), cmp.Compare(cached(a), cached(b)),
+			return cmp.Or(cmp.Compare(b.Free.Multiples(j.Request), a.Free.Multiples(j.Request)), cmp.Compare(cached(a), cached(b)),
 				cmp.Compare(a.Type.Price, b.Type.Price))
 		})
 		for _, m := range ms {
-			room[z] += m.Free.Times(j.Need)
+			room[z] += m.Free.Multiples(j.Request)
 		}
 		room[z] = min(room[z], j.perZone(z))
 	}
 	// The zone with the most room first: fewest zones; among those that hold
 	// it all, the fewest machines.
 	slices.SortStableFunc(zones, func(a, b string) int {
-		ra, rb := min(room[a], j.Pending), min(room[b], j.Pending)
+		ra, rb := min(room[a], j.PendingTasks), min(room[b], j.PendingTasks)
 		return cmp.Or(cmp.Compare(rb, ra), cmp.Compare(span(byZone[a], j), span(byZone[b], j)), cmp.Compare(a, b))
 	})
 	var set []*Machine
-	left := j.Pending
+	left := j.PendingTasks
 	for _, z := range zones {
 		take := min(left, room[z])
 		left -= take
 		for _, m := range byZone[z] {
-			for n := m.Free.Times(j.Need); n > 0 && take > 0; n-- {
+			for n := m.Free.Multiples(j.Request); n > 0 && take > 0; n-- {
 				set = append(set, m)
 				take--
 			}
@@ -235,9 +235,9 @@
 
 // span is how many of the machines, in order, the gang takes.
 func span(ms []*Machine, j *Job) int {
-	left := j.Pending
+	left := j.PendingTasks
 	for i, m := range ms {
-		if left -= m.Free.Times(j.Need); left <= 0 {
+		if left -= m.Free.Multiples(j.Request); left <= 0 {
 			return i + 1
 		}
 	}
@@ -245,27 +245,27 @@
 }
 
 // use adds a task and keeps the order of their ends.
-func (m *Machine) use(u Use) {
+func (m *Machine) use(u Allocation) {
 	m.sortUses()
-	at, _ := slices.BinarySearchFunc(m.Uses, u.End, func(o Use, end int64) int { return cmp.Compare(o.End, end) })
-	m.Uses = slices.Insert(m.Uses, at, u)
+	at, _ := slices.BinarySearchFunc(m.Allocations, u.ExpectedEnd, func(o Allocation, end int64) int { return cmp.Compare(o.ExpectedEnd, end) })
+	m.Allocations = slices.Insert(m.Allocations, at, u)
 }
 
 func (m *Machine) sortUses() {
 	if !m.byEnd {
 		m.byEnd = true
-		m.Uses = slices.Clone(m.Uses)
-		slices.SortStableFunc(m.Uses, func(a, b Use) int { return cmp.Compare(a.End, b.End) })
+		m.Allocations = slices.Clone(m.Allocations)
+		slices.SortStableFunc(m.Allocations, func(a, b Allocation) int { return cmp.Compare(a.ExpectedEnd, b.ExpectedEnd) })
 	}
 }
 
 // freeAt is when the machine is expected to have room for need.
-func (m *Machine) freeAt(need Res, now int64) int64 {
+func (m *Machine) freeAt(need Resources, now int64) int64 {
 	if !m.Total.Fits(need) {
 		return math.MaxInt64
 	}
 	at := now
-	if !m.Usable {
+	if !m.Schedulable {
 		at = max(now, m.ReadyAt)
 	}
 	free := m.Free
@@ -273,13 +273,13 @@
 		return at
 	}
 	m.sortUses()
-	for _, u := range m.Uses {
-		if u.Job != nil && u.Job.Spec.Kind == wire.Daemon {
+	for _, u := range m.Allocations {
+		if u.Job != nil && u.Job.Spec.Kind == wire.Service {
 			continue
 		}
-		free = free.Add(u.Need, 1)
+		free = free.Add(u.Request, 1)
 		if free.Fits(need) {
-			return max(at, u.End)
+			return max(at, u.ExpectedEnd)
 		}
 	}
 	return math.MaxInt64
@@ -298,7 +298,7 @@
 		if !able(m) || !p.couldRun(j, m) {
 			continue
 		}
-		if at := m.freeAt(j.Need, p.Now); at < math.MaxInt64 {
+		if at := m.freeAt(j.Request, p.Now); at < math.MaxInt64 {
 			z := ""
 			if j.Spec.OneZone {
 				z = m.Zone
@@ -320,9 +320,9 @@
 // of them where they do not, unless the job must stay in one zone.
 func soonestOf(slots []slot, j *Job) []slot {
 	slices.SortStableFunc(slots, func(a, b slot) int { return cmp.Compare(a.at, b.at) })
-	left := j.Pending
+	left := j.PendingTasks
 	for i, s := range slots {
-		if left -= max(1, s.m.Total.Times(j.Need)); left <= 0 {
+		if left -= max(1, s.m.Total.Multiples(j.Request)); left <= 0 {
 			return slots[:i+1]
 		}
 	}
@@ -336,7 +336,7 @@
 func (p *planner) reserve(j *Job) {
 	set, at := p.soonestSet(j, func(m *Machine) bool {
 		_, taken := p.reserved[m]
-		return !m.Borrowable && !m.Foreign && (!taken || m.Reservation != nil && m.Reservation.Job == j)
+		return !m.Borrowable && !m.OtherPartition && (!taken || m.Reservation != nil && m.Reservation.Job == j)
 	})
 	if j.Spec.Kind == wire.Gang {
 		p.gangs++
--- a/internal/sched/rank.go
+++ b/internal/sched/rank.go
@@ -15,7 +15,7 @@
 		j.score = r.score(j)
 	}
 	slices.SortStableFunc(p.Jobs, func(a, b *Job) int {
-		return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.At, b.At), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.EligibleAt, b.EligibleAt), cmp.Compare(a.ID, b.ID))
 	})
 }
 
@@ -28,34 +28,34 @@
 // ranking is what the scores of a plan's jobs have in common.
 type ranking struct {
 	*planner
-	total   Res // of the partition's machines
+	total   Resources // of the partition's machines
 	zones   int
 	backlog float64
-	typical float64                 // work of the average array that waits
-	usable  map[Kind]int            // machines, those with room if there are any
-	cached  map[string]map[Kind]int // of those with an image
+	typical float64                         // work of the average array that waits
+	usable  map[InstanceKind]int            // machines, those with room if there are any
+	cached  map[string]map[InstanceKind]int // of those with an image
 }
 
 func (p *planner) newRanking() *ranking {
-	r := &ranking{planner: p, usable: map[Kind]int{}, cached: map[string]map[Kind]int{}}
+	r := &ranking{planner: p, usable: map[InstanceKind]int{}, cached: map[string]map[InstanceKind]int{}}
 	// Readiness is the share of machines with the image among those that have
 	// room now, of any if none has.
-	hasRoom := func(m *Machine) bool { return m.Usable && m.Free.GPU > 0 && m.Free.CPU > 0 }
+	hasRoom := func(m *Machine) bool { return m.Schedulable && m.Free.GPU > 0 && m.Free.CPU > 0 }
 	room := slices.ContainsFunc(p.Machines, hasRoom)
 	zones := map[string]bool{}
 	running, queued := 0.0, 0.0
 	for _, m := range p.Machines {
-		if m.Usable && !room || hasRoom(m) {
+		if m.Schedulable && !room || hasRoom(m) {
 			r.addCached(m)
 		}
 		zones[m.Zone] = true
 		r.total = r.total.Add(m.Total, 1)
-		for _, u := range m.Uses {
-			running += float64(max(0, u.End-p.Now))
+		for _, u := range m.Allocations {
+			running += float64(max(0, u.ExpectedEnd-p.Now))
 		}
 	}
 	for _, j := range p.Jobs {
-		queued += float64(j.Pending) * j.Spec.EstimateS * float64(Second)
+		queued += float64(j.PendingTasks) * j.Spec.EstimateS * float64(Second)
 	}
 	r.zones = len(zones)
 	r.backlog = 1
@@ -70,9 +70,9 @@
 func (r *ranking) addCached(m *Machine) {
 	k := m.kind()
 	r.usable[k]++
-	for _, i := range m.Images {
+	for _, i := range m.CachedImages {
 		if r.cached[i] == nil {
-			r.cached[i] = map[Kind]int{}
+			r.cached[i] = map[InstanceKind]int{}
 		}
 		r.cached[i][k]++
 	}
@@ -80,12 +80,12 @@
 
 // score is a job's weighted sum, less what the exceptions take off.
 func (r *ranking) score(j *Job) float64 {
-	w := r.Ops.Weights
-	wait := math.Log(1 + float64(max(0, r.Now-j.At))/float64(Second)/r.Ops.ReferenceWaitS)
+	w := r.Operators.Weights
+	wait := math.Log(1 + float64(max(0, r.Now-j.EligibleAt))/float64(Second)/r.Operators.ReferenceWaitS)
 	score := w.Priority*float64(j.Tier) + w.Wait*wait + w.Deficit*r.deficit(j) +
 		w.ZoneFit*r.zoneFit(j) + w.Readiness*r.readiness(j) + w.Backlog*r.backlog
-	score -= r.Ops.LatePenalty * r.outOfReach(j)
-	score -= r.Ops.LargePenalty * r.backlog * r.large(j, r.total, r.typical)
+	score -= r.Operators.LatePenalty * r.outOfReach(j)
+	score -= r.Operators.LargePenalty * r.backlog * r.large(j, r.total, r.typical)
 	if j.Spec.Kind != wire.Array && r.due(j) {
 		score += dueBonus
 	}
@@ -100,16 +100,16 @@
 // deficit is how much of its target share a job's team lacks. The target is its
 // guarantee; without one, an equal share of the partition.
 func (r *ranking) deficit(j *Job) float64 {
-	t := r.Teams[j.Spec.Team]
+	t := r.Quotas[j.Spec.Team]
 	if t == nil {
 		return 0
 	}
-	target, used := float64(t.Guarantee.GPU), float64(t.Used.GPU)
+	target, used := float64(t.Guaranteed.GPU), float64(t.Used.GPU)
 	if target == 0 {
-		target, used = float64(t.Guarantee.CPU), float64(t.Used.CPU)
+		target, used = float64(t.Guaranteed.CPU), float64(t.Used.CPU)
 	}
 	if target == 0 {
-		target, used = float64(r.total.CPU)/float64(max(1, len(r.Teams))), float64(t.Used.CPU)
+		target, used = float64(r.total.CPU)/float64(max(1, len(r.Quotas))), float64(t.Used.CPU)
 	}
 	if target <= 0 {
 		return 0
@@ -147,7 +147,7 @@
 // due tells whether a job has not begun though half of the time is over within
 // which every job should have.
 func (p *planner) due(j *Job) bool {
-	return !j.Begun && !j.Deprioritized && float64(p.Now-j.At) > p.Ops.BeginWithinS/2*float64(Second)
+	return !j.Started && !j.Deprioritized && float64(p.Now-j.EligibleAt) > p.Operators.BeginWithinS/2*float64(Second)
 }
 
 // outOfReach is the share of the stated aims of the job's class that it can
@@ -157,29 +157,29 @@
 	if j.Spec.EstimateS <= 0 {
 		return 0
 	}
-	age := float64(p.Now-j.At) / float64(Second)
+	age := float64(p.Now-j.EligibleAt) / float64(Second)
 	lost, n := 0, 0
 	count := func(late bool) {
 		if n++; late {
 			lost++
 		}
 	}
-	for _, a := range p.Aims[j.Spec.Class] {
+	for _, a := range p.Objectives[j.Spec.Class] {
 		switch a.Kind {
 		case "wait":
-			count(!j.Begun && age > a.WithinS)
+			count(!j.Started && age > a.WithinS)
 		case "finished":
 			count(age+j.Spec.EstimateS > a.WithinS)
 		case "deadline":
-			if j.Due.S == 0 {
+			if j.Deadline.WithinS == 0 {
 				count(false)
 			}
 		}
 	}
 	// The deadline's aims are those of the class of the job that has it.
-	for _, a := range p.Aims[j.Due.Class] {
+	for _, a := range p.Objectives[j.Deadline.Class] {
 		if a.Kind == "deadline" {
-			count(float64(p.Now-j.Due.At)/float64(Second)+j.Spec.EstimateS+j.Due.After > a.Times*j.Due.S)
+			count(float64(p.Now-j.Deadline.SubmittedAt)/float64(Second)+j.Spec.EstimateS+j.Deadline.DownstreamS > a.DeadlineFactor*j.Deadline.WithinS)
 		}
 	}
 	return float64(lost) / math.Max(1, float64(n))
@@ -187,21 +187,21 @@
 
 // drain is how long the whole partition would be busy with what waits of a job, in
 // seconds.
-func (j *Job) drain(part Res) float64 {
+func (j *Job) drain(part Resources) float64 {
 	share := 0.0
-	for _, r := range [][2]int64{{j.Need.CPU, part.CPU}, {j.Need.GPU, part.GPU}, {j.Need.Mem, part.Mem}} {
+	for _, r := range [][2]int64{{j.Request.CPU, part.CPU}, {j.Request.GPU, part.GPU}, {j.Request.Mem, part.Mem}} {
 		if r[1] > 0 {
-			share = math.Max(share, float64(int64(j.Pending)*r[0])/float64(r[1]))
+			share = math.Max(share, float64(int64(j.PendingTasks)*r[0])/float64(r[1]))
 		}
 	}
 	return share * j.Spec.EstimateS
 }
 
 // typicalDrain is that of the average array that waits.
-func (p *planner) typicalDrain(part Res) float64 {
+func (p *planner) typicalDrain(part Resources) float64 {
 	sum, n := 0.0, 0.0
 	for _, j := range p.Jobs {
-		if j.Spec.Kind == wire.Array && j.Pending > 0 {
+		if j.Spec.Kind == wire.Array && j.PendingTasks > 0 {
 			sum += j.drain(part)
 			n++
 		}
@@ -213,10 +213,10 @@
 // average of those that wait; it fades with the job's own wait. Exception: where
 // more waits than fits, what is served in the order of its arrival is late for
 // all; where those that ask for least go first, most are in time.
-func (p *planner) large(j *Job, part Res, typical float64) float64 {
+func (p *planner) large(j *Job, part Resources, typical float64) float64 {
 	if j.Spec.Kind != wire.Array || typical <= 0 {
 		return 0
 	}
-	waited := float64(p.Now-j.At) / float64(Second) / (4 * p.Ops.BeginWithinS)
+	waited := float64(p.Now-j.EligibleAt) / float64(Second) / (4 * p.Operators.BeginWithinS)
 	return math.Min(1, j.drain(part)/(2.5*typical)) * math.Max(0, 1-waited)
 }
--- a/internal/sched/rent.go
+++ b/internal/sched/rent.go
@@ -7,21 +7,21 @@
 	"spurmoor/internal/wire"
 )
 
-// NothingToRent is why a job waits that nothing can be rented for.
-const NothingToRent = "no room, and no machine to rent for it"
+// ReasonNothingToLaunch is why a job waits that nothing can be rented for.
+const ReasonNothingToLaunch = "no room, and no machine to rent for it"
 
 // demand borrows or rents for what neither runs nor fits soon. Room is dealt
 // out in rank order: what is free or boots, then what ends before a rented
 // machine would be up, or early enough for a stated deadline.
 func (p *planner) demand(blocked []*Job) {
-	d := &demand{planner: p, rent: map[Kind]int{}, virtual: slices.Clone(p.Machines), borrowed: map[*Machine]bool{}}
+	d := &demand{planner: p, rent: map[InstanceKind]int{}, virtual: slices.Clone(p.Machines), borrowed: map[*Machine]bool{}}
 	// Without anything to rent, room is dealt out as far ahead as a rented
 	// machine would take twice; what is beyond that waits by the queue's length.
-	for i := range p.Types {
-		d.far = max(d.far, p.Now+int64(2*p.Types[i].BootS*float64(Second)))
+	for i := range p.MachineTypes {
+		d.far = max(d.far, p.Now+int64(2*p.MachineTypes[i].BootS*float64(Second)))
 	}
 	for _, m := range p.Machines {
-		if !m.Foreign {
+		if !m.OtherPartition {
 			d.own = d.own.Add(m.Total, 1)
 		}
 	}
@@ -31,21 +31,21 @@
 		}
 	}
 	for _, k := range d.order {
-		p.plan.Rentals = append(p.plan.Rentals, Rental{k, d.rent[k]})
+		p.plan.ScaleOuts = append(p.plan.ScaleOuts, ScaleOut{k, d.rent[k]})
 	}
 }
 
 // demand is what is to be had for the blocked jobs of a plan.
 type demand struct {
 	*planner
-	rent     map[Kind]int // machines to rent
-	order    []Kind       // of the kinds to rent
-	total    int          // machines to rent in all
-	virtual  []*Machine   // all machines, with those to be rented
+	rent     map[InstanceKind]int // machines to rent
+	order    []InstanceKind       // of the kinds to rent
+	total    int                  // machines to rent in all
+	virtual  []*Machine           // all machines, with those to be rented
 	borrowed map[*Machine]bool
-	own      Res   // of the partition's machines
-	far      int64 // how far ahead room is dealt out
-	queue    int64 // how long what finds no room keeps the partition busy
+	own      Resources // of the partition's machines
+	far      int64     // how far ahead room is dealt out
+	queue    int64     // how long what finds no room keeps the partition busy
 }
 
 // serve finds room for what a job lacks, now or soon, or rents it.
@@ -99,21 +99,21 @@
 		return 0
 	}
 	dealt := 0
-	for dealt < left && j.perZone(m.Zone) > 0 && (pass == roomSoon || m.Free.Fits(j.Need)) {
-		at := m.roomAt(j.Need, d.Now)
+	for dealt < left && j.perZone(m.Zone) > 0 && (pass == roomSoon || m.Free.Fits(j.Request)) {
+		at := m.roomAt(j.Request, d.Now)
 		if at > limit || at == math.MaxInt64 {
 			if pass == roomSoon {
 				m.freeing = at
 			}
 			break
 		}
-		if (m.Borrowable || m.Lent) && !d.borrowed[m] {
+		if (m.Borrowable || m.LentOut) && !d.borrowed[m] {
 			d.borrowed[m] = true
 			d.plan.Borrow = append(d.plan.Borrow, m)
 		}
-		m.Free = m.Free.Add(j.Need, -1)
+		m.Free = m.Free.Add(j.Request, -1)
 		end := at + int64(j.Spec.EstimateS*float64(Second)) + d.fetch(j, m.Type)
-		m.use(Use{Job: j, Index: -1, Need: j.Need, End: end})
+		m.use(Allocation{Job: j, TaskIndex: -1, Request: j.Request, ExpectedEnd: end})
 		d.ends(j, end)
 		dealt++
 	}
@@ -121,9 +121,9 @@
 }
 
 // roomAt is when a machine is expected to have room, and to be back if it is lent.
-func (m *Machine) roomAt(need Res, now int64) int64 {
+func (m *Machine) roomAt(need Resources, now int64) int64 {
 	at := m.freeAt(need, now)
-	if m.Lent && at < math.MaxInt64 {
+	if m.LentOut && at < math.MaxInt64 {
 		at = max(at, m.ReadyAt)
 	}
 	return at
@@ -133,9 +133,9 @@
 const rentBatch = 50
 
 // rentFor rents machines for up to left tasks of a job, and gives for how many.
-func (d *demand) rentFor(j *Job, kind Kind, typ *wire.MachineType, left int) int {
-	full := ResOf(typ.CPUs, typ.GPUs, typ.MemoryGB)
-	fit := full.Times(j.Need)
+func (d *demand) rentFor(j *Job, kind InstanceKind, typ *wire.MachineType, left int) int {
+	full := ResourcesOf(typ.CPUs, typ.GPUs, typ.MemoryGB)
+	fit := full.Multiples(j.Request)
 	n := min((left+fit-1)/fit, d.most(machinesToRent)-d.total, max(1, rentBatch-d.rent[kind]%rentBatch))
 	if d.rent[kind] == 0 {
 		d.order = append(d.order, kind)
@@ -149,22 +149,22 @@
 	for range n {
 		m := &Machine{Type: typ, Zone: kind.Zone, Spot: kind.Spot, Total: full, Free: full, ReadyAt: boot}
 		for k := min(left-served, fit); k > 0; k-- {
-			m.Free = m.Free.Add(j.Need, -1)
-			m.use(Use{Job: j, Index: -1, Need: j.Need, End: end})
+			m.Free = m.Free.Add(j.Request, -1)
+			m.use(Allocation{Job: j, TaskIndex: -1, Request: j.Request, ExpectedEnd: end})
 			served++
 		}
 		d.virtual = append(d.virtual, m)
 	}
-	d.plan.Why[j.ID] = "waits for a rented machine to boot"
+	d.plan.BlockedReasons[j.ID] = "waits for a rented machine to boot"
 	return served
 }
 
 // enqueue reckons with so many tasks of a job behind all that was served before.
 func (d *demand) enqueue(j *Job, left int) {
 	work := int64(left) * int64(j.Spec.EstimateS*float64(Second))
-	d.queue += max(work*j.Need.GPU/max(1, d.own.GPU), work*j.Need.CPU/max(1, d.own.CPU))
+	d.queue += max(work*j.Request.GPU/max(1, d.own.GPU), work*j.Request.CPU/max(1, d.own.CPU))
 	d.ends(j, d.Now+d.queue+int64(j.Spec.EstimateS*float64(Second)))
-	d.plan.Why[j.ID] = NothingToRent
+	d.plan.BlockedReasons[j.ID] = ReasonNothingToLaunch
 }
 
 // serves tells whether a machine may be counted on for a job's later tasks.
@@ -173,23 +173,23 @@
 	// work is stopped for them only where PROTOCOL's preemption permits it;
 	// else the machine comes back as its tasks end. Where all partitions are
 	// overloaded it only moved machines, and their work, in circles.
-	if m.Lent && !m.Fair && !p.guaranteed(j) {
+	if m.LentOut && !m.BorrowerOverShare && !p.guaranteed(j) {
 		return false
 	}
 	if m.Reservation != nil {
 		return m.Reservation.Job == j
 	}
-	if m.Foreign && !m.Lent && m.Claim != j.ID || !p.couldRun(j, m) {
+	if m.OtherPartition && !m.LentOut && m.ClaimedBy != j.ID || !p.couldRun(j, m) {
 		return false
 	}
-	return j.Spec.Kind != wire.Gang || m.Free.Fits(j.Need) || // else its own mates wait there for it
-		!slices.ContainsFunc(m.Uses, func(u Use) bool { return u.Job == j && u.Index >= 0 })
+	return j.Spec.Kind != wire.Gang || m.Free.Fits(j.Request) || // else its own mates wait there for it
+		!slices.ContainsFunc(m.Allocations, func(u Allocation) bool { return u.Job == j && u.TaskIndex >= 0 })
 }
 
 // couldRun tells whether a job's next task may be on a machine at all: its kind is
 // allowed, no other job has a claim to it, and the job did not fail there.
 func (p *planner) couldRun(j *Job, m *Machine) bool {
-	if m.Claim != "" && m.Claim != j.ID || j.Avoid[m.Name] || j.perZone(m.Zone) <= 0 {
+	if m.ClaimedBy != "" && m.ClaimedBy != j.ID || j.FailedMachines[m.Name] || j.perZone(m.Zone) <= 0 {
 		return false
 	}
 	return Allowed(j.Spec, m.Type.Name, m.Zone, m.Spot)
@@ -198,10 +198,10 @@
 // latest is when a task must start there at the latest to be early enough for
 // what its owner expects.
 func (p *planner) latest(j *Job, t *wire.MachineType) int64 {
-	if j.Due.S <= 0 {
+	if j.Deadline.WithinS <= 0 {
 		return 0
 	}
-	return j.Due.Latest() - int64(1.2*j.Spec.EstimateS*float64(Second)) - p.fetch(j, t)
+	return j.Deadline.Latest() - int64(1.2*j.Spec.EstimateS*float64(Second)) - p.fetch(j, t)
 }
 
 // rentZone is the one zone that all of a job's machines are to be in: where
@@ -211,14 +211,14 @@
 func (p *planner) rentZone(j *Job) string {
 	has := map[string]int{}
 	for _, m := range p.Machines {
-		if !m.Foreign && !j.Avoid[m.Name] && Allowed(j.Spec, m.Type.Name, m.Zone, m.Spot) && j.perZone(m.Zone) > 0 {
-			has[m.Zone] += m.Free.Times(j.Need)
+		if !m.OtherPartition && !j.FailedMachines[m.Name] && Allowed(j.Spec, m.Type.Name, m.Zone, m.Spot) && j.perZone(m.Zone) > 0 {
+			has[m.Zone] += m.Free.Multiples(j.Request)
 		}
 	}
 	best, most := "", -1
-	for i := range p.Types {
-		t := &p.Types[i]
-		if !ResOf(t.CPUs, t.GPUs, t.MemoryGB).Fits(j.Need) {
+	for i := range p.MachineTypes {
+		t := &p.MachineTypes[i]
+		if !ResourcesOf(t.CPUs, t.GPUs, t.MemoryGB).Fits(j.Request) {
 			continue
 		}
 		for _, z := range t.Zones {
@@ -237,7 +237,7 @@
 // rentable tells whether machines of a type may be had in a zone for a job.
 func (p *planner) rentable(j *Job, typ, zone string) bool {
 	for _, spot := range []bool{true, false} {
-		if Allowed(j.Spec, typ, zone, spot) && !p.Refused[Kind{typ, zone, spot}] {
+		if Allowed(j.Spec, typ, zone, spot) && !p.UnavailableKinds[InstanceKind{typ, zone, spot}] {
 			return true
 		}
 	}
@@ -250,13 +250,13 @@
 
 // cheapest chooses what to rent: the lowest price for each task that the
 // machine would hold of this demand.
-func (p *planner) cheapest(j *Job, n int, asked map[Kind]int) (Kind, *wire.MachineType) {
-	var best Kind
+func (p *planner) cheapest(j *Job, n int, asked map[InstanceKind]int) (InstanceKind, *wire.MachineType) {
+	var best InstanceKind
 	var typ *wire.MachineType
 	least, floor, price := math.Inf(1), math.Inf(1), 0.0
-	for i := range p.Types {
-		t := &p.Types[i]
-		fit := ResOf(t.CPUs, t.GPUs, t.MemoryGB).Times(j.Need)
+	for i := range p.MachineTypes {
+		t := &p.MachineTypes[i]
+		fit := ResourcesOf(t.CPUs, t.GPUs, t.MemoryGB).Multiples(j.Request)
 		if fit == 0 {
 			continue
 		}
@@ -267,7 +267,7 @@
 			}
 			perTask := machine / float64(fit)
 			floor = min(floor, perTask)
-			if p.Refused[k] {
+			if p.UnavailableKinds[k] {
 				continue
 			}
 			overhead := (t.BootS + float64(p.fetch(j, t))/float64(Second) + j.Spec.EstimateS) / max(1, j.Spec.EstimateS)
@@ -288,12 +288,12 @@
 }
 
 // kinds lists the kinds of a type that a job may use.
-func (p *planner) kinds(j *Job, t *wire.MachineType) []Kind {
-	var list []Kind
+func (p *planner) kinds(j *Job, t *wire.MachineType) []InstanceKind {
+	var list []InstanceKind
 	for _, z := range t.Zones {
 		for _, spot := range []bool{true, false} {
 			if Allowed(j.Spec, t.Name, z, spot) && j.perZone(z) > 0 {
-				list = append(list, Kind{t.Name, z, spot})
+				list = append(list, InstanceKind{t.Name, z, spot})
 			}
 		}
 	}
@@ -303,17 +303,17 @@
 // ceiling is how many times the price of the cheapest kind that a job may use
 // is paid for it. Dear kinds are for jobs that have waited long.
 func (p *planner) ceiling(j *Job) float64 {
-	base := p.Ops.PriceCeiling
+	base := p.Operators.PriceCeiling
 	if p.idleTime(j) {
-		base = math.Min(base, p.Ops.IdlePriceCeiling)
+		base = math.Min(base, p.Operators.IdlePriceCeiling)
 	}
-	waited := float64(p.Now-j.At) / float64(Second)
-	return base * (1 + waited/p.Ops.CeilingGrowthS)
+	waited := float64(p.Now-j.EligibleAt) / float64(Second)
+	return base * (1 + waited/p.Operators.CeilingGrowthS)
 }
 
 // idleTime tells whether a job is idle-time work: of the lowest priority,
 // without a deadline, and of a class for which the settings state no objective.
 // Such a job runs where there is room, or on cheap machines rented for it.
 func (p *planner) idleTime(j *Job) bool {
-	return j.Tier <= wire.Tier(wire.BestEffort) && j.Due.S == 0 && len(p.Aims[j.Spec.Class]) == 0
+	return j.Tier <= wire.Tier(wire.PriorityBestEffort) && j.Deadline.WithinS == 0 && len(p.Objectives[j.Spec.Class]) == 0
 }
--- a/internal/sched/reservation.go
+++ b/internal/sched/reservation.go
@@ -12,11 +12,11 @@
 // AdvanceReservation says for which job a machine is kept until it is empty, and when
 // the last of that job's machines should be.
 type AdvanceReservation struct {
-	Job *Job
-	At  int64
+	Job     *Job
+	ReadyAt int64
 }
 
-// ReserveAhead deals machines of all partitions out to the gangs that are due, oldest
+// ReserveInAdvance deals machines of all partitions out to the gangs that are due, oldest
 // first: to each those of one zone, where it must be in one, that empty
 // soonest. Exception: a partition seldom holds eight machines of a zone, nothing may
 // be stopped for work of the same tier, and so the largest gangs waited until
@@ -26,10 +26,10 @@
 // rest, and none began. A gang accepted after old is promised nothing that it can
 // have at once or by stopping what is of a lower tier, nor a single machine: it
 // has that sooner by itself.
-func ReserveAhead(now, old int64, machines []*Machine, due []*Job) map[string]AdvanceReservation {
+func ReserveInAdvance(now, old int64, machines []*Machine, due []*Job) map[string]AdvanceReservation {
 	due = slices.Clone(due)
 	// The larger a gang, the longer its machines take to empty.
-	rank := func(j *Job) int64 { return j.At - int64(j.Spec.Tasks)*5*Second }
+	rank := func(j *Job) int64 { return j.EligibleAt - int64(j.Spec.Tasks)*5*Second }
 	slices.SortFunc(due, func(a, b *Job) int { return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(a.ID, b.ID)) })
 	promised := map[string]AdvanceReservation{}
 	for _, j := range due {
@@ -39,7 +39,7 @@
 			continue
 		}
 		last := best[len(best)-1].at
-		if j.At > old && (len(best) == 1 || last <= now+Clearing) {
+		if j.EligibleAt > old && (len(best) == 1 || last <= now+PreemptionTime) {
 			continue
 		}
 		for _, s := range best {
@@ -54,7 +54,7 @@
 func soonestEmpty(j *Job, now int64, machines []*Machine, free func(m *Machine) bool) []slot {
 	byZone := map[string][]slot{}
 	for _, m := range machines {
-		if !free(m) || !m.Total.Fits(j.Need) || j.Avoid[m.Name] || j.perZone(m.Zone) <= 0 ||
+		if !free(m) || !m.Total.Fits(j.Request) || j.FailedMachines[m.Name] || j.perZone(m.Zone) <= 0 ||
 			!Allowed(j.Spec, m.Type.Name, m.Zone, m.Spot) {
 			continue
 		}
@@ -72,9 +72,9 @@
 	for _, z := range slices.Sorted(maps.Keys(byZone)) {
 		list := byZone[z]
 		slices.SortStableFunc(list, func(a, b slot) int { return cmp.Compare(a.at, b.at) })
-		left := j.Pending
+		left := j.PendingTasks
 		for i, s := range list {
-			if left -= s.m.Total.Times(j.Need); left > 0 {
+			if left -= s.m.Total.Multiples(j.Request); left > 0 {
 				continue
 			}
 			if best == nil || s.at < best[len(best)-1].at {
@@ -90,21 +90,21 @@
 // any more: what is of a lower tier can be stopped for it.
 func (m *Machine) emptyAt(j *Job, now int64) int64 {
 	at := now
-	if !m.Usable {
+	if !m.Schedulable {
 		at = max(now, m.ReadyAt)
 	}
-	for _, u := range m.Uses {
+	for _, u := range m.Allocations {
 		switch {
 		case u.Job != nil && u.Job.Tier < j.ownTier():
-			at = max(at, min(u.End, now+Clearing))
-		case u.Job != nil && u.Job.Spec.Kind == wire.Daemon:
+			at = max(at, min(u.ExpectedEnd, now+PreemptionTime))
+		case u.Job != nil && u.Job.Spec.Kind == wire.Service:
 			return math.MaxInt64
 		default:
-			at = max(at, u.End)
+			at = max(at, u.ExpectedEnd)
 		}
 	}
 	return at
 }
 
-// Clearing is about how long it takes to stop what runs on a machine.
-const Clearing = 12 * Second
+// PreemptionTime is about how long it takes to stop what runs on a machine.
+const PreemptionTime = 12 * Second
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -14,25 +14,25 @@
 // Second is one second in the whole microseconds that all times are in.
 const Second int64 = 1_000_000
 
-// Res is an amount of resources, in thousandths.
-type Res struct{ CPU, GPU, Mem int64 }
+// Resources is an amount of resources, in thousandths.
+type Resources struct{ CPU, GPU, Mem int64 }
 
-// ResOf turns the wire's decimal amounts into thousandths.
-func ResOf(cpus, gpus, mem float64) Res {
+// ResourcesOf turns the wire's decimal amounts into thousandths.
+func ResourcesOf(cpus, gpus, mem float64) Resources {
 	m := func(v float64) int64 { return int64(math.Round(v * 1000)) }
-	return Res{m(cpus), m(gpus), m(mem)}
+	return Resources{m(cpus), m(gpus), m(mem)}
 }
 
 // Add gives r + k·o.
-func (r Res) Add(o Res, k int64) Res {
-	return Res{r.CPU + k*o.CPU, r.GPU + k*o.GPU, r.Mem + k*o.Mem}
+func (r Resources) Add(o Resources, k int64) Resources {
+	return Resources{r.CPU + k*o.CPU, r.GPU + k*o.GPU, r.Mem + k*o.Mem}
 }
 
 // Fits tells whether o fits into r.
-func (r Res) Fits(o Res) bool { return o.CPU <= r.CPU && o.GPU <= r.GPU && o.Mem <= r.Mem }
+func (r Resources) Fits(o Resources) bool { return o.CPU <= r.CPU && o.GPU <= r.GPU && o.Mem <= r.Mem }
 
-// Times tells how often o fits into r.
-func (r Res) Times(o Res) int {
+// Multiples tells how often o fits into r.
+func (r Resources) Multiples(o Resources) int {
 	n := int64(1 << 30)
 	for _, p := range [][2]int64{{r.CPU, o.CPU}, {r.GPU, o.GPU}, {r.Mem, o.Mem}} {
 		if p[1] > 0 {
@@ -42,145 +42,147 @@
 	return int(n)
 }
 
-// Use is a task on a machine.
-type Use struct {
-	Job     *Job
-	Index   int
-	Need    Res
-	End     int64 // expected, by the owner's estimate
-	Lost    int64 // work lost if it is stopped now
-	Leaving bool  // told to stop already
-	New     bool  // started so lately that stopping it undoes the start
+// Allocation is a task on a machine.
+type Allocation struct {
+	Job             *Job
+	TaskIndex       int
+	Request         Resources
+	ExpectedEnd     int64 // expected, by the owner's estimate
+	LostWork        int64 // work lost if it is stopped now
+	Stopping        bool  // told to stop already
+	StartedRecently bool  // started so lately that stopping it undoes the start
 }
 
 // Machine is a machine of the partition.
 type Machine struct {
-	Name        string
-	Type        *wire.MachineType
-	Zone        string
-	Spot        bool
-	Total       Res
-	Free        Res
-	Usable      bool  // may be given tasks now
-	ReadyAt     int64 // of a booting machine: when it is expected
-	Borrowable  bool  // another partition's idle machine: may be asked for
-	Foreign     bool  // another partition's, at work: may be asked for if all its tasks may be stopped
-	Lent        bool  // ours by home, at work for another partition
-	Fair        bool  // of a Lent one: its borrower uses far more than we do
-	Claim       string
-	Reservation *AdvanceReservation // to a gang that is due, of whatever part
-	Images      []string            // in its cache, or being fetched
-	Uses        []Use
-	byEnd       bool // Uses are in the order of their ends, and the plan's own
-	freeing     int64
+	Name              string
+	Type              *wire.MachineType
+	Zone              string
+	Spot              bool
+	Total             Resources
+	Free              Resources
+	Schedulable       bool  // may be given tasks now
+	ReadyAt           int64 // of a booting machine: when it is expected
+	Borrowable        bool  // another partition's idle machine: may be asked for
+	OtherPartition    bool  // another partition's, at work: may be asked for if all its tasks may be stopped
+	LentOut           bool  // ours by home, at work for another partition
+	BorrowerOverShare bool  // of a Lent one: its borrower uses far more than we do
+	ClaimedBy         string
+	Reservation       *AdvanceReservation // to a gang that is due, of whatever part
+	CachedImages      []string            // in its cache, or being fetched
+	Allocations       []Allocation
+	byEnd             bool // Uses are in the order of their ends, and the plan's own
+	freeing           int64
 }
 
-// Has tells whether the machine need not fetch an image.
-func (m *Machine) Has(image string) bool { return slices.Contains(m.Images, image) }
+// HasImage tells whether the machine need not fetch an image.
+func (m *Machine) HasImage(image string) bool { return slices.Contains(m.CachedImages, image) }
 
 // Job is an unfinished job of the partition.
 type Job struct {
-	ID            string
-	Spec          *wire.Job
-	Need          Res
-	Tier          int   // that it is treated as having
-	At            int64 // accepted, and all that it needs done
-	Due           Due   // its deadline, or one that it must be early enough for
-	Pending       int   // tasks to place, those held back by a back-off not counted
-	InZone        map[string]int
-	Avoid         map[string]bool // machines
-	Begun         bool            // some of its tasks were started
-	Deprioritized bool            // failing everywhere: it must not take room first
-	score         float64
-	zone          string // where its machines are to be rented, if all in one
-	blocked       int
+	ID             string
+	Spec           *wire.Job
+	Request        Resources
+	Tier           int      // that it is treated as having
+	EligibleAt     int64    // accepted, and all that it needs done
+	Deadline       Deadline // its deadline, or one that it must be early enough for
+	PendingTasks   int      // tasks to place, those held back by a back-off not counted
+	TasksPerZone   map[string]int
+	FailedMachines map[string]bool // machines
+	Started        bool            // some of its tasks were started
+	Deprioritized  bool            // failing everywhere: it must not take room first
+	score          float64
+	zone           string // where its machines are to be rented, if all in one
+	blocked        int
 }
 
-// Due is a deadline: of the job itself, or of the last of those that need it,
+// Deadline is a deadline: of the job itself, or of the last of those that need it,
 // for which it must be done so much earlier. S 0: none.
-type Due struct {
-	At    int64 // when the job that has it was submitted
-	S     float64
-	Class string  // of that job
-	After float64 // seconds that those behind this one take, by the estimates
+type Deadline struct {
+	SubmittedAt int64 // when the job that has it was submitted
+	WithinS     float64
+	Class       string  // of that job
+	DownstreamS float64 // seconds that those behind this one take, by the estimates
 }
 
 // Latest is when a job must be done.
-func (d Due) Latest() int64 { return d.At + int64((d.S-d.After)*float64(Second)) }
+func (d Deadline) Latest() int64 {
+	return d.SubmittedAt + int64((d.WithinS-d.DownstreamS)*float64(Second))
+}
 
-// Team is a team's share of the partition.
-type Team struct {
-	Used, Guarantee, Limit Res // a zero amount in Limit or Guarantee: none
-	reserved               Res // of the limit, for gangs that it keeps waiting
+// Quota is a team's share of the partition.
+type Quota struct {
+	Used, Guaranteed, Limit Resources // a zero amount in Limit or Guarantee: none
+	reserved                Resources // of the limit, for gangs that it keeps waiting
 }
 
-// Kind is a thing to rent.
-type Kind struct {
+// InstanceKind is a thing to rent.
+type InstanceKind struct {
 	Type string
 	Zone string
 	Spot bool
 }
 
-// View is what a plan is made from.
-type View struct {
-	Now      int64
-	Types    []wire.MachineType
-	Machines []*Machine
-	Jobs     []*Job
-	Teams    map[string]*Team
-	Refused  map[Kind]bool
-	Ops      *settings.Operators
-	Aims     map[string][]settings.Objective // by class
+// Snapshot is what a plan is made from.
+type Snapshot struct {
+	Now              int64
+	MachineTypes     []wire.MachineType
+	Machines         []*Machine
+	Jobs             []*Job
+	Quotas           map[string]*Quota
+	UnavailableKinds map[InstanceKind]bool
+	Operators        *settings.Operators
+	Objectives       map[string][]settings.Objective // by class
 }
 
-func (m *Machine) kind() Kind { return Kind{m.Type.Name, m.Zone, m.Spot} }
+func (m *Machine) kind() InstanceKind { return InstanceKind{m.Type.Name, m.Zone, m.Spot} }
 
-// Start puts one task of a job on a machine.
-type Start struct {
+// Binding puts one task of a job on a machine.
+type Binding struct {
 	Job     *Job
 	Machine *Machine
 }
 
-// Eviction stops tasks so that a job gets their machine.
-type Eviction struct {
-	For        *Job
-	Machine    *Machine
-	Uses       []Use
-	Guaranteed bool // its team has a claim to it by its guarantee
+// Preemption stops tasks so that a job gets their machine.
+type Preemption struct {
+	For             *Job
+	Machine         *Machine
+	Victims         []Allocation
+	WithinGuarantee bool // its team has a claim to it by its guarantee
 }
 
-// Rental is a demand for machines.
-type Rental struct {
-	Kind  Kind
+// ScaleOut is a demand for machines.
+type ScaleOut struct {
+	Kind  InstanceKind
 	Count int
 }
 
 // Plan is what to do.
 type Plan struct {
-	Starts    []Start
-	Evictions []Eviction
-	Rentals   []Rental
-	Borrow    []*Machine
-	Why       map[string]string // job → why it waits
-	Ends      map[string]int64  // job → when its last task should end, by the estimates
+	Bindings       []Binding
+	Preemptions    []Preemption
+	ScaleOuts      []ScaleOut
+	Borrow         []*Machine
+	BlockedReasons map[string]string // job → why it waits
+	ExpectedEnds   map[string]int64  // job → when its last task should end, by the estimates
 }
 
 type planner struct {
-	*View
+	*Snapshot
 	plan     Plan
 	types    map[string]*wire.MachineType
 	reserved map[*Machine]int64
 	resFor   map[*Machine]*Job
-	held     map[Kind]int
+	held     map[InstanceKind]int
 	gangs    int // that reserved
 	blocked  []*Job
 	cached   bool // only room where the image need not be fetched
 }
 
-// Make plans one cycle.
-func Make(v *View) *Plan {
-	p := &planner{View: v, types: map[string]*wire.MachineType{}, reserved: map[*Machine]int64{}, resFor: map[*Machine]*Job{}, held: map[Kind]int{}}
-	p.plan.Why, p.plan.Ends = map[string]string{}, map[string]int64{}
+// MakePlan plans one cycle.
+func MakePlan(v *Snapshot) *Plan {
+	p := &planner{Snapshot: v, types: map[string]*wire.MachineType{}, reserved: map[*Machine]int64{}, resFor: map[*Machine]*Job{}, held: map[InstanceKind]int{}}
+	p.plan.BlockedReasons, p.plan.ExpectedEnds = map[string]string{}, map[string]int64{}
 	p.look()
 	p.rank()
 	p.beginDue()
@@ -195,16 +197,16 @@
 	for _, m := range p.Machines {
 		p.held[m.kind()]++
 		if m.Reservation != nil {
-			p.reserved[m], p.resFor[m] = m.Reservation.At, m.Reservation.Job
+			p.reserved[m], p.resFor[m] = m.Reservation.ReadyAt, m.Reservation.Job
 		}
-		for _, u := range m.Uses {
+		for _, u := range m.Allocations {
 			if u.Job != nil {
-				p.ends(u.Job, u.End)
+				p.ends(u.Job, u.ExpectedEnd)
 			}
 		}
 	}
-	for i := range p.Types {
-		p.types[p.Types[i].Name] = &p.Types[i]
+	for i := range p.MachineTypes {
+		p.types[p.MachineTypes[i].Name] = &p.MachineTypes[i]
 	}
 }
 
@@ -213,7 +215,7 @@
 // which it should have gets its first task placed before all else.
 func (p *planner) beginDue() {
 	for _, j := range p.Jobs {
-		if j.Spec.Kind == wire.Array && p.due(j) && min(j.Pending, p.limitAllows(j)) > 0 {
+		if j.Spec.Kind == wire.Array && p.due(j) && min(j.PendingTasks, p.limitAllows(j)) > 0 {
 			p.fill(j, 1)
 		}
 	}
@@ -227,7 +229,7 @@
 	first := true
 	var rest []*Job
 	for _, j := range p.Jobs {
-		if j.Pending == 0 {
+		if j.PendingTasks == 0 {
 			continue
 		}
 		if j.Spec.Kind == wire.Array && !first {
@@ -241,7 +243,7 @@
 		p.try(j)
 	}
 	for _, j := range rest {
-		if j.Pending > 0 {
+		if j.PendingTasks > 0 {
 			p.try(j)
 		}
 	}
@@ -277,5 +279,5 @@
 }
 
 func (p *planner) ends(j *Job, at int64) {
-	p.plan.Ends[j.ID] = max(p.plan.Ends[j.ID], at)
+	p.plan.ExpectedEnds[j.ID] = max(p.plan.ExpectedEnds[j.ID], at)
 }
--- a/internal/server/gate.go
+++ b/internal/server/gate.go
@@ -33,10 +33,10 @@
 // admitAt is admit at a time that the caller knows.
 func (g *gate) admitAt(now int64, grant duty.Grant, action duty.Action) error {
 	reason := grant.Check(action, now)
-	g.orders.Note(history.Order{At: now, Made: grant.Made(), Duty: grant.Duty(), Term: grant.Term(), Action: action.String(), Until: grant.Until(), Refused: string(reason)})
+	g.orders.Note(history.Order{At: now, GrantedAt: grant.GrantedAt(), Role: grant.RoleName(), Term: grant.Term(), Action: action.String(), ExpiresAt: grant.ExpiresAt(), Refused: string(reason)})
 	if reason == "" {
 		return nil
 	}
-	g.refused(core.OrderRefused{Duty: grant.Duty(), Action: action, Reason: reason})
-	return &refusedError{grant.Duty(), reason}
+	g.refused(core.OrderRefused{Role: grant.RoleName(), Action: action, Reason: reason})
+	return &refusedError{grant.RoleName(), reason}
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -38,7 +38,7 @@
 type Server struct {
 	set     *settings.Settings
 	log     *slog.Logger
-	core    *core.Core
+	core    *core.Controller
 	first   chan input // what others wait for: looked at before inputs
 	inputs  chan input
 	waiting map[uint64]chan decided
@@ -91,7 +91,7 @@
 	}
 	// One thread runs at a time there; memory over the limit is death.
 	runtime.GOMAXPROCS(1)
-	debug.SetMemoryLimit(int64(set.Facts.Limits.MemMB * 0.7 * (1 << 20)))
+	debug.SetMemoryLimit(int64(set.Deployment.Process.MemMB * 0.7 * (1 << 20)))
 	inc := binary.LittleEndian.Uint64(seed[:8]) >> 12
 	rng := rand.New(rand.NewPCG(inc, binary.LittleEndian.Uint64(seed[8:])))
 	steady := clock.New()
@@ -102,9 +102,9 @@
 		set: set, log: log, core: core.New(set, inc, rng), now: steady.Now, fresh: steady.Fresh, stopped: make(chan struct{}),
 		// As many as can ask at a time: a queue of a fixed length turned
 		// workers away that the sockets had room for.
-		inputs: make(chan input, set.Facts.Limits.MaxConnections), first: make(chan input, 256),
+		inputs: make(chan input, set.Deployment.Process.MaxConnections), first: make(chan input, 256),
 		waiting: map[uint64]chan decided{},
-		pushes:  make(chan struct{}, set.Sockets.Pushes),
+		pushes:  make(chan struct{}, set.Sockets.DirectCommands),
 		telling: make([]atomic.Bool, len(set.Peers)),
 		workers: &fasthttp.Client{MaxConnsPerHost: 2, ReadTimeout: 4 * time.Second, WriteTimeout: 2 * time.Second,
 			MaxIdleConnDuration: time.Second, MaxIdemponentCallAttempts: 1, MaxResponseBodySize: 1 << 20},
@@ -120,7 +120,7 @@
 
 // Run serves until ctx ends or a listener fails.
 func (s *Server) Run(ctx context.Context) error {
-	for _, w := range s.set.Sound() {
+	for _, w := range s.set.Warnings() {
 		s.log.Warn("settings", "warning", w)
 	}
 	serving, end := context.WithCancel(context.WithoutCancel(ctx))
@@ -139,7 +139,7 @@
 		defer end()
 		return s.awaitStop(ctx, serving)
 	})
-	s.log.Info("controller started", "node", s.set.Node, "version", core.Version, "form", core.SchemaVersion, "parts", s.set.Ops.Parts, "public", s.set.PublicAddr)
+	s.log.Info("controller started", "node", s.set.Node, "version", core.Version, "form", core.SchemaVersion, "parts", s.set.Operators.Partitions, "public", s.set.PublicAddr)
 	return g.Wait()
 }
 
@@ -251,8 +251,8 @@
 func (s *Server) effect(e core.Effect, now int64) {
 	switch v := e.(type) {
 	case core.Answer:
-		if to := s.waiting[v.Req]; to != nil {
-			delete(s.waiting, v.Req)
+		if to := s.waiting[v.RequestID]; to != nil {
+			delete(s.waiting, v.RequestID)
 			to <- decided{v, now}
 		}
 	case core.StoreCall:
@@ -266,13 +266,13 @@
 	case core.Broadcast:
 		s.tell(v.Heartbeat)
 	case core.Log:
-		s.log.Log(context.Background(), v.Level, v.Msg, v.Args...)
+		s.log.Log(context.Background(), v.Level, v.Message, v.Args...)
 	}
 }
 
 // push sends direct commands; a worker that hangs holds one of few places.
 func (s *Server) push(p core.SendCommands, decidedAt int64) {
-	out := core.CommandsAnswered{Machine: p.Machine, Token: p.Body.Body().Token, Starts: p.Starts}
+	out := core.CommandReply{Machine: p.Machine, Token: p.Body.Body().FencingToken, Starts: p.Starts}
 	defer func() { s.feed(out) }()
 	select {
 	case s.pushes <- struct{}{}:
@@ -310,8 +310,8 @@
 		out.Unsent = errors.As(err, &kept)
 		return
 	}
-	if r, err := wire.ParseReport(resp.Body()); err == nil {
-		out.Status, out.Report = resp.StatusCode(), r
+	if r, err := wire.ParseHeartbeat(resp.Body()); err == nil {
+		out.Status, out.Heartbeat = resp.StatusCode(), r
 	} else {
 		s.unreadable("worker", err)
 	}
@@ -353,7 +353,7 @@
 	select {
 	case in <- input{toInput(req), req, to}:
 	default:
-		respond(ctx, core.Answer{Status: 429, Body: wire.Error{Error: "too many requests"}, RetryAfter: 2})
+		respond(ctx, core.Answer{Status: 429, Body: wire.Error{Error: "too many requests"}, RetryAfterS: 2})
 		return
 	}
 	respond(ctx, s.answer(<-to))
@@ -363,12 +363,12 @@
 // decided too long ago, and commands only under a grant that holds.
 func (s *Server) answer(a decided) core.Answer {
 	refuse := func(err error) core.Answer {
-		return core.Answer{Status: 503, Body: wire.Error{Error: err.Error()}, RetryAfter: 1}
+		return core.Answer{Status: 503, Body: wire.Error{Error: err.Error()}, RetryAfterS: 1}
 	}
 	if s.stale(a.at) {
 		return refuse(errStoodStill)
 	}
-	if order, ok := a.Body.(duty.Order[wire.ReportResponse]); ok {
+	if order, ok := a.Body.(duty.Order[wire.HeartbeatResponse]); ok {
 		// A worker drops an answer that comes late, so a clock that may miss a
 		// suspension until the next tick will do for the hundreds a second.
 		if err := s.gate.admitAt(s.now(), order.Grant(), duty.Command); err != nil {
@@ -387,8 +387,8 @@
 	}
 	ctx.SetStatusCode(a.Status)
 	ctx.SetContentType("application/json")
-	if a.RetryAfter > 0 {
-		ctx.Response.Header.Set("Retry-After", strconv.Itoa(a.RetryAfter))
+	if a.RetryAfterS > 0 {
+		ctx.Response.Header.Set("Retry-After", strconv.Itoa(a.RetryAfterS))
 	}
 	ctx.SetBody(b)
 }
@@ -398,18 +398,18 @@
 	path := string(ctx.Path())
 	switch {
 	case path == "/ready":
-		s.serve(ctx, fasthttp.MethodGet, s.first, func(req uint64) core.Input { return core.Ready{Req: req} })
+		s.serve(ctx, fasthttp.MethodGet, s.first, func(req uint64) core.Input { return core.Ready{RequestID: req} })
 	case path == "/duties":
-		s.serve(ctx, fasthttp.MethodGet, s.inputs, func(req uint64) core.Input { return core.ListDuties{Req: req} })
+		s.serve(ctx, fasthttp.MethodGet, s.inputs, func(req uint64) core.Input { return core.ListRoles{RequestID: req} })
 	case path == "/work":
 		s.serve(ctx, fasthttp.MethodPost, s.inputs, func(req uint64) core.Input {
-			return core.Submit{Req: req, Body: append([]byte(nil), ctx.PostBody()...)}
+			return core.Submit{RequestID: req, Body: append([]byte(nil), ctx.PostBody()...)}
 		})
 	case path == "/v1/report":
 		s.report(ctx)
 	case strings.HasPrefix(path, "/why/"):
 		id := path[len("/why/"):]
-		s.serve(ctx, fasthttp.MethodGet, s.inputs, func(req uint64) core.Input { return core.Explain{Req: req, ID: id} })
+		s.serve(ctx, fasthttp.MethodGet, s.inputs, func(req uint64) core.Input { return core.Explain{RequestID: req, ID: id} })
 	case strings.HasPrefix(path, "/work/"):
 		s.job(ctx, path[len("/work/"):])
 	default:
@@ -422,11 +422,11 @@
 	id, cancel := strings.CutSuffix(rest, "/cancel")
 	switch {
 	case cancel:
-		s.serve(ctx, fasthttp.MethodPost, s.inputs, func(req uint64) core.Input { return core.Cancel{Req: req, ID: id} })
+		s.serve(ctx, fasthttp.MethodPost, s.inputs, func(req uint64) core.Input { return core.Cancel{RequestID: req, ID: id} })
 	case strings.Contains(id, "/"):
 		noSuchPath(ctx)
 	default:
-		s.serve(ctx, fasthttp.MethodGet, s.inputs, func(req uint64) core.Input { return core.Poll{Req: req, ID: id} })
+		s.serve(ctx, fasthttp.MethodGet, s.inputs, func(req uint64) core.Input { return core.GetStatus{RequestID: req, ID: id} })
 	}
 }
 
@@ -436,7 +436,7 @@
 		wrongMethod(ctx, fasthttp.MethodPost)
 		return
 	}
-	r, err := wire.ParseReport(ctx.PostBody())
+	r, err := wire.ParseHeartbeat(ctx.PostBody())
 	if err != nil {
 		s.unreadable("worker", err)
 		respond(ctx, core.Answer{Status: 400, Body: wire.Error{Error: err.Error()}})
@@ -447,10 +447,10 @@
 		// must more workers than there are sockets.
 		ctx.SetConnectionClose()
 		if !s.crowded.Swap(true) {
-			s.log.Warn("sockets are short: workers' connections last for one report", "open", s.open(), "max_connections", s.set.Facts.Limits.MaxConnections)
+			s.log.Warn("sockets are short: workers' connections last for one report", "open", s.open(), "max_connections", s.set.Deployment.Process.MaxConnections)
 		}
 	}
-	s.ask(ctx, s.inputs, func(req uint64) core.Input { return core.ReportReceived{Req: req, Report: r} })
+	s.ask(ctx, s.inputs, func(req uint64) core.Input { return core.WorkerHeartbeat{RequestID: req, Heartbeat: r} })
 }
 
 // serve asks the core, if the method is the right one.
@@ -484,7 +484,7 @@
 		return
 	}
 	select {
-	case s.inputs <- input{in: core.HeartbeatReceived{Heartbeat: h}}:
+	case s.inputs <- input{in: core.PeerHeartbeat{Heartbeat: h}}:
 	default:
 	}
 	ctx.SetStatusCode(204)
