--- a/cmd/spurmoor/client.go
+++ b/cmd/spurmoor/client.go
@@ -11,7 +11,7 @@
 	"github.com/spf13/cobra"
 	"github.com/valyala/fasthttp"
 
-	"spurmoor/internal/wire"
+	"spurmoor/internal/api"
 )
 
 // client calls a running service.
@@ -91,7 +91,7 @@
 				_, err = fmt.Fprintln(cmd.OutOrStdout(), text)
 				return err
 			}
-			var list wire.Roles
+			var list api.Roles
 			if err := json.Unmarshal([]byte(text), &list); err != nil {
 				return fmt.Errorf("%s: answer can't be read: %w", c.addr, err)
 			}
--- a/cmd/spurmoor/duties.go
+++ b/cmd/spurmoor/duties.go
@@ -8,11 +8,11 @@
 	"strings"
 	"text/tabwriter"
 
-	"spurmoor/internal/wire"
+	"spurmoor/internal/api"
 )
 
 // showDuties prints a line for each duty.
-func showDuties(out io.Writer, list *wire.Roles) error {
+func showDuties(out io.Writer, list *api.Roles) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	lines := []string{"DUTY\tHOLDER\tTERM\tSINCE\tREMAINING\tORDERS REFUSED HERE"}
 	for _, d := range list.Roles {
@@ -32,7 +32,7 @@
 }
 
 // dutyLine gives one duty's columns. What is not known here is a dash.
-func dutyLine(d wire.RoleStatus) string {
+func dutyLine(d api.RoleStatus) string {
 	holder, term, since, remaining := "-", "-", "-", "-"
 	if d.Leader != "" {
 		holder = d.Leader
--- a/internal/wire/wire.go
+++ b/internal/api/api.go
@@ -1,6 +1,6 @@
-// Package wire holds the JSON forms of PROTOCOL and their validation. The
+// Package api holds the JSON forms of PROTOCOL and their validation. The
 // names used on the wire live only here.
-package wire
+package api
 
 import (
 	"errors"
--- a/internal/wire/job.go
+++ b/internal/api/job.go
@@ -1,4 +1,4 @@
-package wire
+package api
 
 import (
 	"errors"
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -11,11 +11,11 @@
 	"github.com/valyala/fasthttp"
 	"golang.org/x/time/rate"
 
+	"spurmoor/internal/api"
 	"spurmoor/internal/core"
-	"spurmoor/internal/duty"
 	"spurmoor/internal/jsonhttp"
+	"spurmoor/internal/leadership"
 	"spurmoor/internal/settings"
-	"spurmoor/internal/wire"
 )
 
 // Client talks to the cloud.
@@ -23,12 +23,12 @@
 	http *fasthttp.HostClient
 	reqs *rate.Limiter
 	bad  func(who string, err error)
-	gate duty.Gate
+	gate leadership.Gate
 }
 
 // New makes a client. Controllers are rarely busy all at once, so each may use
 // half of the budget; a 429 is asked again. bad is told of every answer that can't be read.
-func New(set *settings.Settings, gate duty.Gate, bad func(who string, err error)) *Client {
+func New(set *settings.Settings, gate leadership.Gate, bad func(who string, err error)) *Client {
 	share := set.Deployment.Cloud.RPS / 2
 	return &Client{
 		bad: bad, gate: gate,
@@ -57,9 +57,9 @@
 	req := request(call)
 	switch call.Op {
 	case core.OpLaunch:
-		req.Before = func() error { return c.gate(call.Launch.Grant(), duty.Launch) }
+		req.Before = func() error { return c.gate(call.Launch.Grant(), leadership.Launch) }
 	case core.OpDelete:
-		req.Before = func() error { return c.gate(call.Delete.Grant(), duty.Delete) }
+		req.Before = func() error { return c.gate(call.Delete.Grant(), leadership.Delete) }
 	}
 	err := jsonhttp.Do(c.http, req, func(status int, body []byte) error { return decode(call, status, body, r) })
 	var none *jsonhttp.NoAnswer
@@ -80,7 +80,7 @@
 	case core.OpLaunch:
 		r.URI, r.Body = "/machines", call.Launch.Body()
 	case core.OpDelete:
-		r.URI, r.Body = "/machines/delete", wire.InstanceNames{Machines: call.Delete.Body()}
+		r.URI, r.Body = "/machines/delete", api.InstanceNames{Machines: call.Delete.Body()}
 	case core.OpListInstances:
 		query := url.Values{"Most": {pageSize}}
 		if call.After != "" {
@@ -93,7 +93,7 @@
 
 // decode reads an answer. One that can't be read counts as none.
 func decode(call core.CloudCall, status int, body []byte, r *core.CloudReply) error {
-	var names wire.InstanceNames
+	var names api.InstanceNames
 	to := map[core.CloudOp]any{core.OpReadCatalog: &r.Catalog, core.OpLaunch: &names, core.OpListInstances: &r.Instances}[call.Op]
 	if status == 200 && to != nil {
 		if err := json.Unmarshal(body, to); err != nil {
--- a/internal/core/apply.go
+++ b/internal/core/apply.go
@@ -8,8 +8,8 @@
 
 	"github.com/go-json-experiment/json"
 
-	"spurmoor/internal/duty"
-	"spurmoor/internal/sched"
+	"spurmoor/internal/leadership"
+	"spurmoor/internal/scheduler"
 )
 
 func slotKey(part, slot int) string { return fmt.Sprintf("%s%d/%04d", logKey, part, slot) }
@@ -66,7 +66,7 @@
 	if err != nil || i < 0 || i >= len(c.partitions) || c.partitions[i].Term >= ver {
 		return nil // not one of ours, or older than what is known
 	}
-	var claim duty.Claim
+	var claim leadership.Claim
 	err = json.Unmarshal(value, &claim)
 	c.observeRole(&c.partitions[i].RoleState, claim, ver) // one that can't be read names no holder
 	return err
@@ -95,7 +95,7 @@
 	}
 	if j == nil {
 		j = &job{id: id, chunks: map[int][]task{}, failedMachines: map[string]bool{}, tasksPerZone: map[string]int{},
-			request: sched.ResourcesOf(rec.Spec.CPUs, rec.Spec.GPUs, rec.Spec.MemoryGB), partition: c.settings.TeamPartition[rec.Spec.Team]}
+			request: scheduler.ResourcesOf(rec.Spec.CPUs, rec.Spec.GPUs, rec.Spec.MemoryGB), partition: c.settings.TeamPartition[rec.Spec.Team]}
 		c.jobs[id] = j
 		c.logDebug("job seen", "job", id, "kind", rec.Spec.Kind, "team", rec.Spec.Team, "tasks", rec.Spec.Tasks, "partition", j.partition)
 	}
@@ -246,7 +246,7 @@
 	case strings.HasPrefix(key, partitionKey):
 		i, err := strconv.Atoi(key[len(partitionKey):])
 		if err == nil && i >= 0 && i < len(c.partitions) && c.partitions[i].Term < ver {
-			c.observeRole(&c.partitions[i].RoleState, duty.Claim{}, 0)
+			c.observeRole(&c.partitions[i].RoleState, leadership.Claim{}, 0)
 		}
 	case strings.HasPrefix(key, fleetRoleKey):
 		c.deleteFleetRole(key[len(fleetRoleKey):], ver)
--- a/internal/core/cloud.go
+++ b/internal/core/cloud.go
@@ -4,9 +4,9 @@
 	"slices"
 	"strconv"
 
-	"spurmoor/internal/duty"
+	"spurmoor/internal/api"
+	"spurmoor/internal/leadership"
 	"spurmoor/internal/peer"
-	"spurmoor/internal/wire"
 )
 
 // listedInstance is what the cloud's list said of a machine lately.
@@ -21,10 +21,10 @@
 	if !c.catalogReadInFlight && c.now >= c.nextCatalogReadAt {
 		c.readCatalog()
 	}
-	if sweeps := c.mayPerform(duty.InstanceSweeper); sweeps != c.sweeping {
+	if sweeps := c.mayPerform(leadership.InstanceSweeper); sweeps != c.sweeping {
 		c.sweeping, c.nextListAt = sweeps, c.now
 	}
-	sweepsAlone := c.sweeping && c.isExclusive(duty.InstanceSweeper)
+	sweepsAlone := c.sweeping && c.isExclusive(leadership.InstanceSweeper)
 	if !sweepsAlone && !c.leadsAnyPartition() {
 		return
 	}
@@ -97,15 +97,15 @@
 }
 
 func (c *Controller) sendDelete(p *partition, names []string) {
-	grant := c.grant(&p.RoleState, duty.Delete)
-	if grant.Check(duty.Delete, c.now) != "" {
+	grant := c.grant(&p.RoleState, leadership.Delete)
+	if grant.Check(leadership.Delete, c.now) != "" {
 		return
 	}
 	for _, name := range names {
 		c.machines[name].deleteSent = true
 	}
 	c.deleteInFlight = true
-	c.callCloud(CloudCall{Op: OpDelete, Delete: duty.NewOrder(grant, names)}, func(r *CloudReply) {
+	c.callCloud(CloudCall{Op: OpDelete, Delete: leadership.NewOrder(grant, names)}, func(r *CloudReply) {
 		c.deleteInFlight = false
 		c.nextDeleteAt = c.now + Second // more come meanwhile: one call for them
 		for _, name := range names {
@@ -121,7 +121,7 @@
 	})
 }
 
-func (c *Controller) setMachineTypes(types []wire.MachineType) {
+func (c *Controller) setMachineTypes(types []api.MachineType) {
 	c.machineTypes = types
 	for i := range types {
 		c.machineTypeByName[types[i].Name] = &types[i]
@@ -132,7 +132,7 @@
 }
 
 // catalogShape is a catalogue without its prices.
-func catalogShape(types []wire.MachineType) string {
+func catalogShape(types []api.MachineType) string {
 	types = slices.Clone(types)
 	for i := range types {
 		types[i].Price, types[i].SpotPrice = 0, 0
@@ -172,7 +172,7 @@
 		last := &pages[len(pages)-1]
 		more := catalogRecord{Types: append(slices.Clip(last.Types), t), Pages: len(c.machineTypes)}
 		if len(last.Types) > 0 && len(mustMarshal(more)) > c.maxValueBytes() {
-			pages = append(pages, catalogRecord{Types: []wire.MachineType{t}})
+			pages = append(pages, catalogRecord{Types: []api.MachineType{t}})
 			continue
 		}
 		last.Types = more.Types
@@ -184,27 +184,27 @@
 // storeCatalog keeps the catalogue in the state service: a controller that
 // starts while the cloud is away could else neither accept nor place anything.
 func (c *Controller) storeCatalog() {
-	grant := c.fleetGrant(duty.CatalogKeeper, duty.Write)
-	if !c.synced || c.storedCatalogShape == catalogShape(c.machineTypes) || grant.Check(duty.Write, c.now) != "" {
+	grant := c.fleetGrant(leadership.CatalogKeeper, leadership.Write)
+	if !c.synced || c.storedCatalogShape == catalogShape(c.machineTypes) || grant.Check(leadership.Write, c.now) != "" {
 		return
 	}
 	pages := c.paginateCatalog()
 	if len(pages) > 1 && !c.allReadSchema(schemaDependencies) || len(pages) > c.settings.Deployment.Store.MaxTransactionOps {
 		return // the first versions take the first page for all
 	}
-	req := &wire.Transaction{Compares: []wire.Compare{{Key: catalogKey, Version: c.catalogVersion}}}
+	req := &api.Transaction{Compares: []api.Compare{{Key: catalogKey, Version: c.catalogVersion}}}
 	if grant.Term() > 0 {
-		req.Compares = append(req.Compares, wire.Compare{Key: roleKey(duty.Role{Kind: duty.CatalogKeeper}), Version: grant.Term()})
+		req.Compares = append(req.Compares, api.Compare{Key: roleKey(leadership.Role{Kind: leadership.CatalogKeeper}), Version: grant.Term()})
 	}
 	for n, p := range pages {
 		key := catalogKey
 		if n > 0 {
 			key += "/" + strconv.Itoa(n)
 		}
-		req.Writes = append(req.Writes, wire.Write{Put: key, Value: mustMarshal(p)})
+		req.Writes = append(req.Writes, api.Write{Put: key, Value: mustMarshal(p)})
 	}
 	c.chargeWrites(len(pages))
-	c.callStore(StoreCall{Op: OpTransaction, Transaction: duty.NewOrder(grant, req)}, func(*StoreReply) {})
+	c.callStore(StoreCall{Op: OpTransaction, Transaction: leadership.NewOrder(grant, req)}, func(*StoreReply) {})
 }
 
 func (c *Controller) listInstances(after string) {
@@ -240,7 +240,7 @@
 		return addressListInterval
 	}
 	readers := len(c.settings.Nodes)
-	if c.isExclusive(duty.InstanceSweeper) {
+	if c.isExclusive(leadership.InstanceSweeper) {
 		readers = 1
 	}
 	pages := float64(1 + len(c.machines)/instancesPerPage)
@@ -266,7 +266,7 @@
 	}
 }
 
-func (c *Controller) observeListed(cm wire.Instance) {
+func (c *Controller) observeListed(cm api.Instance) {
 	l := c.listedInstances[cm.ID]
 	if l == nil {
 		l = &listedInstance{firstSeenAt: c.now}
@@ -278,7 +278,7 @@
 			m.address = cm.Address
 		}
 		m.launchedAt = min(m.launchedAt, c.now-secs(cm.AgeS))
-		if cm.State == wire.InstanceFailed && !m.record.Condemned {
+		if cm.State == api.InstanceFailed && !m.record.Condemned {
 			c.handleFailedInstance(m)
 		}
 		return
@@ -292,14 +292,14 @@
 }
 
 // observeUnknownWorker notes a worker that no record is known of.
-func (c *Controller) observeUnknownWorker(r *wire.Heartbeat) {
+func (c *Controller) observeUnknownWorker(r *api.Heartbeat) {
 	l := c.listedInstances["report "+r.Machine]
 	if l == nil {
 		c.listedInstances["report "+r.Machine] = &listedInstance{firstSeenAt: c.now, lastSeenAt: c.now, listRound: c.listRound}
 		return
 	}
 	l.lastSeenAt, l.listRound = c.now, c.listRound
-	if c.now > l.firstSeenAt+6*Second && c.mayPerform(duty.OrphanAdopter) {
+	if c.now > l.firstSeenAt+6*Second && c.mayPerform(leadership.OrphanAdopter) {
 		// Only what answers is there: the report may be a late copy of one
 		// from a machine long returned.
 		l.firstSeenAt = c.now
@@ -310,7 +310,7 @@
 // adoptOrphan records a stray machine in a partition of ours; it is used or returned
 // like any other. It tells whether that is ours to do.
 func (c *Controller) adoptOrphan(stray peer.Orphan, how string) bool {
-	if !c.mayPerform(duty.OrphanAdopter) || !c.leadsAnyPartition() {
+	if !c.mayPerform(leadership.OrphanAdopter) || !c.leadsAnyPartition() {
 		return false
 	}
 	if c.recentlyDeleted(stray.Machine) || c.isBeingRecorded(stray.Machine) {
--- a/internal/core/commands.go
+++ b/internal/core/commands.go
@@ -3,8 +3,8 @@
 import (
 	"slices"
 
-	"spurmoor/internal/duty"
-	"spurmoor/internal/wire"
+	"spurmoor/internal/api"
+	"spurmoor/internal/leadership"
 )
 
 // Commands that are sent to workers directly, beside those in the answers to their
@@ -27,39 +27,39 @@
 
 // directCommands lists the commands worth sending at once: stops of tasks that must
 // stop and have not begun to, and the first start of each task.
-func (c *Controller) directCommands(m *machine) []wire.Command {
-	var cmds []wire.Command
+func (c *Controller) directCommands(m *machine) []api.Command {
+	var cmds []api.Command
 	for _, id := range m.taskIDsCopy() {
 		j := c.jobs[id.job]
 		if t := j.task(id.index); !t.observed && t.directStartToken == 0 && j.partition == m.record.Partition && !c.mustStop(j, t) && j.isCommitted(id.index) && c.mayStartOn(m, j) && len(cmds) < maxCommands {
 			t.directStartToken = c.fencingToken(m)
 			m.highestStartToken = max(m.highestStartToken, t.directStartToken)
-			cmds = append(cmds, wire.Command{Op: wire.CommandStart, Task: id.String(), Attempt: t.attempt})
+			cmds = append(cmds, api.Command{Op: api.CommandStart, Task: id.String(), Attempt: t.attempt})
 			continue
 		}
-		if t := j.task(id.index); t.observed && t.reportedState != wire.Checkpointing && c.mustStop(j, t) && len(cmds) < maxCommands {
+		if t := j.task(id.index); t.observed && t.reportedState != api.Checkpointing && c.mustStop(j, t) && len(cmds) < maxCommands {
 			g := c.graceFor(j, t)
-			cmds = append(cmds, wire.Command{Op: wire.CommandStop, Task: id.String(), Attempt: t.attempt, GraceS: &g})
+			cmds = append(cmds, api.Command{Op: api.CommandStop, Task: id.String(), Attempt: t.attempt, GraceS: &g})
 		}
 	}
 	return cmds
 }
 
 // sendCommands sends direct commands; none at all still raise the worker's token.
-func (c *Controller) sendCommands(m *machine, cmds []wire.Command) {
+func (c *Controller) sendCommands(m *machine, cmds []api.Command) {
 	m.commandInFlight = true
 	if cmds == nil {
-		cmds = []wire.Command{}
+		cmds = []api.Command{}
 	}
-	body := wire.CommandRequest{FencingToken: c.fencingToken(m), Incarnation: max(1, m.incarnation), Commands: cmds}
-	starts := slices.ContainsFunc(cmds, func(o wire.Command) bool { return o.Op == wire.CommandStart })
-	c.emit(SendCommands{Machine: m.name, Addr: m.address, Starts: starts, Body: duty.NewOrder(c.commandGrant(c.partitions[m.record.Partition]), body)})
+	body := api.CommandRequest{FencingToken: c.fencingToken(m), Incarnation: max(1, m.incarnation), Commands: cmds}
+	starts := slices.ContainsFunc(cmds, func(o api.Command) bool { return o.Op == api.CommandStart })
+	c.emit(SendCommands{Machine: m.name, Addr: m.address, Starts: starts, Body: leadership.NewOrder(c.commandGrant(c.partitions[m.record.Partition]), body)})
 }
 
 // probeCommand asks a worker whether it is there. Token 0 has nothing done.
 func probeCommand(machine, addr string, session uint64) SendCommands {
-	body := wire.CommandRequest{Incarnation: session, Commands: []wire.Command{}}
-	return SendCommands{Machine: machine, Addr: addr, Body: duty.NewOrder(duty.SharedGrant(duty.ForProbe, duty.Command), body)}
+	body := api.CommandRequest{Incarnation: session, Commands: []api.Command{}}
+	return SendCommands{Machine: machine, Addr: addr, Body: leadership.NewOrder(leadership.SharedGrant(leadership.ForProbe, leadership.Command), body)}
 }
 
 // settleDirectStarts takes in what an answer, or its absence, says of the direct starts
--- a/internal/core/commit.go
+++ b/internal/core/commit.go
@@ -7,8 +7,8 @@
 
 	"github.com/go-json-experiment/json"
 
-	"spurmoor/internal/duty"
-	"spurmoor/internal/wire"
+	"spurmoor/internal/api"
+	"spurmoor/internal/leadership"
 )
 
 // logEntry is an entry of a partition's log.
@@ -142,7 +142,7 @@
 // their users wait, then machines, then tasks, of which a flush may hold
 // thousands. Nil: there is nothing to commit, or it waits for more budget.
 func (c *Controller) buildCommit(p *partition, most int) *logCommit {
-	f := &logCommit{transaction: &transaction{grant: func() duty.Grant { return c.grant(&p.RoleState, duty.Write) }}}
+	f := &logCommit{transaction: &transaction{grant: func() leadership.Grant { return c.grant(&p.RoleState, leadership.Write) }}}
 	most = max(minCommitWrites, most>>p.sizeReductions)
 	ids := sortedKeys(p.changedJobs)
 	ends := c.terminalJobsDue(p, ids)
@@ -156,7 +156,7 @@
 		return nil
 	}
 	for _, e := range f.entries {
-		f.request.Writes = append(f.request.Writes, wire.Write{Put: slotKey(p.index, e.slot), Value: mustMarshal(logRecord{e.sequence, e.runs, e.machines})})
+		f.request.Writes = append(f.request.Writes, api.Write{Put: slotKey(p.index, e.slot), Value: mustMarshal(logRecord{e.sequence, e.runs, e.machines})})
 	}
 	f.onCommitted = func(rev uint64) { c.commitSucceeded(p, rev) }
 	f.onRefused = func() { c.commitRefused(p) }
@@ -165,7 +165,7 @@
 
 // compare has a flush fail unless a key still has a version.
 func (f *logCommit) compare(key string, version uint64) {
-	f.request.Compares = append(f.request.Compares, wire.Compare{Key: key, Version: version})
+	f.request.Compares = append(f.request.Compares, api.Compare{Key: key, Version: version})
 }
 
 // isEmpty tells whether a flush would change nothing.
@@ -235,18 +235,18 @@
 	if j.cancelled {
 		return j.placedTasks == 0
 	}
-	return j.spec.Kind != wire.Service && j.doneTasks == j.spec.Tasks
+	return j.spec.Kind != api.Service && j.doneTasks == j.spec.Tasks
 }
 
 // addTerminalState adds a job's final state. It guards the job's key: an end and a
 // cancellation cannot both win.
 func (f *logCommit) addTerminalState(j *job) {
-	rec := terminalRecord{State: wire.JobDone, DoneTasks: j.doneTasks, EndedAt: j.endedAt}
+	rec := terminalRecord{State: api.JobDone, DoneTasks: j.doneTasks, EndedAt: j.endedAt}
 	if j.cancelled {
-		rec.State = wire.JobCancelled
+		rec.State = api.JobCancelled
 	}
-	f.request.Compares = append(f.request.Compares, wire.Compare{Key: jobKey + j.id, Version: j.version})
-	f.request.Writes = append(f.request.Writes, wire.Write{Put: terminalKey + j.id, Value: mustMarshal(rec)}, wire.Write{Delete: jobKey + j.id})
+	f.request.Compares = append(f.request.Compares, api.Compare{Key: jobKey + j.id, Version: j.version})
+	f.request.Writes = append(f.request.Writes, api.Write{Put: terminalKey + j.id, Value: mustMarshal(rec)}, api.Write{Delete: jobKey + j.id})
 	f.terminalJobs, f.terminalRecords = append(f.terminalJobs, j), append(f.terminalRecords, rec)
 }
 
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -14,15 +14,15 @@
 	"math/rand/v2"
 	"slices"
 
-	"spurmoor/internal/duty"
+	"spurmoor/internal/api"
+	"spurmoor/internal/leadership"
 	"spurmoor/internal/peer"
-	"spurmoor/internal/sched"
+	"spurmoor/internal/scheduler"
 	"spurmoor/internal/settings"
-	"spurmoor/internal/wire"
 )
 
 // Second is one second in whole microseconds.
-const Second = sched.Second
+const Second = scheduler.Second
 
 // Controller is one controller's state, grouped by what each group is about.
 type Controller struct {
@@ -63,7 +63,7 @@
 	logReferences   map[string]int          // how many entries of all logs name a machine
 	adoptionVersion uint64
 	jobs            map[string]*job
-	teamUsage       map[string]*sched.Resources // of each team
+	teamUsage       map[string]*scheduler.Resources // of each team
 	terminalStates  *terminalCache
 
 	dependencies      map[string]*dependency
@@ -102,8 +102,8 @@
 // cloudState is what is known of the cloud: its catalogue, what it refused of late,
 // how long machines boot, and its list.
 type cloudState struct {
-	machineTypes        []wire.MachineType
-	machineTypeByName   map[string]*wire.MachineType
+	machineTypes        []api.MachineType
+	machineTypeByName   map[string]*api.MachineType
 	nextCatalogReadAt   int64
 	catalogVersion      uint64 // of the catalogue in the state service
 	storedCatalogShape  string // its shape
@@ -111,7 +111,7 @@
 	catalogPages        map[string]storedCatalogPage // of the catalogue, by what follows its key
 	lastRequestNumber   int
 	recentDeletions     deletionLog
-	unavailableUntil    map[sched.InstanceKind]int64
+	unavailableUntil    map[scheduler.InstanceKind]int64
 	bootTimes           map[string]bootTime // by type
 	nextListAt          int64
 	listInFlight        bool
@@ -133,7 +133,7 @@
 	urgencies        map[string]urgency
 	blockedReasons   map[string]string
 	expectedEnds     map[string]int64
-	reservations     map[string]sched.AdvanceReservation // machines kept for gangs that are due
+	reservations     map[string]scheduler.AdvanceReservation // machines kept for gangs that are due
 }
 
 // peerState is what is known of the other controllers, and what they are to be told.
@@ -169,20 +169,20 @@
 func New(set *settings.Settings, inc uint64, rng *rand.Rand) *Controller {
 	c := &Controller{settings: set, random: rng, incarnation: inc, storeCalls: map[uint64]func(*StoreReply){}, cloudCalls: map[uint64]func(*CloudReply){}}
 	c.replica = replica{machines: map[string]*machine{}, jobs: map[string]*job{}, dependencies: map[string]*dependency{},
-		tombstones: map[string]recordOrigin{}, logReferences: map[string]int{}, terminalStates: newTerminalCache(maxTerminalStates), teamUsage: map[string]*sched.Resources{}}
-	c.cloudState = cloudState{machineTypeByName: map[string]*wire.MachineType{}, catalogPages: map[string]storedCatalogPage{}, recentDeletions: deletionLog{deletedAt: map[string]int64{}},
-		unavailableUntil: map[sched.InstanceKind]int64{}, bootTimes: map[string]bootTime{}, listedInstances: map[string]*listedInstance{}}
+		tombstones: map[string]recordOrigin{}, logReferences: map[string]int{}, terminalStates: newTerminalCache(maxTerminalStates), teamUsage: map[string]*scheduler.Resources{}}
+	c.cloudState = cloudState{machineTypeByName: map[string]*api.MachineType{}, catalogPages: map[string]storedCatalogPage{}, recentDeletions: deletionLog{deletedAt: map[string]int64{}},
+		unavailableUntil: map[scheduler.InstanceKind]int64{}, bootTimes: map[string]bootTime{}, listedInstances: map[string]*listedInstance{}}
 	c.planState = planState{blockedReasons: map[string]string{}}
 	c.peerState = peerState{peers: map[string]*peerStatus{}, schemaVersions: map[string]int{}}
 	c.lease.TTL = c.leaseTTL()
 	c.roleState = newRoleState()
 	for i := range set.Operators.Partitions {
-		p := &partition{RoleState: duty.RoleState{Role: duty.PartitionRole(i)}, index: i, changedJobs: map[string]bool{}}
+		p := &partition{RoleState: leadership.RoleState{Role: leadership.PartitionRole(i)}, index: i, changedJobs: map[string]bool{}}
 		c.partitions, c.roles = append(c.partitions, p), append(c.roles, &p.RoleState)
 	}
 	c.roles = append(c.roles, c.fleetRoles...)
 	for _, t := range set.Deployment.Teams {
-		c.teamUsage[t.Name] = &sched.Resources{}
+		c.teamUsage[t.Name] = &scheduler.Resources{}
 	}
 	return c
 }
@@ -321,7 +321,7 @@
 
 // refuse answers at once that the user should come back later.
 func (c *Controller) refuse(req uint64, status int, why string, after int) {
-	c.emit(Answer{RequestID: req, Status: status, Body: wire.Error{Error: why}, RetryAfterS: after})
+	c.emit(Answer{RequestID: req, Status: status, Body: api.Error{Error: why}, RetryAfterS: after})
 }
 
 func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
--- a/internal/core/duties.go
+++ b/internal/core/duties.go
@@ -4,15 +4,15 @@
 	"maps"
 	"slices"
 
-	"spurmoor/internal/duty"
-	"spurmoor/internal/wire"
+	"spurmoor/internal/api"
+	"spurmoor/internal/leadership"
 )
 
 // refusedOrder is what refused orders are counted by.
 type refusedOrder struct {
 	role   string
-	action duty.Action
-	reason duty.Reason
+	action leadership.Action
+	reason leadership.Reason
 }
 
 func compareRefusedOrders(a, b refusedOrder) int {
@@ -74,7 +74,7 @@
 
 // handleListRoles answers who holds which duty.
 func (c *Controller) handleListRoles(v ListRoles) {
-	list := wire.Roles{Node: c.settings.Node, Exclusive: c.exclusive, RecordsRequests: c.recordsRequests(), RefusedOrders: c.refusedOrdersUnder("")}
+	list := api.Roles{Node: c.settings.Node, Exclusive: c.exclusive, RecordsRequests: c.recordsRequests(), RefusedOrders: c.refusedOrdersUnder("")}
 	for _, h := range c.roles {
 		list.Roles = append(list.Roles, c.roleStatus(h))
 	}
@@ -82,8 +82,8 @@
 }
 
 // roleStatus tells of one duty.
-func (c *Controller) roleStatus(h *duty.RoleState) wire.RoleStatus {
-	s := wire.RoleStatus{Role: h.Role.String(), Leader: h.Claim.Node, Term: h.Term, RefusedOrders: c.refusedOrdersUnder(h.Role.String())}
+func (c *Controller) roleStatus(h *leadership.RoleState) api.RoleStatus {
+	s := api.RoleStatus{Role: h.Role.String(), Leader: h.Claim.Node, Term: h.Term, RefusedOrders: c.refusedOrdersUnder(h.Role.String())}
 	if h.Term > 0 {
 		s.SinceS = float64(c.now-h.ObservedAt) / float64(Second)
 	}
@@ -99,7 +99,7 @@
 func (c *Controller) refusedOrdersUnder(name string) map[string]int {
 	counts := map[string]int{}
 	for k, n := range c.refusedOrders.total {
-		owned := slices.ContainsFunc(c.roles, func(h *duty.RoleState) bool { return h.Role.String() == k.role })
+		owned := slices.ContainsFunc(c.roles, func(h *leadership.RoleState) bool { return h.Role.String() == k.role })
 		if k.role == name || name == "" && !owned {
 			counts[k.action.String()+", "+string(k.reason)] += n
 		}
--- a/internal/core/elections.go
+++ b/internal/core/elections.go
@@ -4,8 +4,8 @@
 	"slices"
 	"strconv"
 
-	"spurmoor/internal/duty"
-	"spurmoor/internal/wire"
+	"spurmoor/internal/api"
+	"spurmoor/internal/leadership"
 )
 
 // How duties change hands: partitions and the fleet's alike. A duty is held by who
@@ -17,34 +17,34 @@
 const failoverStep = 3 * Second / 2
 
 // roleKey is a duty's key in the state service.
-func roleKey(id duty.Role) string {
-	if id.Kind == duty.PartitionLeader {
+func roleKey(id leadership.Role) string {
+	if id.Kind == leadership.PartitionLeader {
 		return partitionKey + strconv.Itoa(id.Index)
 	}
 	return fleetRoleKey + id.String()
 }
 
 // leaderClaim is what this process writes under the key of a duty that it takes.
-func (c *Controller) leaderClaim() duty.Claim {
-	return duty.Claim{Node: c.settings.Node, Process: c.incarnation}
+func (c *Controller) leaderClaim() leadership.Claim {
+	return leadership.Claim{Node: c.settings.Node, Process: c.incarnation}
 }
 
 // grant gives the permission for something under a duty until our lease may have
 // ended; none without a lease that is known to hold.
-func (c *Controller) grant(h *duty.RoleState, action duty.Action) duty.Grant {
+func (c *Controller) grant(h *leadership.RoleState, action leadership.Action) leadership.Grant {
 	if !c.leaseValid() {
-		return duty.Grant{}
+		return leadership.Grant{}
 	}
 	return h.Grant(action, c.now, c.lease.ExpiresAt())
 }
 
 // commandGrant gives the permission to command workers: until the answer deadline.
-func (c *Controller) commandGrant(p *partition) duty.Grant {
-	return p.Grant(duty.Command, c.now, c.answerDeadline())
+func (c *Controller) commandGrant(p *partition) leadership.Grant {
+	return p.Grant(leadership.Command, c.now, c.answerDeadline())
 }
 
 // observeRole takes in a duty's key; version 0: it has none.
-func (c *Controller) observeRole(h *duty.RoleState, claim duty.Claim, version uint64) {
+func (c *Controller) observeRole(h *leadership.RoleState, claim leadership.Claim, version uint64) {
 	leased := c.lease.ID != 0
 	if h.Contradicts(claim, version, c.leaderClaim(), leased) {
 		c.loseRole(h, "taken or expired")
@@ -55,8 +55,8 @@
 }
 
 // roleAcquired begins to act under a duty.
-func (c *Controller) roleAcquired(h *duty.RoleState) {
-	if h.Role.Kind == duty.PartitionLeader {
+func (c *Controller) roleAcquired(h *leadership.RoleState) {
+	if h.Role.Kind == leadership.PartitionLeader {
 		c.partitionAcquired(c.partitions[h.Role.Index])
 		return
 	}
@@ -64,9 +64,9 @@
 }
 
 // loseRole stops acting under a duty.
-func (c *Controller) loseRole(h *duty.RoleState, why string) {
+func (c *Controller) loseRole(h *leadership.RoleState, why string) {
 	h.End(c.now)
-	if h.Role.Kind == duty.PartitionLeader {
+	if h.Role.Kind == leadership.PartitionLeader {
 		c.partitionLost(c.partitions[h.Role.Index], why)
 		return
 	}
@@ -74,17 +74,17 @@
 }
 
 // defaultLeader is the controller that a duty belongs to by default, by its place among all.
-func (c *Controller) defaultLeader(id duty.Role) int {
+func (c *Controller) defaultLeader(id leadership.Role) int {
 	at := id.Index
-	if id.Kind != duty.PartitionLeader {
-		at = len(c.partitions) + slices.Index(duty.FleetRoles(), id)
+	if id.Kind != leadership.PartitionLeader {
+		at = len(c.partitions) + slices.Index(leadership.FleetRoles(), id)
 	}
 	return at % len(c.settings.Nodes)
 }
 
 // failoverRank is how many candidates come before a node for a duty. One that is
 // stopping is none.
-func (c *Controller) failoverRank(id duty.Role, node string) int {
+func (c *Controller) failoverRank(id leadership.Role, node string) int {
 	n := len(c.settings.Nodes)
 	rank := 0
 	for i := range n {
@@ -128,17 +128,17 @@
 
 // isVacant tells whether a duty may be taken by us now: an earlier process of ours holds
 // it, or nobody does and it is our turn.
-func (c *Controller) isVacant(h *duty.RoleState) bool {
+func (c *Controller) isVacant(h *leadership.RoleState) bool {
 	if h.Term > 0 {
 		return h.Claim.Node == c.settings.Node
 	}
 	return c.now >= h.VacantAt+int64(c.failoverRank(h.Role, c.settings.Node))*failoverStep
 }
 
-func (c *Controller) acquireRole(h *duty.RoleState) {
+func (c *Controller) acquireRole(h *leadership.RoleState) {
 	h.Acquiring = true
-	t := &transaction{grant: electionGrant, request: wire.Transaction{Compares: []wire.Compare{{Key: roleKey(h.Role), Version: h.Term}},
-		Writes: []wire.Write{{Put: roleKey(h.Role), Value: mustMarshal(c.leaderClaim()), Lease: c.lease.ID}}}}
+	t := &transaction{grant: electionGrant, request: api.Transaction{Compares: []api.Compare{{Key: roleKey(h.Role), Version: h.Term}},
+		Writes: []api.Write{{Put: roleKey(h.Role), Value: mustMarshal(c.leaderClaim()), Lease: c.lease.ID}}}}
 	free := func() { h.Acquiring = false; h.VacantAt = max(h.VacantAt, c.now-Second) }
 	// Held only once the replica shows it: then it shows all before it too.
 	t.onCommitted = func(uint64) { c.readLatest(func(bool) { free() }) }
@@ -148,11 +148,13 @@
 }
 
 // electionGrant permits to take a duty or to give it up: the write guards its key.
-func electionGrant() duty.Grant { return duty.SharedGrant(duty.ForElection, duty.Write) }
+func electionGrant() leadership.Grant {
+	return leadership.SharedGrant(leadership.ForElection, leadership.Write)
+}
 
 // returnToDefaultLeader returns a duty to the controller that it belongs to by default,
 // once that one has been well for a while.
-func (c *Controller) returnToDefaultLeader(d *duty.RoleState) {
+func (c *Controller) returnToDefaultLeader(d *leadership.RoleState) {
 	owner := c.settings.Nodes[c.defaultLeader(d.Role)]
 	h := c.peers[owner]
 	if owner == c.settings.Node || c.now < d.AcquiredAt+15*Second || h == nil || !h.healthy || h.stopping || c.now > h.lastHeartbeatAt+3*Second || c.now < h.healthySince+8*Second {
@@ -162,14 +164,14 @@
 }
 
 // resignRole gives a duty up. We stop acting under it before the key goes.
-func (c *Controller) resignRole(h *duty.RoleState, why string) {
+func (c *Controller) resignRole(h *leadership.RoleState, why string) {
 	term := h.Term
 	c.loseRole(h, why)
 	h.Resign(c.now)
 	h.VacantAt = c.now + 3*Second
 	t := &transaction{grant: electionGrant, onCommitted: func(uint64) {}, onRefused: func() {}}
-	t.request.Compares = []wire.Compare{{Key: roleKey(h.Role), Version: term}}
-	t.request.Writes = []wire.Write{{Delete: roleKey(h.Role)}}
+	t.request.Compares = []api.Compare{{Key: roleKey(h.Role), Version: term}}
+	t.request.Writes = []api.Write{{Delete: roleKey(h.Role)}}
 	c.transactions = append(c.transactions, t)
 	c.sendTransaction(t)
 }
--- a/internal/core/entries.go
+++ b/internal/core/entries.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"spurmoor/internal/wire"
+	"spurmoor/internal/api"
 )
 
 // entryBuilder fills the log entries of a flush.
@@ -190,7 +190,7 @@
 			}
 			adopts = true
 			b.maxEntries--
-			b.commit.request.Writes = append(b.commit.request.Writes, wire.Write{Put: adoptionKey, Value: mustMarshal(struct{}{})})
+			b.commit.request.Writes = append(b.commit.request.Writes, api.Write{Put: adoptionKey, Value: mustMarshal(struct{}{})})
 			for _, o := range c.partitions {
 				if o == p {
 					continue
--- a/internal/core/explain.go
+++ b/internal/core/explain.go
@@ -4,13 +4,13 @@
 	"fmt"
 	"math"
 
-	"spurmoor/internal/wire"
+	"spurmoor/internal/api"
 )
 
 // handleExplain says why a job waits and when it should be done. Estimates are often
 // wrong by half, so that much is said to either side.
 func (c *Controller) handleExplain(v Explain) {
-	c.lookUpJob(v.ID, func(f lookupResult, s wire.JobStatus) {
+	c.lookUpJob(v.ID, func(f lookupResult, s api.JobStatus) {
 		j := c.jobs[v.ID]
 		switch {
 		case f == jobNeverAccepted:
@@ -18,7 +18,7 @@
 		case f == lookupUnknown:
 			c.refuse(v.RequestID, 503, "the state service did not answer", 1)
 		case j == nil || j.terminal || j.cancelled:
-			c.answer(v.RequestID, 200, wire.Explanation{ID: v.ID, State: s.State})
+			c.answer(v.RequestID, 200, api.Explanation{ID: v.ID, State: s.State})
 		default:
 			c.answer(v.RequestID, 200, c.explainUnfinished(j, s.State))
 		}
@@ -26,8 +26,8 @@
 }
 
 // explainUnfinished tells what is known of an unfinished job.
-func (c *Controller) explainUnfinished(j *job, state string) wire.Explanation {
-	e := wire.Explanation{ID: j.id, State: state, Leader: c.partitions[j.partition].Claim.Node, Reason: c.blockedReasons[j.id],
+func (c *Controller) explainUnfinished(j *job, state string) api.Explanation {
+	e := api.Explanation{ID: j.id, State: state, Leader: c.partitions[j.partition].Claim.Node, Reason: c.blockedReasons[j.id],
 		WaitedS: float64(c.now-j.acceptedAt) / float64(Second)}
 	switch {
 	case j.pendingDependencies > 0:
@@ -52,9 +52,9 @@
 }
 
 // explainExpectedEnd tells when a job should be done, and whether that is in time.
-func (c *Controller) explainExpectedEnd(e *wire.Explanation, j *job) {
+func (c *Controller) explainExpectedEnd(e *api.Explanation, j *job) {
 	end := c.expectedJobEnd(j, map[string]int64{})
-	if end > c.now && j.spec.Kind != wire.Service {
+	if end > c.now && j.spec.Kind != api.Service {
 		e.ExpectedInS = float64(end-c.now) / float64(Second)
 		e.EarliestS, e.LatestS = e.ExpectedInS/2, e.ExpectedInS*3/2
 	}
@@ -65,11 +65,11 @@
 	switch {
 	case end == 0:
 	case e.LatestS <= e.DeadlineInS:
-		e.InTime = wire.InTimeYes
+		e.InTime = api.InTimeYes
 	case e.EarliestS > e.DeadlineInS:
-		e.InTime = wire.InTimeNo
+		e.InTime = api.InTimeNo
 	default:
-		e.InTime = wire.InTimePerhaps
+		e.InTime = api.InTimePerhaps
 	}
 }
 
@@ -96,7 +96,7 @@
 	}
 	end := c.expectedEnds[j.id]
 	switch {
-	case j.spec.Kind == wire.Service:
+	case j.spec.Kind == api.Service:
 		end = 0
 	case end > c.now:
 	case j.pendingDependencies == 0 && c.partitions[j.partition].Leads():
--- a/internal/core/faults.go
+++ b/internal/core/faults.go
@@ -1,6 +1,6 @@
 package core
 
-import "spurmoor/internal/wire"
+import "spurmoor/internal/api"
 
 // A task that fails says that its job or its machine is at fault, not which of
 // the two. This file tells them apart: a job of which a task was ever done is
@@ -135,7 +135,7 @@
 // placed whole: with a bound one of 600 tasks was placed by two plans, and what the
 // first had placed held machines that waited for the second.
 func (c *Controller) maxTasksPerPlan(j *job) int {
-	if j.spec.Kind != wire.Array {
+	if j.spec.Kind != api.Array {
 		return j.spec.Tasks
 	}
 	return max(minTasksPerPlan, len(c.machines)/machinesPerTask)
@@ -147,7 +147,7 @@
 // with a mistake once filled 67 machines again and again, and had machines rented.
 func (c *Controller) placeableTasks(j *job) int {
 	switch {
-	case j.spec.Kind != wire.Array:
+	case j.spec.Kind != api.Array:
 		return j.spec.Tasks
 	case j.suspect && j.placedTasks == 0:
 		return 1
--- a/internal/core/findings.go
+++ b/internal/core/findings.go
@@ -3,8 +3,8 @@
 import (
 	"slices"
 
+	"spurmoor/internal/api"
 	"spurmoor/internal/peer"
-	"spurmoor/internal/wire"
 )
 
 // What the controller that sweeps the cloud's list finds concerns others' machines
@@ -92,7 +92,7 @@
 }
 
 // handleOrphan acts on a machine in the list of which no record is known.
-func (c *Controller) handleOrphan(cm wire.Instance) {
+func (c *Controller) handleOrphan(cm api.Instance) {
 	stray := peer.Orphan{Machine: cm.ID, Type: cm.Type, Zone: cm.Zone, Spot: cm.Spot}
 	if !c.adoptOrphan(stray, "listed") {
 		c.addFinding(&c.findings.orphans, stray)
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -5,16 +5,16 @@
 
 	"github.com/go-json-experiment/json"
 
-	"spurmoor/internal/duty"
+	"spurmoor/internal/leadership"
 )
 
 // roleState is which duties there are, who holds them, and what was refused of what
 // was ordered under them.
 type roleState struct {
-	roles             []*duty.RoleState // all: the partitions' first
-	fleetRoles        []*duty.RoleState // the fleet's
-	exclusive         bool              // the fleet's have one holder each; said so
-	recordingRequests bool              // rentals are recorded before they are sent; said so
+	roles             []*leadership.RoleState // all: the partitions' first
+	fleetRoles        []*leadership.RoleState // the fleet's
+	exclusive         bool                    // the fleet's have one holder each; said so
+	recordingRequests bool                    // rentals are recorded before they are sent; said so
 	refusedOrders     refusedOrderCounts
 	findings          listFindings
 	stopping          bool
@@ -23,54 +23,54 @@
 
 func newRoleState() roleState {
 	s := roleState{refusedOrders: refusedOrderCounts{total: map[refusedOrder]int{}, burst: map[refusedOrder]int{}}}
-	for _, id := range duty.FleetRoles() {
-		s.fleetRoles = append(s.fleetRoles, &duty.RoleState{Role: id})
+	for _, id := range leadership.FleetRoles() {
+		s.fleetRoles = append(s.fleetRoles, &leadership.RoleState{Role: id})
 	}
 	return s
 }
 
 // fleetRole gives one of the fleet's duties.
-func (c *Controller) fleetRole(kind duty.RoleKind) *duty.RoleState {
-	at := slices.IndexFunc(c.fleetRoles, func(h *duty.RoleState) bool { return h.Role.Kind == kind })
+func (c *Controller) fleetRole(kind leadership.RoleKind) *leadership.RoleState {
+	at := slices.IndexFunc(c.fleetRoles, func(h *leadership.RoleState) bool { return h.Role.Kind == kind })
 	return c.fleetRoles[at]
 }
 
 // isExclusive tells whether a duty of the fleet has one holder: the operators want it so,
 // and every controller knows what the key means. Until then each does it, as the
 // versions before did, and the guards of its writes keep that safe.
-func (c *Controller) isExclusive(kind duty.RoleKind) bool {
-	return c.settings.Operators.Roles.IsExclusive(duty.Role{Kind: kind}) && c.allReadSchema(schemaRoles)
+func (c *Controller) isExclusive(kind leadership.RoleKind) bool {
+	return c.settings.Operators.Roles.IsExclusive(leadership.Role{Kind: kind}) && c.allReadSchema(schemaRoles)
 }
 
 // fleetGrant gives the permission for something under a duty of the fleet.
-func (c *Controller) fleetGrant(kind duty.RoleKind, action duty.Action) duty.Grant {
+func (c *Controller) fleetGrant(kind leadership.RoleKind, action leadership.Action) leadership.Grant {
 	if !c.isExclusive(kind) {
-		return duty.SharedGrant(duty.ForFleet, action)
+		return leadership.SharedGrant(leadership.ForFleet, action)
 	}
 	return c.grant(c.fleetRole(kind), action)
 }
 
 // mayPerform tells whether this controller is the one to see to a duty of the fleet now.
-func (c *Controller) mayPerform(kind duty.RoleKind) bool {
-	return c.fleetGrant(kind, duty.Write).Check(duty.Write, c.now) == ""
+func (c *Controller) mayPerform(kind leadership.RoleKind) bool {
+	return c.fleetGrant(kind, leadership.Write).Check(leadership.Write, c.now) == ""
 }
 
 // wantsRole tells whether we should hold a duty, or take it when it is free. Strays are
 // recorded in a partition, so who adopts them must hold one.
-func (c *Controller) wantsRole(h *duty.RoleState) bool {
+func (c *Controller) wantsRole(h *leadership.RoleState) bool {
 	switch {
 	case c.stopping:
 		return false
-	case h.Role.Kind == duty.PartitionLeader:
+	case h.Role.Kind == leadership.PartitionLeader:
 		return true
-	case h.Role.Kind == duty.OrphanAdopter && !c.leadsAnyPartition():
+	case h.Role.Kind == leadership.OrphanAdopter && !c.leadsAnyPartition():
 		return false
 	}
 	return c.isExclusive(h.Role.Kind)
 }
 
 // resignReason says why a duty that we hold is given up.
-func (c *Controller) resignReason(h *duty.RoleState) string {
+func (c *Controller) resignReason(h *leadership.RoleState) string {
 	switch {
 	case c.stopping:
 		return "this controller stops"
@@ -88,7 +88,7 @@
 // applyFleetRole takes in the key of one of the fleet's duties. One that can't be read
 // names no holder but is held: until its lease has run out nobody takes it.
 func (c *Controller) applyFleetRole(name string, value []byte, version uint64) error {
-	id, err := duty.ParseFleetRole(name)
+	id, err := leadership.ParseFleetRole(name)
 	if err != nil {
 		return nil // of a later version
 	}
@@ -96,9 +96,9 @@
 	if h.Term >= version {
 		return nil
 	}
-	var claim duty.Claim
+	var claim leadership.Claim
 	if err = json.Unmarshal(value, &claim); err != nil {
-		claim = duty.Claim{}
+		claim = leadership.Claim{}
 	}
 	c.observeRole(h, claim, version)
 	return err
@@ -106,8 +106,8 @@
 
 // deleteFleetRole takes in that the key of one of the fleet's duties was deleted.
 func (c *Controller) deleteFleetRole(name string, version uint64) {
-	if id, err := duty.ParseFleetRole(name); err == nil && c.fleetRole(id.Kind).Term < version {
-		c.observeRole(c.fleetRole(id.Kind), duty.Claim{}, 0)
+	if id, err := leadership.ParseFleetRole(name); err == nil && c.fleetRole(id.Kind).Term < version {
+		c.observeRole(c.fleetRole(id.Kind), leadership.Claim{}, 0)
 	}
 }
 
--- a/internal/core/job.go
+++ b/internal/core/job.go
@@ -6,8 +6,8 @@
 	"strconv"
 	"strings"
 
-	"spurmoor/internal/sched"
-	"spurmoor/internal/wire"
+	"spurmoor/internal/api"
+	"spurmoor/internal/scheduler"
 )
 
 // chunkSize tasks are kept together in memory, made when first needed.
@@ -47,8 +47,8 @@
 
 type job struct {
 	id                 string
-	spec               wire.Job
-	request            sched.Resources
+	spec               api.Job
+	request            scheduler.Resources
 	acceptedAt         int64
 	cancelled          bool  // its user or, doomed, that of a job that it needs did
 	cancelledElsewhere bool  // another controller says that it told its user so
--- a/internal/core/lease.go
+++ b/internal/core/lease.go
@@ -1,10 +1,10 @@
 package core
 
-import "spurmoor/internal/duty"
+import "spurmoor/internal/leadership"
 
 // leaseState is our lease on the state service, which our duties hang on.
 type leaseState struct {
-	lease           duty.Lease
+	lease           leadership.Lease
 	nextRenewalAt   int64
 	renewalInFlight bool
 }
--- a/internal/core/lending.go
+++ b/internal/core/lending.go
@@ -1,9 +1,9 @@
 package core
 
 import (
+	"spurmoor/internal/api"
 	"spurmoor/internal/peer"
-	"spurmoor/internal/sched"
-	"spurmoor/internal/wire"
+	"spurmoor/internal/scheduler"
 )
 
 // chooseSpare is a machine of another partition with room for a job of ours that nothing can
@@ -53,8 +53,8 @@
 	var first *job
 	for _, id := range sortedKeys(jobs) {
 		j := jobs[id]
-		single := j.spec.Kind == wire.Array || j.spec.Tasks == 1
-		if why[id] != sched.ReasonNothingToLaunch || !single || j.hasStarted() || c.deprioritized(j) {
+		single := j.spec.Kind == api.Array || j.spec.Tasks == 1
+		if why[id] != scheduler.ReasonNothingToLaunch || !single || j.hasStarted() || c.deprioritized(j) {
 			continue
 		}
 		if c.now > j.eligibleAt()+secs(c.settings.Operators.BeginWithinS/6) && (first == nil || j.acceptedAt < first.acceptedAt) {
@@ -69,7 +69,7 @@
 	if m.record.Partition == p.index || m.machineType == nil || m.record.Condemned || m.claimedBy != "" || j.failedMachines[m.name] || c.reservedForPartition(m) >= 0 {
 		return false
 	}
-	return sched.Allowed(&j.spec, m.record.Type, m.record.Zone, m.record.Spot)
+	return scheduler.Allowed(&j.spec, m.record.Type, m.record.Zone, m.record.Spot)
 }
 
 // maxIdleOffers bounds what is offered at a time: a message to another controller holds it.
@@ -79,13 +79,13 @@
 // than are offered, each kind has its turn: offered by name alone, four thousand idle
 // machines of one type would hide the few of another that a gang waits for.
 func (c *Controller) idleOffers() []peer.IdleMachine {
-	kinds := map[sched.InstanceKind][]peer.IdleMachine{}
-	var order []sched.InstanceKind
+	kinds := map[scheduler.InstanceKind][]peer.IdleMachine{}
+	var order []scheduler.InstanceKind
 	for _, m := range c.machinesByName {
 		if !c.isLendable(m) || c.now <= m.idleSince+Second/3 {
 			continue
 		}
-		k := sched.InstanceKind{Type: m.record.Type, Zone: m.record.Zone, Spot: m.record.Spot}
+		k := scheduler.InstanceKind{Type: m.record.Type, Zone: m.record.Zone, Spot: m.record.Spot}
 		if kinds[k] == nil {
 			order = append(order, k)
 		}
@@ -95,7 +95,7 @@
 }
 
 // interleaveKinds takes one of each kind in turn, so many in all at the most.
-func interleaveKinds(kinds map[sched.InstanceKind][]peer.IdleMachine, order []sched.InstanceKind, most int) []peer.IdleMachine {
+func interleaveKinds(kinds map[scheduler.InstanceKind][]peer.IdleMachine, order []scheduler.InstanceKind, most int) []peer.IdleMachine {
 	var list []peer.IdleMachine
 	for turn := 0; len(list) < most; turn++ {
 		before := len(list)
@@ -140,11 +140,11 @@
 // machine's tasks for what asks: they are of a lower tier, or of its own and
 // their teams keep their guarantees without them and the asker's is within its.
 func (c *Controller) mayPreemptAll(m *machine, a peer.MachineRequest) bool {
-	without := map[string]sched.Resources{}
+	without := map[string]scheduler.Resources{}
 	for _, id := range m.taskIDsCopy() {
 		j := c.jobs[id.job]
 		tier := c.effectiveTier(j)
-		if tier < a.Tier || tier < a.InheritedTier && j.spec.Kind == wire.Array && !c.startedRecently(j.task(id.index)) {
+		if tier < a.Tier || tier < a.InheritedTier && j.spec.Kind == api.Array && !c.startedRecently(j.task(id.index)) {
 			continue
 		}
 		if tier > a.Tier || c.startedRecently(j.task(id.index)) {
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -1,8 +1,8 @@
 package core
 
 import (
-	"spurmoor/internal/sched"
-	"spurmoor/internal/wire"
+	"spurmoor/internal/api"
+	"spurmoor/internal/scheduler"
 )
 
 // recordOrigin says which row of which log told the latest of a machine.
@@ -27,8 +27,8 @@
 	name         string
 	record       machineRecord // Token: the least token, from its record
 	origin       recordOrigin
-	machineType  *wire.MachineType
-	allocated    sched.Resources
+	machineType  *api.MachineType
+	allocated    scheduler.Resources
 	taskIDs      []taskID        // recorded here, in order
 	departedJobs map[string]bool // jobs whose tasks left, perhaps not committed yet
 
@@ -47,16 +47,16 @@
 	leaseExpiresAt    int64 // by then its lease has run out unless we answer again
 	nextCommandAt     int64
 	commandInFlight   bool
-	lastCommands      []wire.Command // by the last answer to a report
-	ignoringSince     int64          // since when it needs to be told the same again; 0: it obeys
-	interruptionAt    int64          // taken at about this time; 0: no notice
+	lastCommands      []api.Command // by the last answer to a report
+	ignoringSince     int64         // since when it needs to be told the same again; 0: it obeys
+	interruptionAt    int64         // taken at about this time; 0: no notice
 	idleSince         int64
 	cachedImages      []cachedImage
 	failures          failureEvidence
 	quarantined       bool // fails what it is given: drained and returned
 	claimedBy         string
 	claimExpiresAt    int64
-	reportedTasks     []wire.TaskStatus
+	reportedTasks     []api.TaskStatus
 	// highestStartToken is the highest token of a direct start sent there by us.
 	highestStartToken   uint64
 	startOutcomeUnknown bool // a direct start had no answer: its token must be outdone
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"slices"
 
-	"spurmoor/internal/sched"
-	"spurmoor/internal/wire"
+	"spurmoor/internal/api"
+	"spurmoor/internal/scheduler"
 )
 
 // fencingToken is what a machine's worker must obey: the later of the partition's
@@ -31,7 +31,7 @@
 
 // allTasksEnded tells whether the worker shows nothing but ended tasks.
 func (m *machine) allTasksEnded() bool {
-	return !slices.ContainsFunc(m.reportedTasks, func(r wire.TaskStatus) bool { return r.State != wire.TaskExited })
+	return !slices.ContainsFunc(m.reportedTasks, func(r api.TaskStatus) bool { return r.State != api.TaskExited })
 }
 
 func (m *machine) taskIDsCopy() []taskID {
@@ -284,7 +284,7 @@
 }
 
 // kindName names a kind in the log.
-type kindName sched.InstanceKind
+type kindName scheduler.InstanceKind
 
 func (k kindName) String() string {
 	return fmt.Sprintf("%s/%s/spot=%t", k.Type, k.Zone, k.Spot)
--- a/internal/core/messages.go
+++ b/internal/core/messages.go
@@ -3,9 +3,9 @@
 import (
 	"log/slog"
 
-	"spurmoor/internal/duty"
+	"spurmoor/internal/api"
+	"spurmoor/internal/leadership"
 	"spurmoor/internal/peer"
-	"spurmoor/internal/wire"
 )
 
 // Input is what Step takes: a request of a user, worker, health check or other
@@ -42,7 +42,7 @@
 	// WorkerHeartbeat is a worker's report.
 	WorkerHeartbeat struct {
 		RequestID uint64
-		Heartbeat *wire.Heartbeat
+		Heartbeat *api.Heartbeat
 	}
 	// CommandReply answers SendCommands.
 	CommandReply struct {
@@ -51,17 +51,17 @@
 		Starts    bool
 		Unsent    bool // too many were out: nothing left this process
 		Status    int
-		Heartbeat *wire.Heartbeat
+		Heartbeat *api.Heartbeat
 	}
 	// StoreReply answers a StoreCall.
 	StoreReply struct {
 		Call        uint64
 		Status      int
 		Unsent      bool // its grant had ended: nothing left this process
-		Item        wire.KeyValue
-		Page        wire.KeyValuePage
-		Transaction wire.TransactionResult
-		Watch       wire.WatchResponse
+		Item        api.KeyValue
+		Page        api.KeyValuePage
+		Transaction api.TransactionResult
+		Watch       api.WatchResponse
 		Lease       uint64
 	}
 	// CloudReply answers a CloudCall.
@@ -69,9 +69,9 @@
 		Call      uint64
 		Status    int
 		Unsent    bool // its grant had ended: nothing left this process
-		Catalog   wire.Catalog
+		Catalog   api.Catalog
 		Launched  []string
-		Instances wire.InstancePage
+		Instances api.InstancePage
 	}
 	// PeerHeartbeat is a message of another controller.
 	PeerHeartbeat struct{ Heartbeat *peer.Heartbeat }
@@ -81,8 +81,8 @@
 	// did not permit it any more.
 	OrderRefused struct {
 		Role   string
-		Action duty.Action
-		Reason duty.Reason
+		Action leadership.Action
+		Reason leadership.Reason
 	}
 	// Stop has the controller give up what it holds, in good order.
 	Stop struct{}
@@ -110,15 +110,15 @@
 		WaitMs      int
 		Lease       uint64
 		TTLMs       int64
-		Transaction duty.Order[*wire.Transaction]
+		Transaction leadership.Order[*api.Transaction]
 		Urgent      bool // lease renewals: not held back by the budget
 	}
 	// CloudCall is a request to the cloud.
 	CloudCall struct {
 		Call   uint64
 		Op     CloudOp
-		Launch duty.Order[*wire.LaunchRequest]
-		Delete duty.Order[[]string] // to be deleted
+		Launch leadership.Order[*api.LaunchRequest]
+		Delete leadership.Order[[]string] // to be deleted
 		After  string
 	}
 	// SendCommands sends commands to a worker directly.
@@ -126,7 +126,7 @@
 		Machine string
 		Addr    string
 		Starts  bool // it starts tasks
-		Body    duty.Order[wire.CommandRequest]
+		Body    leadership.Order[api.CommandRequest]
 	}
 	// Broadcast sends a message to every other controller.
 	Broadcast struct{ Heartbeat *peer.Heartbeat }
--- a/internal/core/needs.go
+++ b/internal/core/needs.go
@@ -5,7 +5,7 @@
 
 	"github.com/go-json-experiment/json"
 
-	"spurmoor/internal/wire"
+	"spurmoor/internal/api"
 )
 
 // Jobs that wait for jobs. Whether a job may start, or is withdrawn with one
@@ -78,7 +78,7 @@
 }
 
 func (r terminalRecord) outcome() dependencyOutcome {
-	if r.State == wire.JobDone {
+	if r.State == api.JobDone {
 		return outcomeDone
 	}
 	return outcomeCancelled
@@ -141,11 +141,11 @@
 	}
 	switch {
 	case j.cancelled:
-		return terminalRecord{State: wire.JobCancelled, DoneTasks: j.doneTasks}, true
+		return terminalRecord{State: api.JobCancelled, DoneTasks: j.doneTasks}, true
 	case j.unknownDependencies > 0 && !j.hasStarted():
 		return terminalRecord{}, false
 	}
-	return terminalRecord{State: wire.JobDone, DoneTasks: j.spec.Tasks, EndedAt: c.now}, true
+	return terminalRecord{State: api.JobDone, DoneTasks: j.spec.Tasks, EndedAt: c.now}, true
 }
 
 // readUnknownOutcomes reads the final records of needs that were over before the replica
@@ -205,7 +205,7 @@
 // verifyDependencies makes sure that all jobs that a submission names were accepted, from a
 // read begun after it arrived where the replica doesn't know one. It gives 0, or
 // the status of a refusal.
-func (c *Controller) verifyDependencies(spec *wire.Job, f func(status int, why string)) {
+func (c *Controller) verifyDependencies(spec *api.Job, f func(status int, why string)) {
 	if len(c.unknownDependencies(spec)) == 0 {
 		f(c.rejectServiceDependencies(spec))
 		return
@@ -242,7 +242,7 @@
 }
 
 // unknownDependencies lists the jobs a submission names of which nothing is known.
-func (c *Controller) unknownDependencies(spec *wire.Job) []string {
+func (c *Controller) unknownDependencies(spec *api.Job) []string {
 	var list []string
 	for _, id := range spec.Dependencies {
 		if o, _ := c.knownOutcome(id); o == outcomeUnknown {
@@ -253,9 +253,9 @@
 }
 
 // rejectServiceDependencies tells whether accepted jobs may be waited for.
-func (c *Controller) rejectServiceDependencies(spec *wire.Job) (status int, why string) {
+func (c *Controller) rejectServiceDependencies(spec *api.Job) (status int, why string) {
 	for _, id := range spec.Dependencies {
-		if j := c.jobs[id]; j != nil && j.spec.Kind == wire.Service {
+		if j := c.jobs[id]; j != nil && j.spec.Kind == api.Service {
 			return 422, id + " is a service: it is never done"
 		}
 	}
--- a/internal/core/plan.go
+++ b/internal/core/plan.go
@@ -1,9 +1,9 @@
 package core
 
 import (
+	"spurmoor/internal/api"
 	"spurmoor/internal/peer"
-	"spurmoor/internal/sched"
-	"spurmoor/internal/wire"
+	"spurmoor/internal/scheduler"
 )
 
 // requestPlanWithin wants a cycle no later than d from now.
@@ -47,7 +47,7 @@
 // planPartition makes and carries out one partition's plan.
 func (c *Controller) planPartition(p *partition) {
 	v, jobs := c.snapshotFor(p)
-	plan := sched.MakePlan(v)
+	plan := scheduler.MakePlan(v)
 	c.bindTasks(plan.Bindings, jobs)
 	c.preemptTasks(plan.Preemptions)
 	for _, r := range plan.ScaleOuts {
@@ -66,13 +66,13 @@
 }
 
 // bindTasks records the starts of a plan, to be committed.
-func (c *Controller) bindTasks(starts []sched.Binding, jobs map[string]*job) {
+func (c *Controller) bindTasks(starts []scheduler.Binding, jobs map[string]*job) {
 	next, gangAttempt := map[string][]int{}, map[string]uint64{}
 	for _, s := range starts {
 		j := jobs[s.Job.ID]
 		if _, ok := next[j.id]; !ok {
 			next[j.id] = j.placeable(c.now, c.maxTasksPerPlan(j))
-			if j.spec.Kind == wire.Gang {
+			if j.spec.Kind == api.Gang {
 				gangAttempt[j.id] = j.lastAttempt()
 				if !j.isReassembling() {
 					gangAttempt[j.id]++
@@ -86,7 +86,7 @@
 		if t := j.task(n); t != nil {
 			attempt = t.attempt + 1
 		}
-		if j.spec.Kind == wire.Gang {
+		if j.spec.Kind == api.Gang {
 			attempt = gangAttempt[j.id]
 		}
 		c.changeTask(j, n, taskRecord{taskPlaced, attempt, s.Machine.Name})
@@ -102,7 +102,7 @@
 
 // preemptTasks has tasks stopped where a plan says so, and the machines kept for the
 // jobs that they are stopped for.
-func (c *Controller) preemptTasks(evictions []sched.Preemption) {
+func (c *Controller) preemptTasks(evictions []scheduler.Preemption) {
 	for _, e := range evictions {
 		m := c.machines[e.Machine.Name]
 		again := m.claimedBy == e.For.ID
@@ -127,7 +127,7 @@
 const maxMachineRequests = 500
 
 // requestMachines asks the other partitions for machines of theirs that the partition needs.
-func (c *Controller) requestMachines(p *partition, plan *sched.Plan, jobs map[string]*job) {
+func (c *Controller) requestMachines(p *partition, plan *scheduler.Plan, jobs map[string]*job) {
 	for _, m := range plan.Borrow {
 		if len(c.machineRequests) >= maxMachineRequests {
 			break
@@ -138,7 +138,7 @@
 	for _, m := range c.machinesByName {
 		// Asked again until it comes: a message may be lost.
 		if m.claimedBy != "" && m.record.Partition != p.index && jobs[m.claimedBy] != nil && len(c.machineRequests) < maxMachineRequests {
-			c.machineRequests = append(c.machineRequests, peer.MachineRequest{Machine: m.name, Partition: p.index, Tier: wire.Tier(jobs[m.claimedBy].spec.Priority), InheritedTier: c.effectiveTier(jobs[m.claimedBy]), Guaranteed: m.claimGuaranteed})
+			c.machineRequests = append(c.machineRequests, peer.MachineRequest{Machine: m.name, Partition: p.index, Tier: api.Tier(jobs[m.claimedBy].spec.Priority), InheritedTier: c.effectiveTier(jobs[m.claimedBy]), Guaranteed: m.claimGuaranteed})
 		}
 	}
 	if m := c.chooseSpare(p, jobs, plan.BlockedReasons); m != nil {
--- a/internal/core/records.go
+++ b/internal/core/records.go
@@ -1,7 +1,7 @@
 package core
 
 import (
-	"spurmoor/internal/wire"
+	"spurmoor/internal/api"
 )
 
 // Keys. Everything that is followed lies below Live; the final states of
@@ -21,17 +21,17 @@
 )
 
 type jobRecord struct {
-	Spec               wire.Job `json:"j"`
-	AcceptedAt         int64    `json:"a"`
-	Cancelled          bool     `json:"x,omitzero"`
-	PackedDependencies []byte   `json:"w,omitzero"` // what the job needs, where the list would be too long
+	Spec               api.Job `json:"j"`
+	AcceptedAt         int64   `json:"a"`
+	Cancelled          bool    `json:"x,omitzero"`
+	PackedDependencies []byte  `json:"w,omitzero"` // what the job needs, where the list would be too long
 }
 
 // catalogRecord is a page of the catalogue: as many types as a value holds. All
 // pages are written at once.
 type catalogRecord struct {
-	Types []wire.MachineType `json:"Tipos"`
-	Pages int                `json:"p,omitzero"` // of the first: how many follow
+	Types []api.MachineType `json:"Tipos"`
+	Pages int               `json:"p,omitzero"` // of the first: how many follow
 }
 
 type terminalRecord struct {
--- a/internal/core/rentals.go
+++ b/internal/core/rentals.go
@@ -6,9 +6,9 @@
 
 	"github.com/go-json-experiment/json"
 
-	"spurmoor/internal/duty"
-	"spurmoor/internal/sched"
-	"spurmoor/internal/wire"
+	"spurmoor/internal/api"
+	"spurmoor/internal/leadership"
+	"spurmoor/internal/scheduler"
 )
 
 // requestLedger are the requests for machines that a partition's holder has open.
@@ -33,8 +33,8 @@
 
 // provisioningRequest is one request for machines.
 type provisioningRequest struct {
-	request           wire.LaunchRequest
-	kind              sched.InstanceKind
+	request           api.LaunchRequest
+	kind              scheduler.InstanceKind
 	recorded          bool  // its record is committed, or none is wanted
 	inFlight          bool  // sent and not answered
 	nextSendAt        int64 // not to be sent before
@@ -99,7 +99,7 @@
 // scaleOut asks for machines: by the open request for their kind that was refused, if there
 // is one and as much is wanted, and by a new one for the rest. The name of a request is
 // never used for another: it has the term in it, which is global.
-func (c *Controller) scaleOut(p *partition, k sched.InstanceKind, count int) {
+func (c *Controller) scaleOut(p *partition, k scheduler.InstanceKind, count int) {
 	if r := p.deferredRequest(k); r != nil && r.request.Count <= count {
 		r.deferred, r.attempts, r.nextSendAt = false, 0, c.now
 		p.countPendingMachines(k, r.request.Count)
@@ -115,13 +115,13 @@
 }
 
 // openRequest asks for machines by a new request.
-func (c *Controller) openRequest(p *partition, k sched.InstanceKind, count int) {
+func (c *Controller) openRequest(p *partition, k scheduler.InstanceKind, count int) {
 	if len(p.requests.open) >= c.maxOpenRequests() && !c.withdrawDeferred(p) {
 		return
 	}
 	c.lastRequestNumber++
 	name := "p" + strconv.Itoa(p.index) + "-" + strconv.FormatUint(p.Term, 10) + "-" + strconv.Itoa(c.lastRequestNumber)
-	r := &provisioningRequest{kind: k, request: wire.LaunchRequest{Name: name, Type: k.Type, Zone: k.Zone, Spot: k.Spot, Count: min(count, maxMachinesPerRequest)}}
+	r := &provisioningRequest{kind: k, request: api.LaunchRequest{Name: name, Type: k.Type, Zone: k.Zone, Spot: k.Spot, Count: min(count, maxMachinesPerRequest)}}
 	p.countPendingMachines(k, r.request.Count)
 	p.requests.open = append(p.requests.open, r)
 	if c.recordsRequests() {
@@ -132,7 +132,7 @@
 }
 
 // deferredRequest gives the open request for a kind that was refused; nil: there is none.
-func (p *partition) deferredRequest(k sched.InstanceKind) *provisioningRequest {
+func (p *partition) deferredRequest(k scheduler.InstanceKind) *provisioningRequest {
 	at := slices.IndexFunc(p.requests.open, func(r *provisioningRequest) bool { return r.deferred && r.kind == k })
 	if at < 0 {
 		return nil
@@ -141,9 +141,9 @@
 }
 
 // countPendingMachines counts machines asked for and not recorded yet.
-func (p *partition) countPendingMachines(k sched.InstanceKind, n int) {
+func (p *partition) countPendingMachines(k scheduler.InstanceKind, n int) {
 	if p.pendingMachines == nil {
-		p.pendingMachines = map[sched.InstanceKind]int{}
+		p.pendingMachines = map[scheduler.InstanceKind]int{}
 	}
 	p.pendingMachines[k] += n
 	if p.pendingMachines[k] <= 0 {
@@ -170,15 +170,15 @@
 
 // sendRequest sends a request, if we may rent now.
 func (c *Controller) sendRequest(p *partition, r *provisioningRequest) {
-	grant := c.grant(&p.RoleState, duty.Launch)
-	if grant.Check(duty.Launch, c.now) != "" {
+	grant := c.grant(&p.RoleState, leadership.Launch)
+	if grant.Check(leadership.Launch, c.now) != "" {
 		r.nextSendAt = c.now + requestRetryInterval
 		return
 	}
 	r.inFlight = true
 	r.attempts++
 	p.requests.inFlight++
-	c.callCloud(CloudCall{Op: OpLaunch, Launch: duty.NewOrder(grant, &r.request)}, func(reply *CloudReply) {
+	c.callCloud(CloudCall{Op: OpLaunch, Launch: leadership.NewOrder(grant, &r.request)}, func(reply *CloudReply) {
 		r.inFlight = false
 		if r.abandoned {
 			return
@@ -304,9 +304,9 @@
 		return
 	}
 	for _, rec := range p.requests.storedRequests {
-		k := sched.InstanceKind{Type: rec.Type, Zone: rec.Zone, Spot: rec.Spot}
+		k := scheduler.InstanceKind{Type: rec.Type, Zone: rec.Zone, Spot: rec.Spot}
 		r := &provisioningRequest{kind: k, recorded: true, deferred: rec.Deferred, outcomeUnknown: true, nextSendAt: c.now,
-			request: wire.LaunchRequest{Name: rec.Request, Type: rec.Type, Zone: rec.Zone, Spot: rec.Spot, Count: rec.Count}}
+			request: api.LaunchRequest{Name: rec.Request, Type: rec.Type, Zone: rec.Zone, Spot: rec.Spot, Count: rec.Count}}
 		if !r.deferred {
 			p.countPendingMachines(k, rec.Count)
 		}
@@ -349,9 +349,9 @@
 	for _, r := range open {
 		rec.Open = append(rec.Open, requestRecord{r.request.Name, r.kind.Type, r.kind.Zone, r.kind.Spot, r.request.Count, r.deferred})
 	}
-	t := &transaction{grant: func() duty.Grant { return c.grant(&p.RoleState, duty.Write) }}
-	t.request.Compares = []wire.Compare{{Key: p.key(), Version: p.Term}, {Key: requestsKeyOf(p), Version: s.version}}
-	t.request.Writes = []wire.Write{{Put: requestsKeyOf(p), Value: mustMarshal(rec)}}
+	t := &transaction{grant: func() leadership.Grant { return c.grant(&p.RoleState, leadership.Write) }}
+	t.request.Compares = []api.Compare{{Key: p.key(), Version: p.Term}, {Key: requestsKeyOf(p), Version: s.version}}
+	t.request.Writes = []api.Write{{Put: requestsKeyOf(p), Value: mustMarshal(rec)}}
 	t.onCommitted = func(rev uint64) {
 		s.writeInFlight = nil
 		s.version = max(s.version, rev)
--- a/internal/core/replica.go
+++ b/internal/core/replica.go
@@ -3,15 +3,15 @@
 import (
 	"strings"
 
-	"spurmoor/internal/sched"
-	"spurmoor/internal/wire"
+	"spurmoor/internal/api"
+	"spurmoor/internal/scheduler"
 )
 
 // relist is a reading of all keys, after the start or when the log of
 // changes no longer reaches back.
 type relist struct {
 	revision uint64
-	items    []wire.KeyValue
+	items    []api.KeyValue
 }
 
 // maintainWatch keeps one watch open, and reads at once for those who wait.
@@ -148,7 +148,7 @@
 	clear(c.logReferences)
 	c.machinesByName = nil
 	for _, u := range c.teamUsage {
-		*u = sched.Resources{}
+		*u = scheduler.Resources{}
 	}
 }
 
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -3,9 +3,9 @@
 import (
 	"slices"
 
-	"spurmoor/internal/duty"
+	"spurmoor/internal/api"
+	"spurmoor/internal/leadership"
 	"spurmoor/internal/peer"
-	"spurmoor/internal/wire"
 )
 
 // handleWorkerHeartbeat answers a worker. Only the holder of the machine's partition, within its
@@ -20,7 +20,7 @@
 	m := c.machines[r.Machine]
 	if m == nil {
 		c.observeUnknownWorker(r)
-		c.answer(v.RequestID, 421, wire.Redirect{})
+		c.answer(v.RequestID, 421, api.Redirect{})
 		return
 	}
 	if m.record.Type != r.Type || m.record.Zone != r.Zone || m.record.Spot != r.Spot {
@@ -31,7 +31,7 @@
 		m.address = r.Address
 	}
 	if p := c.ledPartition(m); p == nil || !c.mayAnswerFor(p) {
-		c.answer(v.RequestID, 421, wire.Redirect{To: c.otherLeader(m)})
+		c.answer(v.RequestID, 421, api.Redirect{To: c.otherLeader(m)})
 		return
 	}
 	if why := c.refusalReason(m, r); why != "" {
@@ -41,8 +41,8 @@
 	m.lastHeartbeatAt = c.now
 	commands := c.reconcileHeartbeat(m, r, true)
 	m.leaseExpiresAt = max(m.leaseExpiresAt, c.now+c.workerLease()+Second/2)
-	body := wire.HeartbeatResponse{FencingToken: c.fencingToken(m), Commands: commands}
-	c.answer(v.RequestID, 200, duty.NewOrder(c.commandGrant(c.partitions[m.record.Partition]), body))
+	body := api.HeartbeatResponse{FencingToken: c.fencingToken(m), Commands: commands}
+	c.answer(v.RequestID, 200, leadership.NewOrder(c.commandGrant(c.partitions[m.record.Partition]), body))
 }
 
 // otherLeader names the other controller that holds a machine's partition; "" if
@@ -62,7 +62,7 @@
 
 // refusalReason says why a report of a machine of ours must not be answered 200;
 // "" if it may be.
-func (c *Controller) refusalReason(m *machine, r *wire.Heartbeat) string {
+func (c *Controller) refusalReason(m *machine, r *api.Heartbeat) string {
 	switch {
 	case c.mustLetLeaseExpire(m):
 		return "a cancelled task may still start there"
@@ -90,7 +90,7 @@
 	return false
 }
 
-func (m *machine) isNewer(r *wire.Heartbeat) bool {
+func (m *machine) isNewer(r *api.Heartbeat) bool {
 	return r.Incarnation > m.incarnation || r.Incarnation == m.incarnation && r.Sequence > m.heartbeatSequence
 }
 
@@ -141,25 +141,25 @@
 type heartbeatReconciler struct {
 	*Controller
 	machine     *machine
-	heartbeat   *wire.Heartbeat
+	heartbeat   *api.Heartbeat
 	renewsLease bool // its answer keeps the lease; else it answers a direct command
 	mayForget   bool // ended tasks may be forgotten
 	observed    map[taskID]bool
-	commands    []wire.Command
+	commands    []api.Command
 }
 
 // reconcileHeartbeat takes in what a worker says of its tasks and gives the commands that
 // bring it to what is recorded. Only the answer to a report may start tasks,
 // and only a report proves a task absent: a direct command's answer may be
 // older than a start that rides in a report's answer.
-func (c *Controller) reconcileHeartbeat(m *machine, r *wire.Heartbeat, viaReport bool) []wire.Command {
+func (c *Controller) reconcileHeartbeat(m *machine, r *api.Heartbeat, viaReport bool) []api.Command {
 	c.observeIncarnation(m, r.Incarnation)
 	m.heartbeatSequence = r.Sequence
 	// Its session, or the answer that keeps it, is no later than now. Counting
 	// from our own answers alone took a machine for dead that had booted for
 	// longer than a lease and was heard through a direct command first.
 	m.leaseExpiresAt = max(m.leaseExpiresAt, c.now+c.workerLease()+Second/2)
-	in := &heartbeatReconciler{Controller: c, machine: m, heartbeat: r, renewsLease: viaReport, observed: map[taskID]bool{}, commands: []wire.Command{}}
+	in := &heartbeatReconciler{Controller: c, machine: m, heartbeat: r, renewsLease: viaReport, observed: map[taskID]bool{}, commands: []api.Command{}}
 	if r.FencingToken != c.fencingToken(m) {
 		in.stopCancelled()
 		return in.commands
@@ -183,14 +183,14 @@
 // addCommand adds a command for the worker.
 func (in *heartbeatReconciler) addCommand(op string, id taskID, attempt uint64, grace *float64) {
 	if len(in.commands) < maxCommands {
-		in.commands = append(in.commands, wire.Command{Op: op, Task: id.String(), Attempt: attempt, GraceS: grace})
+		in.commands = append(in.commands, api.Command{Op: op, Task: id.String(), Attempt: attempt, GraceS: grace})
 	}
 }
 
 // addStop has a task stopped without time to save.
 func (in *heartbeatReconciler) addStop(id taskID, attempt uint64) {
 	grace := 0.0
-	in.addCommand(wire.CommandStop, id, attempt, &grace)
+	in.addCommand(api.CommandStop, id, attempt, &grace)
 }
 
 // stopCancelled answers a report that does not bear our token. Perhaps it is a
@@ -202,7 +202,7 @@
 func (in *heartbeatReconciler) stopCancelled() {
 	for _, tr := range in.heartbeat.Tasks {
 		id, ok := parseTaskID(tr.Task)
-		if !ok || tr.State == wire.TaskExited {
+		if !ok || tr.State == api.TaskExited {
 			continue
 		}
 		if j := in.jobs[id.job]; j != nil && j.mustNotRun() {
@@ -241,7 +241,7 @@
 	in.mayForget = in.heartbeat.FencingToken > in.machine.highestStartToken
 	ended := 0
 	for _, tr := range in.heartbeat.Tasks {
-		if tr.State == wire.TaskExited {
+		if tr.State == api.TaskExited {
 			ended++
 		}
 	}
@@ -251,7 +251,7 @@
 }
 
 // reconcileReported takes in one task that the worker shows.
-func (in *heartbeatReconciler) reconcileReported(tr wire.TaskStatus) {
+func (in *heartbeatReconciler) reconcileReported(tr api.TaskStatus) {
 	id, ok := parseTaskID(tr.Task)
 	if !ok {
 		return
@@ -272,8 +272,8 @@
 }
 
 // reconcileUnrecorded answers a task that is not recorded on this machine.
-func (in *heartbeatReconciler) reconcileUnrecorded(j *job, id taskID, tr wire.TaskStatus) {
-	exited := tr.State == wire.TaskExited
+func (in *heartbeatReconciler) reconcileUnrecorded(j *job, id taskID, tr api.TaskStatus) {
+	exited := tr.State == api.TaskExited
 	switch {
 	case j != nil && j.mustNotRun() && !exited:
 		in.addStop(id, tr.Attempt)
@@ -282,22 +282,22 @@
 	case !exited:
 		in.addStop(id, tr.Attempt)
 	case in.mayForget:
-		in.addCommand(wire.CommandForget, id, tr.Attempt, nil)
+		in.addCommand(api.CommandForget, id, tr.Attempt, nil)
 	}
 }
 
 // reconcileRecorded takes in the state of a task that is recorded on this machine.
-func (in *heartbeatReconciler) reconcileRecorded(j *job, id taskID, t *task, tr wire.TaskStatus) {
+func (in *heartbeatReconciler) reconcileRecorded(j *job, id taskID, t *task, tr api.TaskStatus) {
 	c, m := in.Controller, in.machine
 	in.observed[id] = true
 	t.observed = true
-	if tr.State == wire.TaskExited {
+	if tr.State == api.TaskExited {
 		c.taskExited(j, id.index, t, m, tr)
 		return
 	}
-	if t.reportedState != tr.State && (tr.State == wire.JobRunning || tr.State == wire.TaskWaiting) {
+	if t.reportedState != tr.State && (tr.State == api.JobRunning || tr.State == api.TaskWaiting) {
 		m.cacheImage(j.spec.Image, j.spec.ImageGB)
-		if tr.State == wire.JobRunning {
+		if tr.State == api.JobRunning {
 			t.runningSince = c.now
 			c.logDebug("task running", "task", tr.Task, "machine", m.name, "after_s", (c.now-t.placedAt)/Second)
 		}
@@ -306,8 +306,8 @@
 	if !c.mustStop(j, t) {
 		return
 	}
-	if grace := c.graceFor(j, t); tr.State != wire.Checkpointing || grace == 0 {
-		in.addCommand(wire.CommandStop, id, tr.Attempt, &grace)
+	if grace := c.graceFor(j, t); tr.State != api.Checkpointing || grace == 0 {
+		in.addCommand(api.CommandStop, id, tr.Attempt, &grace)
 	}
 }
 
@@ -325,7 +325,7 @@
 		c.taskGone(j, id.index, "no longer reported")
 	case c.mayStartOn(in.machine, j) && (t.directStartToken == 0 || t.directStartToken < r.FencingToken):
 		// Not while a direct copy may come after this one was forgotten.
-		in.addCommand(wire.CommandStart, id, t.attempt, nil)
+		in.addCommand(api.CommandStart, id, t.attempt, nil)
 	}
 }
 
@@ -351,9 +351,9 @@
 
 // trackRepeatedCommands notes whether a worker does what it was told: one whose reports arrive
 // while answers and commands do not reach it needs to be told the same again.
-func (m *machine) trackRepeatedCommands(now int64, cmds []wire.Command) {
-	again := slices.ContainsFunc(cmds, func(o wire.Command) bool {
-		return o.Op != wire.CommandStop && slices.ContainsFunc(m.lastCommands, func(t wire.Command) bool {
+func (m *machine) trackRepeatedCommands(now int64, cmds []api.Command) {
+	again := slices.ContainsFunc(cmds, func(o api.Command) bool {
+		return o.Op != api.CommandStop && slices.ContainsFunc(m.lastCommands, func(t api.Command) bool {
 			return t.Op == o.Op && t.Task == o.Task && t.Attempt == o.Attempt
 		})
 	})
--- a/internal/core/reservation.go
+++ b/internal/core/reservation.go
@@ -1,20 +1,20 @@
 package core
 
 import (
-	"spurmoor/internal/sched"
-	"spurmoor/internal/wire"
+	"spurmoor/internal/api"
+	"spurmoor/internal/scheduler"
 )
 
 // planReservations works out, for all partitions, which machines are kept for gangs of which
 // nothing runs though a quarter of begin_within_s is over. Until half of it is,
 // only for those that can't have their machines sooner by stopping others.
 func (c *Controller) planReservations() {
-	c.reservations = map[string]sched.AdvanceReservation{}
+	c.reservations = map[string]scheduler.AdvanceReservation{}
 	due := c.gangsToReserveFor()
 	if due == nil {
 		return
 	}
-	c.reservations = sched.ReserveInAdvance(c.now, c.now-secs(c.settings.Operators.BeginWithinS/2), c.reservableMachines(), due)
+	c.reservations = scheduler.ReserveInAdvance(c.now, c.now-secs(c.settings.Operators.BeginWithinS/2), c.reservableMachines(), due)
 	kept := map[string]bool{}
 	for _, pr := range c.reservations {
 		kept[pr.Job.ID] = true
@@ -30,8 +30,8 @@
 }
 
 // gangsToReserveFor lists the gangs that machines are to be promised to.
-func (c *Controller) gangsToReserveFor() []*sched.Job {
-	var due []*sched.Job
+func (c *Controller) gangsToReserveFor() []*scheduler.Job {
+	var due []*scheduler.Job
 	for _, id := range sortedKeys(c.jobs) {
 		j := c.jobs[id]
 		if !c.hasWaitedLong(j) {
@@ -55,7 +55,7 @@
 // hasWaitedLong tells whether a gang could run, and has waited for a quarter of the
 // time within which it should have begun.
 func (c *Controller) hasWaitedLong(j *job) bool {
-	if j.spec.Kind != wire.Gang || j.terminal || j.mustNotRun() || j.pendingDependencies > 0 || j.hasStarted() {
+	if j.spec.Kind != api.Gang || j.terminal || j.mustNotRun() || j.pendingDependencies > 0 || j.hasStarted() {
 		return false
 	}
 	if c.deprioritized(j) || c.now < j.notBefore || c.partitions[j.partition].Term == 0 {
@@ -65,8 +65,8 @@
 }
 
 // reservableMachines shows the machines of all partitions that may be promised.
-func (c *Controller) reservableMachines() []*sched.Machine {
-	var list []*sched.Machine
+func (c *Controller) reservableMachines() []*scheduler.Machine {
+	var list []*scheduler.Machine
 	for _, m := range c.machinesByName {
 		if m.machineType == nil || m.record.Condemned || m.quarantined || m.interruptionAt > 0 || m.ignoringSince > 0 || c.ledPartition(m) != nil && c.bootOverdue(m) {
 			continue
@@ -104,12 +104,12 @@
 		}
 		return
 	}
-	if c.now+2*sched.PreemptionTime < pr.ReadyAt {
+	if c.now+2*scheduler.PreemptionTime < pr.ReadyAt {
 		return
 	}
 	for _, id := range m.taskIDsCopy() {
 		j := c.jobs[id.job]
-		if c.effectiveTier(j) < wire.Tier(pr.Job.Spec.Priority) {
+		if c.effectiveTier(j) < api.Tier(pr.Job.Spec.Priority) {
 			c.requestTaskStop(j, j.task(id.index), "the machine is kept for "+pr.Job.ID)
 		}
 	}
--- a/internal/core/schema.go
+++ b/internal/core/schema.go
@@ -1,8 +1,8 @@
 package core
 
 import (
-	"spurmoor/internal/duty"
-	"spurmoor/internal/wire"
+	"spurmoor/internal/api"
+	"spurmoor/internal/leadership"
 )
 
 // SchemaVersion is the newest form of records that this version reads and writes in
@@ -71,8 +71,8 @@
 	c.nextSchemaAnnouncementAt = c.now + schemaRetryInterval
 	key, rec := schemaKey+c.settings.Node, mustMarshal(schemaRecord{SchemaVersion, Version})
 	c.chargeWrites(1)
-	req := &wire.Transaction{Compares: []wire.Compare{{Key: key, Version: c.schemaKeyVersion}}, Writes: []wire.Write{{Put: key, Value: rec}}}
-	c.callStore(StoreCall{Op: OpTransaction, Transaction: duty.NewOrder(duty.SharedGrant(duty.ForSchema, duty.Write), req)}, func(r *StoreReply) {
+	req := &api.Transaction{Compares: []api.Compare{{Key: key, Version: c.schemaKeyVersion}}, Writes: []api.Write{{Put: key, Value: rec}}}
+	c.callStore(StoreCall{Op: OpTransaction, Transaction: leadership.NewOrder(leadership.SharedGrant(leadership.ForSchema, leadership.Write), req)}, func(r *StoreReply) {
 		if r.Status == 200 {
 			c.observeSchema(c.settings.Node, SchemaVersion)
 		}
--- a/internal/core/tasks.go
+++ b/internal/core/tasks.go
@@ -1,7 +1,7 @@
 package core
 
 import (
-	"spurmoor/internal/wire"
+	"spurmoor/internal/api"
 )
 
 // gangCommitted tells whether a gang is placed whole and committed so.
@@ -16,13 +16,13 @@
 // that wait keep their places, and replacements with the same attempt complete
 // it.
 func (j *job) isReassembling() bool {
-	if j.spec.Kind != wire.Gang || j.doneTasks > 0 || j.placedTasks == 0 || j.cancelled || j.attemptSpoiled {
+	if j.spec.Kind != api.Gang || j.doneTasks > 0 || j.placedTasks == 0 || j.cancelled || j.attemptSpoiled {
 		return false
 	}
 	for _, ch := range j.chunks {
 		for i := range ch {
 			t := &ch[i]
-			if t.state == taskPlaced && (!t.observed || t.stopRequestedAt > 0 || t.reportedState != wire.TaskFetching && t.reportedState != wire.TaskWaiting) {
+			if t.state == taskPlaced && (!t.observed || t.stopRequestedAt > 0 || t.reportedState != api.TaskFetching && t.reportedState != api.TaskWaiting) {
 				return false
 			}
 		}
@@ -33,7 +33,7 @@
 // isBroken tells whether a gang lost a task while it ran: the rest must go
 // before it starts again.
 func (j *job) isBroken() bool {
-	return j.spec.Kind == wire.Gang && !j.startUncommitted && !j.isReassembling() && j.doneTasks == 0 && j.placedTasks > 0 && j.placedTasks < j.spec.Tasks
+	return j.spec.Kind == api.Gang && !j.startUncommitted && !j.isReassembling() && j.doneTasks == 0 && j.placedTasks > 0 && j.placedTasks < j.spec.Tasks
 }
 
 // mustNotRun tells whether nothing of a job may run any more: it is cancelled, or
@@ -54,9 +54,9 @@
 }
 
 // taskExited takes in how a task ended.
-func (c *Controller) taskExited(j *job, n int, t *task, m *machine, tr wire.TaskStatus) {
+func (c *Controller) taskExited(j *job, n int, t *task, m *machine, tr api.TaskStatus) {
 	attempt := t.attempt
-	if tr.ExitReason == wire.JobDone && !j.cancelled {
+	if tr.ExitReason == api.JobDone && !j.cancelled {
 		m.cacheImage(j.spec.Image, j.spec.ImageGB)
 		c.taskSucceeded(j, m)
 		c.changeTask(j, n, taskRecord{taskDone, attempt, ""})
@@ -68,9 +68,9 @@
 	// Its worker still holds this attempt, so it must not be used again.
 	j.attemptSpoiled = j.placedTasks > 0
 	switch tr.ExitReason {
-	case wire.ExitFailed:
+	case api.ExitFailed:
 		c.taskFailed(j, m, tr.Task)
-	case wire.ExitNoRoom, wire.ExitBusy, wire.ExitNoSuch:
+	case api.ExitNoRoom, api.ExitBusy, api.ExitNoSuch:
 		t.notBefore = c.now + 3*Second
 		c.logInfo("start refused", "task", tr.Task, "machine", m.name, "why", tr.ExitReason)
 	}
@@ -95,7 +95,7 @@
 		t.graceS = j.spec.CheckpointSaveS + 1
 	}
 	c.logInfo("task told to stop", "job", j.id, "machine", t.machine, "why", why)
-	if j.spec.Kind == wire.Gang {
+	if j.spec.Kind == api.Gang {
 		// An orderly stop reaches all of a gang at once.
 		for _, n := range j.chunkIndexes() {
 			for i := range j.chunks[n] {
@@ -116,7 +116,7 @@
 
 // mayStartOn tells whether a job's committed tasks here may be started.
 func (c *Controller) mayStartOn(m *machine, j *job) bool {
-	return c.mayStartTasks() && m.tokenConfirmed && !m.record.Condemned && m.interruptionAt == 0 && (j.spec.Kind != wire.Gang || c.gangCommitted(j))
+	return c.mayStartTasks() && m.tokenConfirmed && !m.record.Condemned && m.interruptionAt == 0 && (j.spec.Kind != api.Gang || c.gangCommitted(j))
 }
 
 // releaseTasksWithoutMachine takes tasks off machines that have no record: a record goes only
--- a/internal/core/txn.go
+++ b/internal/core/txn.go
@@ -1,15 +1,15 @@
 package core
 
 import (
-	"spurmoor/internal/duty"
-	"spurmoor/internal/wire"
+	"spurmoor/internal/api"
+	"spurmoor/internal/leadership"
 )
 
 // transaction is a conditional transaction that is repeated until its outcome is
 // known.
 type transaction struct {
-	request     wire.Transaction
-	grant       func() duty.Grant // each time that it is sent
+	request     api.Transaction
+	grant       func() leadership.Grant // each time that it is sent
 	settled     bool
 	nextSendAt  int64
 	inFlight    bool
@@ -26,13 +26,13 @@
 // sendTransaction sends a transaction, if it is permitted now.
 func (c *Controller) sendTransaction(t *transaction) {
 	grant := t.grant()
-	if grant.Check(duty.Write, c.now) != "" {
+	if grant.Check(leadership.Write, c.now) != "" {
 		t.nextSendAt = c.now + grantRetryInterval
 		return
 	}
 	t.inFlight = true
 	t.attempts++
-	c.callStore(StoreCall{Op: OpTransaction, Transaction: duty.NewOrder(grant, &t.request)}, func(r *StoreReply) {
+	c.callStore(StoreCall{Op: OpTransaction, Transaction: leadership.NewOrder(grant, &t.request)}, func(r *StoreReply) {
 		t.inFlight = false
 		if t.settled {
 			return
--- a/internal/core/urgency.go
+++ b/internal/core/urgency.go
@@ -1,15 +1,15 @@
 package core
 
 import (
-	"spurmoor/internal/sched"
-	"spurmoor/internal/wire"
+	"spurmoor/internal/api"
+	"spurmoor/internal/scheduler"
 )
 
 // urgency is what a job is ranked by: its own priority and deadline, or those of
 // the most urgent job that needs it.
 type urgency struct {
 	tier     int
-	deadline sched.Deadline
+	deadline scheduler.Deadline
 }
 
 // computeUrgencies works out every job's, by the replica.
@@ -21,9 +21,9 @@
 		if u, ok := c.urgencies[j.id]; ok {
 			return u
 		}
-		u := urgency{tier: wire.Tier(j.spec.Priority)}
+		u := urgency{tier: api.Tier(j.spec.Priority)}
 		if j.spec.DeadlineS > 0 {
-			u.deadline = sched.Deadline{SubmittedAt: j.acceptedAt, WithinS: j.spec.DeadlineS, Class: j.spec.Class}
+			u.deadline = scheduler.Deadline{SubmittedAt: j.acceptedAt, WithinS: j.spec.DeadlineS, Class: j.spec.Class}
 		}
 		if n := c.dependencies[j.id]; n != nil {
 			for _, d := range n.dependents {
@@ -62,5 +62,5 @@
 	if u, ok := c.urgencies[j.id]; ok {
 		return u.tier
 	}
-	return wire.Tier(j.spec.Priority)
+	return api.Tier(j.spec.Priority)
 }
--- a/internal/core/users.go
+++ b/internal/core/users.go
@@ -3,9 +3,9 @@
 import (
 	"slices"
 
-	"spurmoor/internal/duty"
-	"spurmoor/internal/sched"
-	"spurmoor/internal/wire"
+	"spurmoor/internal/api"
+	"spurmoor/internal/leadership"
+	"spurmoor/internal/scheduler"
 )
 
 // lookupResult is what is known of a job.
@@ -27,27 +27,27 @@
 
 // lookUpJob tells a job's state, no older than any that was told before: a
 // final one from memory, any other after a read begun now.
-func (c *Controller) lookUpJob(id string, f func(lookupResult, wire.JobStatus)) {
+func (c *Controller) lookUpJob(id string, f func(lookupResult, api.JobStatus)) {
 	final := func(rec terminalRecord) {
 		zero := 0
-		f(jobKnown, wire.JobStatus{ID: id, State: rec.State, Done: &rec.DoneTasks, Running: &zero})
+		f(jobKnown, api.JobStatus{ID: id, State: rec.State, Done: &rec.DoneTasks, Running: &zero})
 	}
 	if rec, ok := c.terminalStates.records[id]; ok {
 		final(rec)
 		return
 	}
-	if !wire.ValidID(id) {
-		f(jobNeverAccepted, wire.JobStatus{})
+	if !api.ValidID(id) {
+		f(jobNeverAccepted, api.JobStatus{})
 		return
 	}
 	c.readLatest(func(ok bool) {
 		if !ok {
-			f(lookupUnknown, wire.JobStatus{})
+			f(lookupUnknown, api.JobStatus{})
 			return
 		}
 		if j := c.jobs[id]; j != nil && !j.terminal {
 			if j.unknownDependencies > 0 && !j.hasStarted() && !j.cancelled {
-				f(lookupUnknown, wire.JobStatus{}) // perhaps it is withdrawn
+				f(lookupUnknown, api.JobStatus{}) // perhaps it is withdrawn
 				return
 			}
 			f(jobKnown, j.status())
@@ -58,21 +58,21 @@
 				final(c.terminalStates.records[id])
 				return
 			}
-			f(found, wire.JobStatus{})
+			f(found, api.JobStatus{})
 		})
 	})
 }
 
-func (j *job) status() wire.JobStatus {
-	state := wire.JobPending
+func (j *job) status() api.JobStatus {
+	state := api.JobPending
 	switch {
 	case j.cancelled:
-		state = wire.JobCancelled
+		state = api.JobCancelled
 	case j.placedTasks > 0:
-		state = wire.JobRunning
+		state = api.JobRunning
 	}
 	d, r := j.doneTasks, j.placedTasks
-	return wire.JobStatus{ID: j.id, State: state, Done: &d, Running: &r}
+	return api.JobStatus{ID: j.id, State: state, Done: &d, Running: &r}
 }
 
 // refusal is why a submission is not accepted, and when to try again.
@@ -90,9 +90,9 @@
 const storeUnavailableAfter = 2 * Second
 
 func (c *Controller) handleSubmit(v Submit) {
-	spec, err := wire.ParseJob(v.Body)
+	spec, err := api.ParseJob(v.Body)
 	if err != nil {
-		c.answerDuplicateOrRefuse(v.RequestID, wire.JobID(v.Body), refusal{400, err.Error(), 0})
+		c.answerDuplicateOrRefuse(v.RequestID, api.JobID(v.Body), refusal{400, err.Error(), 0})
 		return
 	}
 	if !c.synced {
@@ -116,7 +116,7 @@
 
 // admissionRefusal says why a submission is not accepted whatever the state service
 // answers; nil if it may be.
-func (c *Controller) admissionRefusal(spec *wire.Job) *refusal {
+func (c *Controller) admissionRefusal(spec *api.Job) *refusal {
 	if len(c.machineTypes) == 0 {
 		return &refusal{503, "the machine types are not known yet", 2}
 	}
@@ -139,7 +139,7 @@
 
 // submitWithDependencies accepts a job that waits for others, once all of those are known
 // to have been accepted.
-func (c *Controller) submitWithDependencies(reqID uint64, spec *wire.Job) {
+func (c *Controller) submitWithDependencies(reqID uint64, spec *api.Job) {
 	if slices.Contains(spec.Dependencies, spec.ID) {
 		c.answerDuplicateOrRefuse(reqID, spec.ID, refusal{422, "the job waits for itself", 0})
 		return
@@ -172,34 +172,34 @@
 }
 
 // withoutDependencies gives a job without what it needs.
-func withoutDependencies(spec wire.Job) wire.Job {
+func withoutDependencies(spec api.Job) api.Job {
 	spec.Dependencies = nil
 	return spec
 }
 
 // recordJob records a job, and tells its user once that is durable.
-func (c *Controller) recordJob(reqID uint64, rec []byte, spec *wire.Job) {
+func (c *Controller) recordJob(reqID uint64, rec []byte, spec *api.Job) {
 	c.acceptsInFlight++
 	c.chargeWrites(1)
-	req := &wire.Transaction{Compares: []wire.Compare{{Key: jobKey + spec.ID}, {Key: terminalKey + spec.ID}},
-		Writes: []wire.Write{{Put: jobKey + spec.ID, Value: rec}}}
+	req := &api.Transaction{Compares: []api.Compare{{Key: jobKey + spec.ID}, {Key: terminalKey + spec.ID}},
+		Writes: []api.Write{{Put: jobKey + spec.ID, Value: rec}}}
 	sent := c.now
-	c.callStore(StoreCall{Op: OpTransaction, Transaction: duty.NewOrder(duty.SharedGrant(duty.ForUser, duty.Write), req)}, func(r *StoreReply) {
+	c.callStore(StoreCall{Op: OpTransaction, Transaction: leadership.NewOrder(leadership.SharedGrant(leadership.ForUser, leadership.Write), req)}, func(r *StoreReply) {
 		c.acceptsInFlight--
 		switch r.Status {
 		case 200:
 			c.applyOwnWrite(jobKey+spec.ID, rec, r.Transaction.Revision)
 			if len(spec.Dependencies) == 0 && c.now < sent+maxReadAge {
-				c.answer(reqID, 201, wire.JobStatus{ID: spec.ID, State: wire.JobPending})
+				c.answer(reqID, 201, api.JobStatus{ID: spec.ID, State: api.JobPending})
 				return
 			}
 			// It, or what it needs, may have been cancelled meanwhile, told by another.
-			c.lookUpJob(spec.ID, func(f lookupResult, s wire.JobStatus) {
+			c.lookUpJob(spec.ID, func(f lookupResult, s api.JobStatus) {
 				if f != jobKnown {
 					c.refuse(reqID, 503, "the state service did not answer", 1)
 					return
 				}
-				c.answer(reqID, 201, wire.JobStatus{ID: spec.ID, State: s.State})
+				c.answer(reqID, 201, api.JobStatus{ID: spec.ID, State: s.State})
 			})
 		case 409:
 			c.answerDuplicateOrRefuse(reqID, spec.ID, refusal{503, "the state service is busy", 1})
@@ -216,7 +216,7 @@
 		c.refuse(req, r.status, r.reason, r.retryAfterS)
 		return
 	}
-	c.lookUpJob(id, func(f lookupResult, s wire.JobStatus) {
+	c.lookUpJob(id, func(f lookupResult, s api.JobStatus) {
 		switch f {
 		case jobKnown:
 			c.answer(req, 200, s)
@@ -229,26 +229,26 @@
 }
 
 // neverSchedulable says why a job can never run.
-func (c *Controller) neverSchedulable(j *wire.Job) string {
+func (c *Controller) neverSchedulable(j *api.Job) string {
 	if _, ok := c.settings.TeamPartition[j.Team]; !ok {
 		return "unknown team"
 	}
-	need := sched.ResourcesOf(j.CPUs, j.GPUs, j.MemoryGB)
+	need := scheduler.ResourcesOf(j.CPUs, j.GPUs, j.MemoryGB)
 	fits := false
 	for _, t := range c.machineTypes {
 		for _, z := range t.Zones {
-			fits = fits || sched.Allowed(j, t.Name, z, false) && sched.ResourcesOf(t.CPUs, t.GPUs, t.MemoryGB).Fits(need)
+			fits = fits || scheduler.Allowed(j, t.Name, z, false) && scheduler.ResourcesOf(t.CPUs, t.GPUs, t.MemoryGB).Fits(need)
 		}
 	}
 	if !fits {
 		return "a task fits no allowed machine type"
 	}
 	n := 1
-	if j.Kind != wire.Array {
+	if j.Kind != api.Array {
 		n = j.Tasks
 	}
 	for _, t := range c.settings.Deployment.Teams {
-		limit := sched.ResourcesOf(t.MaxCPUs, t.MaxGPUs, 0)
+		limit := scheduler.ResourcesOf(t.MaxCPUs, t.MaxGPUs, 0)
 		if t.Name == j.Team && (limit.CPU > 0 && need.CPU*int64(n) > limit.CPU || limit.GPU > 0 && need.GPU*int64(n) > limit.GPU) {
 			return "the job needs more than the team's limit"
 		}
@@ -257,7 +257,7 @@
 }
 
 func (c *Controller) handleStatus(v GetStatus) {
-	c.lookUpJob(v.ID, func(f lookupResult, s wire.JobStatus) {
+	c.lookUpJob(v.ID, func(f lookupResult, s api.JobStatus) {
 		switch f {
 		case jobKnown:
 			c.answer(v.RequestID, 200, s)
@@ -273,29 +273,29 @@
 
 func (c *Controller) tryCancel(v Cancel, tries int) {
 	away := func() { c.refuse(v.RequestID, 503, "the state service did not answer", 1) }
-	c.lookUpJob(v.ID, func(f lookupResult, s wire.JobStatus) {
+	c.lookUpJob(v.ID, func(f lookupResult, s api.JobStatus) {
 		j := c.jobs[v.ID]
 		switch {
 		case f == jobNeverAccepted:
 			c.refuse(v.RequestID, 404, "no such job", 0)
 		case f == lookupUnknown:
 			away()
-		case s.State == wire.JobDone || s.State == wire.JobCancelled:
-			c.answer(v.RequestID, 200, wire.JobStatus{ID: v.ID, State: s.State})
+		case s.State == api.JobDone || s.State == api.JobCancelled:
+			c.answer(v.RequestID, 200, api.JobStatus{ID: v.ID, State: s.State})
 		case j == nil || tries == 0:
 			away()
 		default:
 			// Nobody asks any more what a cancelled job needed.
 			rec := mustMarshal(jobRecord{Spec: withoutDependencies(j.spec), AcceptedAt: j.acceptedAt, Cancelled: true})
-			req := &wire.Transaction{Compares: []wire.Compare{{Key: jobKey + j.id, Version: j.version}},
-				Writes: []wire.Write{{Put: jobKey + j.id, Value: rec}}}
+			req := &api.Transaction{Compares: []api.Compare{{Key: jobKey + j.id, Version: j.version}},
+				Writes: []api.Write{{Put: jobKey + j.id, Value: rec}}}
 			c.chargeWrites(1)
-			c.callStore(StoreCall{Op: OpTransaction, Transaction: duty.NewOrder(duty.SharedGrant(duty.ForUser, duty.Write), req)}, func(r *StoreReply) {
+			c.callStore(StoreCall{Op: OpTransaction, Transaction: leadership.NewOrder(leadership.SharedGrant(leadership.ForUser, leadership.Write), req)}, func(r *StoreReply) {
 				switch r.Status {
 				case 200:
 					c.applyOwnWrite(jobKey+v.ID, rec, r.Transaction.Revision)
 					c.notifyCancelled(v.ID)
-					c.answer(v.RequestID, 200, wire.JobStatus{ID: v.ID, State: wire.JobCancelled})
+					c.answer(v.RequestID, 200, api.JobStatus{ID: v.ID, State: api.JobCancelled})
 				case 409:
 					c.tryCancel(v, tries-1)
 				default:
@@ -313,5 +313,5 @@
 		c.refuse(v.RequestID, 503, string(c.currentCondition()), 1)
 		return
 	}
-	c.answer(v.RequestID, 200, wire.Readiness{Condition: string(c.currentCondition())})
+	c.answer(v.RequestID, 200, api.Readiness{Condition: string(c.currentCondition())})
 }
--- a/internal/core/view.go
+++ b/internal/core/view.go
@@ -4,25 +4,25 @@
 	"cmp"
 	"slices"
 
-	"spurmoor/internal/sched"
+	"spurmoor/internal/api"
+	"spurmoor/internal/scheduler"
 	"spurmoor/internal/settings"
-	"spurmoor/internal/wire"
 )
 
 // snapshotBuilder shows one partition to the planner.
 type snapshotBuilder struct {
 	*Controller
 	partition       *partition
-	snapshot        *sched.Snapshot
+	snapshot        *scheduler.Snapshot
 	jobs            map[string]*job
-	schedulerJobs   map[string]*sched.Job
+	schedulerJobs   map[string]*scheduler.Job
 	partitionPrices []float64 // of the machines that each partition has
 }
 
 // snapshotFor shows a partition to the planner.
-func (c *Controller) snapshotFor(p *partition) (*sched.Snapshot, map[string]*job) {
-	v := &snapshotBuilder{Controller: c, partition: p, jobs: map[string]*job{}, schedulerJobs: map[string]*sched.Job{}, partitionPrices: make([]float64, len(c.partitions)),
-		snapshot: &sched.Snapshot{Now: c.now, MachineTypes: c.machineTypes, Quotas: map[string]*sched.Quota{}, UnavailableKinds: map[sched.InstanceKind]bool{}, Operators: &c.settings.Operators, Objectives: map[string][]settings.Objective{}}}
+func (c *Controller) snapshotFor(p *partition) (*scheduler.Snapshot, map[string]*job) {
+	v := &snapshotBuilder{Controller: c, partition: p, jobs: map[string]*job{}, schedulerJobs: map[string]*scheduler.Job{}, partitionPrices: make([]float64, len(c.partitions)),
+		snapshot: &scheduler.Snapshot{Now: c.now, MachineTypes: c.machineTypes, Quotas: map[string]*scheduler.Quota{}, UnavailableKinds: map[scheduler.InstanceKind]bool{}, Operators: &c.settings.Operators, Objectives: map[string][]settings.Objective{}}}
 	v.addSettings()
 	v.addJobs()
 	for _, m := range c.machines {
@@ -64,7 +64,7 @@
 			continue
 		}
 		sj := v.schedulerJob(j)
-		restarting := j.spec.Kind == wire.Gang && j.placedTasks > 0 && !j.isReassembling()
+		restarting := j.spec.Kind == api.Gang && j.placedTasks > 0 && !j.isReassembling()
 		if v.now >= j.notBefore && !restarting {
 			sj.PendingTasks = len(j.placeable(v.now, v.placeableTasks(j)))
 		}
@@ -106,7 +106,7 @@
 }
 
 // fillOtherPartitions shows another partition's machine; it tells whether that is any use.
-func (v *snapshotBuilder) fillOtherPartitions(m *machine, sm *sched.Machine) bool {
+func (v *snapshotBuilder) fillOtherPartitions(m *machine, sm *scheduler.Machine) bool {
 	switch {
 	case v.isBorrowable(m.name):
 		sm.Borrowable, sm.ReadyAt = true, v.now+2*Second
@@ -131,7 +131,7 @@
 }
 
 // fillOwn shows a machine of the partition; it tells whether it has room, or will have.
-func (v *snapshotBuilder) fillOwn(m *machine, sm *sched.Machine) bool {
+func (v *snapshotBuilder) fillOwn(m *machine, sm *scheduler.Machine) bool {
 	if m.recordChangePending() || m.moveToPartition >= 0 {
 		return false
 	}
@@ -155,26 +155,26 @@
 
 // addPendingMachines shows the machines that were asked for and are not recorded yet.
 func (v *snapshotBuilder) addPendingMachines() {
-	kinds := make([]sched.InstanceKind, 0, len(v.partition.pendingMachines))
+	kinds := make([]scheduler.InstanceKind, 0, len(v.partition.pendingMachines))
 	for k := range v.partition.pendingMachines {
 		kinds = append(kinds, k)
 	}
-	slices.SortFunc(kinds, func(a, b sched.InstanceKind) int { return cmp.Compare(kindName(a).String(), kindName(b).String()) })
+	slices.SortFunc(kinds, func(a, b scheduler.InstanceKind) int { return cmp.Compare(kindName(a).String(), kindName(b).String()) })
 	for _, k := range kinds {
 		t := v.machineTypeByName[k.Type]
 		if t == nil {
 			continue
 		}
-		total := sched.ResourcesOf(t.CPUs, t.GPUs, t.MemoryGB)
+		total := scheduler.ResourcesOf(t.CPUs, t.GPUs, t.MemoryGB)
 		for range v.partition.pendingMachines[k] {
-			v.snapshot.Machines = append(v.snapshot.Machines, &sched.Machine{Type: t, Zone: k.Zone, Spot: k.Spot, Total: total, Free: total, ReadyAt: v.now + secs(t.BootS)})
+			v.snapshot.Machines = append(v.snapshot.Machines, &scheduler.Machine{Type: t, Zone: k.Zone, Spot: k.Spot, Total: total, Free: total, ReadyAt: v.now + secs(t.BootS)})
 		}
 	}
 }
 
 // schedulerJob shows a job to the planner.
-func (c *Controller) schedulerJob(j *job) *sched.Job {
-	sj := &sched.Job{ID: j.id, Spec: &j.spec, Request: j.request, Tier: c.effectiveTier(j), EligibleAt: j.eligibleAt(), Deadline: c.urgencies[j.id].deadline, TasksPerZone: map[string]int{}, FailedMachines: j.failedMachines,
+func (c *Controller) schedulerJob(j *job) *scheduler.Job {
+	sj := &scheduler.Job{ID: j.id, Spec: &j.spec, Request: j.request, Tier: c.effectiveTier(j), EligibleAt: j.eligibleAt(), Deadline: c.urgencies[j.id].deadline, TasksPerZone: map[string]int{}, FailedMachines: j.failedMachines,
 		Deprioritized: c.deprioritized(j), Started: j.hasStarted()}
 	for z, n := range j.tasksPerZone {
 		sj.TasksPerZone[z] = n
@@ -183,9 +183,9 @@
 }
 
 // schedulerMachine shows a machine to the planner, without what runs on it.
-func (c *Controller) schedulerMachine(m *machine) *sched.Machine {
-	total := sched.ResourcesOf(m.machineType.CPUs, m.machineType.GPUs, m.machineType.MemoryGB)
-	return &sched.Machine{Name: m.name, Type: m.machineType, Zone: m.record.Zone, Spot: m.record.Spot, Total: total, Free: total.Add(m.allocated, -1), ClaimedBy: m.claimedBy}
+func (c *Controller) schedulerMachine(m *machine) *scheduler.Machine {
+	total := scheduler.ResourcesOf(m.machineType.CPUs, m.machineType.GPUs, m.machineType.MemoryGB)
+	return &scheduler.Machine{Name: m.name, Type: m.machineType, Zone: m.record.Zone, Spot: m.record.Spot, Total: total, Free: total.Add(m.allocated, -1), ClaimedBy: m.claimedBy}
 }
 
 // contactTimeout is how long ago a machine may have been heard to be given work.
@@ -222,15 +222,15 @@
 }
 
 // addAllocations shows the planner what runs on a machine.
-func (c *Controller) addAllocations(sm *sched.Machine, m *machine, shown map[string]*sched.Job) {
+func (c *Controller) addAllocations(sm *scheduler.Machine, m *machine, shown map[string]*scheduler.Job) {
 	for _, id := range m.taskIDsCopy() {
 		j := c.jobs[id.job]
 		t := j.task(id.index)
 		sj := shown[id.job]
 		if sj == nil && !j.cancelled {
-			sj = &sched.Job{ID: id.job, Spec: &j.spec, Request: j.request, Tier: c.effectiveTier(j)}
+			sj = &scheduler.Job{ID: id.job, Spec: &j.spec, Request: j.request, Tier: c.effectiveTier(j)}
 		}
-		u := sched.Allocation{Job: sj, TaskIndex: id.index, Request: j.request, ExpectedEnd: c.now + 3*Second}
+		u := scheduler.Allocation{Job: sj, TaskIndex: id.index, Request: j.request, ExpectedEnd: c.now + 3*Second}
 		if sj != nil {
 			u.ExpectedEnd, u.LostWork, u.Stopping, u.StartedRecently = c.expectedTaskEnd(j, t, m), c.lostWork(j, t), t.stopRequestedAt > 0, c.startedRecently(t)
 		}
@@ -244,7 +244,7 @@
 	for k := 0; k*chunkSize < j.spec.Tasks; k++ {
 		ch := j.chunks[k]
 		for n := k * chunkSize; n < min(j.spec.Tasks, (k+1)*chunkSize); n++ {
-			if len(list) >= most && j.spec.Kind != wire.Gang {
+			if len(list) >= most && j.spec.Kind != api.Gang {
 				return list
 			}
 			if ch == nil {
@@ -256,18 +256,18 @@
 	}
 	// A gang starts whole; but once one of its tasks is done all are, and what
 	// a lost machine could not report any more is only asked for again.
-	if j.spec.Kind == wire.Gang && len(list)+j.doneTasks < j.spec.Tasks && !j.isReassembling() {
+	if j.spec.Kind == api.Gang && len(list)+j.doneTasks < j.spec.Tasks && !j.isReassembling() {
 		return nil
 	}
 	return list
 }
 
 // schedulerTeam shows a team to the planner.
-func (c *Controller) schedulerTeam(name string) *sched.Quota {
+func (c *Controller) schedulerTeam(name string) *scheduler.Quota {
 	for _, t := range c.settings.Deployment.Teams {
 		if t.Name == name {
-			return &sched.Quota{Used: *c.teamUsage[name], Guaranteed: sched.ResourcesOf(t.GuaranteedCPUs, t.GuaranteedGPUs, 0), Limit: sched.ResourcesOf(t.MaxCPUs, t.MaxGPUs, 0)}
+			return &scheduler.Quota{Used: *c.teamUsage[name], Guaranteed: scheduler.ResourcesOf(t.GuaranteedCPUs, t.GuaranteedGPUs, 0), Limit: scheduler.ResourcesOf(t.MaxCPUs, t.MaxGPUs, 0)}
 		}
 	}
-	return &sched.Quota{}
+	return &scheduler.Quota{}
 }
--- a/internal/duty/grant.go
+++ b/internal/leadership/grant.go
@@ -1,4 +1,4 @@
-package duty
+package leadership
 
 import "sync/atomic"
 
--- a/internal/duty/lease.go
+++ b/internal/leadership/lease.go
@@ -1,4 +1,4 @@
-package duty
+package leadership
 
 // maxDriftPPM is how far, in millionths, the steady clocks of two machines may run
 // apart: 0.05%.
--- a/internal/duty/duty.go
+++ b/internal/leadership/role.go
@@ -1,9 +1,9 @@
-// Package duty says what only one controller at a time may do, who does it, under
+// Package leadership says what only one controller at a time may do, who does it, under
 // which term and until when, and what an order made under a duty must carry.
 //
 // It is pure: it reads no clock and does no input or output. All times are whole
 // microseconds of the holder's own steady clock.
-package duty
+package leadership
 
 import (
 	"fmt"
--- a/internal/duty/holding.go
+++ b/internal/leadership/state.go
@@ -1,4 +1,4 @@
-package duty
+package leadership
 
 // Claim is what a holder writes under a duty's key: the node, and the process among
 // all that ever bore its name.
--- a/internal/sched/place.go
+++ b/internal/scheduler/placement.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"cmp"
@@ -6,7 +6,7 @@
 	"math"
 	"slices"
 
-	"spurmoor/internal/wire"
+	"spurmoor/internal/api"
 )
 
 // perZone is how many more of the job's tasks a zone may take.
@@ -38,7 +38,7 @@
 		if !m.HasImage(j.Spec.Image) {
 			end += p.fetch(j, m.Type)
 		}
-		return j.Spec.Kind != wire.Service && end <= at
+		return j.Spec.Kind != api.Service && end <= at
 	}
 	return true
 }
@@ -68,9 +68,9 @@
 // place starts what fits of a job and tells how many tasks lack room.
 func (p *planner) place(j *Job) int {
 	want := min(j.PendingTasks, p.limitAllows(j))
-	if j.Spec.Kind == wire.Gang && want < j.PendingTasks || want == 0 {
+	if j.Spec.Kind == api.Gang && want < j.PendingTasks || want == 0 {
 		p.plan.BlockedReasons[j.ID] = "the team's limit is used up"
-		if t := p.Quotas[j.Spec.Team]; t != nil && j.Spec.Kind == wire.Gang && !j.Deprioritized && t.reserved == (Resources{}) {
+		if t := p.Quotas[j.Spec.Team]; t != nil && j.Spec.Kind == api.Gang && !j.Deprioritized && t.reserved == (Resources{}) {
 			// Exception: what a team's limit leaves is reserved like machines, for
 			// the first of its gangs. Single tasks of the team took each piece as it
 			// came, and its gangs waited for minutes, or for ever.
@@ -78,14 +78,14 @@
 		}
 		return 0
 	}
-	if j.Spec.Kind == wire.Gang {
+	if j.Spec.Kind == api.Gang {
 		if p.placeGang(j) {
 			return 0
 		}
 		p.plan.BlockedReasons[j.ID] = "no room for the whole gang at once"
 		return j.PendingTasks
 	}
-	if j.Spec.Kind == wire.Array {
+	if j.Spec.Kind == api.Array {
 		want = p.fill(j, want)
 	} else {
 		for m := p.pick(j); m != nil && want > 0; want-- {
@@ -126,7 +126,7 @@
 // tasks fill: cheap kinds first, then a cached image, then the tightest room.
 func (p *planner) key(j *Job, m *Machine) [4]int64 {
 	var k [4]int64
-	if j.Spec.Kind == wire.Service {
+	if j.Spec.Kind == api.Service {
 		k[0] = int64(j.TasksPerZone[m.Zone])
 	}
 	if !m.HasImage(j.Spec.Image) {
@@ -274,7 +274,7 @@
 	}
 	m.sortUses()
 	for _, u := range m.Allocations {
-		if u.Job != nil && u.Job.Spec.Kind == wire.Service {
+		if u.Job != nil && u.Job.Spec.Kind == api.Service {
 			continue
 		}
 		free = free.Add(u.Request, 1)
@@ -338,7 +338,7 @@
 		_, taken := p.reserved[m]
 		return !m.Borrowable && !m.OtherPartition && (!taken || m.Reservation != nil && m.Reservation.Job == j)
 	})
-	if j.Spec.Kind == wire.Gang {
+	if j.Spec.Kind == api.Gang {
 		p.gangs++
 	}
 	for _, s := range set {
--- a/internal/sched/evict.go
+++ b/internal/scheduler/preemption.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"cmp"
@@ -6,17 +6,17 @@
 	"math"
 	"slices"
 
-	"spurmoor/internal/wire"
+	"spurmoor/internal/api"
 )
 
 // ownTier is a job's tier without what was lent to it.
-func (j *Job) ownTier() int { return wire.Tier(j.Spec.Priority) }
+func (j *Job) ownTier() int { return api.Tier(j.Spec.Priority) }
 
 // lentMay tells whether a priority that was lent to j may stop u: tasks of
 // arrays only, that run for a while. Gangs that a pipeline needed put out others
 // of their own sort, one of them ten times.
 func (j *Job) lentMay(u Allocation) bool {
-	return u.Job.Tier < j.Tier && u.Job.Spec.Kind == wire.Array && !u.StartedRecently
+	return u.Job.Tier < j.Tier && u.Job.Spec.Kind == api.Array && !u.StartedRecently
 }
 
 // mayStop tells whether PROTOCOL permits stopping u for j.
@@ -161,7 +161,7 @@
 // one task of another job; nil where there are not enough.
 func (p *planner) clearings(j *Job, taken map[*Machine]bool) []clearing {
 	need := 1
-	if j.Spec.Kind == wire.Gang {
+	if j.Spec.Kind == api.Gang {
 		need = j.PendingTasks
 	}
 	byZone := map[string][]clearing{}
--- a/internal/sched/rank.go
+++ b/internal/scheduler/ranking.go
@@ -1,11 +1,11 @@
-package sched
+package scheduler
 
 import (
 	"cmp"
 	"math"
 	"slices"
 
-	"spurmoor/internal/wire"
+	"spurmoor/internal/api"
 )
 
 // rank sorts the jobs by the design's weighted sum.
@@ -86,7 +86,7 @@
 		w.ZoneFit*r.zoneFit(j) + w.Readiness*r.readiness(j) + w.Backlog*r.backlog
 	score -= r.Operators.LatePenalty * r.outOfReach(j)
 	score -= r.Operators.LargePenalty * r.backlog * r.large(j, r.total, r.typical)
-	if j.Spec.Kind != wire.Array && r.due(j) {
+	if j.Spec.Kind != api.Array && r.due(j) {
 		score += dueBonus
 	}
 	if j.Deprioritized {
@@ -201,7 +201,7 @@
 func (p *planner) typicalDrain(part Resources) float64 {
 	sum, n := 0.0, 0.0
 	for _, j := range p.Jobs {
-		if j.Spec.Kind == wire.Array && j.PendingTasks > 0 {
+		if j.Spec.Kind == api.Array && j.PendingTasks > 0 {
 			sum += j.drain(part)
 			n++
 		}
@@ -214,7 +214,7 @@
 // more waits than fits, what is served in the order of its arrival is late for
 // all; where those that ask for least go first, most are in time.
 func (p *planner) large(j *Job, part Resources, typical float64) float64 {
-	if j.Spec.Kind != wire.Array || typical <= 0 {
+	if j.Spec.Kind != api.Array || typical <= 0 {
 		return 0
 	}
 	waited := float64(p.Now-j.EligibleAt) / float64(Second) / (4 * p.Operators.BeginWithinS)
--- a/internal/sched/reservation.go
+++ b/internal/scheduler/reservation.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"cmp"
@@ -6,7 +6,7 @@
 	"math"
 	"slices"
 
-	"spurmoor/internal/wire"
+	"spurmoor/internal/api"
 )
 
 // AdvanceReservation says for which job a machine is kept until it is empty, and when
@@ -97,7 +97,7 @@
 		switch {
 		case u.Job != nil && u.Job.Tier < j.ownTier():
 			at = max(at, min(u.ExpectedEnd, now+PreemptionTime))
-		case u.Job != nil && u.Job.Spec.Kind == wire.Service:
+		case u.Job != nil && u.Job.Spec.Kind == api.Service:
 			return math.MaxInt64
 		default:
 			at = max(at, u.ExpectedEnd)
--- a/internal/sched/rent.go
+++ b/internal/scheduler/scaleout.go
@@ -1,10 +1,10 @@
-package sched
+package scheduler
 
 import (
 	"math"
 	"slices"
 
-	"spurmoor/internal/wire"
+	"spurmoor/internal/api"
 )
 
 // ReasonNothingToLaunch is why a job waits that nothing can be rented for.
@@ -54,7 +54,7 @@
 		j.zone = d.rentZone(j)
 	}
 	left := j.blocked
-	if j.Spec.Kind == wire.Array {
+	if j.Spec.Kind == api.Array {
 		left = min(left, d.most(tasksToServe))
 	} // a gang or service needs room for all
 	kind, typ := d.cheapest(j, left, d.rent)
@@ -77,7 +77,7 @@
 
 // limit is until when a job may wait for room on a machine, typ being what would
 // be rented for it.
-func (d *demand) limit(j *Job, m *Machine, typ *wire.MachineType) int64 {
+func (d *demand) limit(j *Job, m *Machine, typ *api.MachineType) int64 {
 	if typ == nil {
 		return d.far
 	}
@@ -133,7 +133,7 @@
 const rentBatch = 50
 
 // rentFor rents machines for up to left tasks of a job, and gives for how many.
-func (d *demand) rentFor(j *Job, kind InstanceKind, typ *wire.MachineType, left int) int {
+func (d *demand) rentFor(j *Job, kind InstanceKind, typ *api.MachineType, left int) int {
 	full := ResourcesOf(typ.CPUs, typ.GPUs, typ.MemoryGB)
 	fit := full.Multiples(j.Request)
 	n := min((left+fit-1)/fit, d.most(machinesToRent)-d.total, max(1, rentBatch-d.rent[kind]%rentBatch))
@@ -182,7 +182,7 @@
 	if m.OtherPartition && !m.LentOut && m.ClaimedBy != j.ID || !p.couldRun(j, m) {
 		return false
 	}
-	return j.Spec.Kind != wire.Gang || m.Free.Fits(j.Request) || // else its own mates wait there for it
+	return j.Spec.Kind != api.Gang || m.Free.Fits(j.Request) || // else its own mates wait there for it
 		!slices.ContainsFunc(m.Allocations, func(u Allocation) bool { return u.Job == j && u.TaskIndex >= 0 })
 }
 
@@ -197,7 +197,7 @@
 
 // latest is when a task must start there at the latest to be early enough for
 // what its owner expects.
-func (p *planner) latest(j *Job, t *wire.MachineType) int64 {
+func (p *planner) latest(j *Job, t *api.MachineType) int64 {
 	if j.Deadline.WithinS <= 0 {
 		return 0
 	}
@@ -250,9 +250,9 @@
 
 // cheapest chooses what to rent: the lowest price for each task that the
 // machine would hold of this demand.
-func (p *planner) cheapest(j *Job, n int, asked map[InstanceKind]int) (InstanceKind, *wire.MachineType) {
+func (p *planner) cheapest(j *Job, n int, asked map[InstanceKind]int) (InstanceKind, *api.MachineType) {
 	var best InstanceKind
-	var typ *wire.MachineType
+	var typ *api.MachineType
 	least, floor, price := math.Inf(1), math.Inf(1), 0.0
 	for i := range p.MachineTypes {
 		t := &p.MachineTypes[i]
@@ -288,7 +288,7 @@
 }
 
 // kinds lists the kinds of a type that a job may use.
-func (p *planner) kinds(j *Job, t *wire.MachineType) []InstanceKind {
+func (p *planner) kinds(j *Job, t *api.MachineType) []InstanceKind {
 	var list []InstanceKind
 	for _, z := range t.Zones {
 		for _, spot := range []bool{true, false} {
@@ -315,5 +315,5 @@
 // without a deadline, and of a class for which the settings state no objective.
 // Such a job runs where there is room, or on cheap machines rented for it.
 func (p *planner) idleTime(j *Job) bool {
-	return j.Tier <= wire.Tier(wire.PriorityBestEffort) && j.Deadline.WithinS == 0 && len(p.Objectives[j.Spec.Class]) == 0
+	return j.Tier <= api.Tier(api.PriorityBestEffort) && j.Deadline.WithinS == 0 && len(p.Objectives[j.Spec.Class]) == 0
 }
--- a/internal/sched/sched.go
+++ b/internal/scheduler/scheduler.go
@@ -1,14 +1,14 @@
-// Package sched decides what runs where: the design's weighted ranking,
+// Package scheduler decides what runs where: the design's weighted ranking,
 // rank-order placement with a reservation and backfill, the choice of whom to
 // stop, and the demand for machines. It is pure: a View in, a Plan out.
-package sched
+package scheduler
 
 import (
 	"math"
 	"slices"
 
+	"spurmoor/internal/api"
 	"spurmoor/internal/settings"
-	"spurmoor/internal/wire"
 )
 
 // Second is one second in the whole microseconds that all times are in.
@@ -56,7 +56,7 @@
 // Machine is a machine of the partition.
 type Machine struct {
 	Name              string
-	Type              *wire.MachineType
+	Type              *api.MachineType
 	Zone              string
 	Spot              bool
 	Total             Resources
@@ -81,7 +81,7 @@
 // Job is an unfinished job of the partition.
 type Job struct {
 	ID             string
-	Spec           *wire.Job
+	Spec           *api.Job
 	Request        Resources
 	Tier           int      // that it is treated as having
 	EligibleAt     int64    // accepted, and all that it needs done
@@ -126,7 +126,7 @@
 // Snapshot is what a plan is made from.
 type Snapshot struct {
 	Now              int64
-	MachineTypes     []wire.MachineType
+	MachineTypes     []api.MachineType
 	Machines         []*Machine
 	Jobs             []*Job
 	Quotas           map[string]*Quota
@@ -170,7 +170,7 @@
 type planner struct {
 	*Snapshot
 	plan     Plan
-	types    map[string]*wire.MachineType
+	types    map[string]*api.MachineType
 	reserved map[*Machine]int64
 	resFor   map[*Machine]*Job
 	held     map[InstanceKind]int
@@ -181,7 +181,7 @@
 
 // MakePlan plans one cycle.
 func MakePlan(v *Snapshot) *Plan {
-	p := &planner{Snapshot: v, types: map[string]*wire.MachineType{}, reserved: map[*Machine]int64{}, resFor: map[*Machine]*Job{}, held: map[InstanceKind]int{}}
+	p := &planner{Snapshot: v, types: map[string]*api.MachineType{}, reserved: map[*Machine]int64{}, resFor: map[*Machine]*Job{}, held: map[InstanceKind]int{}}
 	p.plan.BlockedReasons, p.plan.ExpectedEnds = map[string]string{}, map[string]int64{}
 	p.look()
 	p.rank()
@@ -215,7 +215,7 @@
 // which it should have gets its first task placed before all else.
 func (p *planner) beginDue() {
 	for _, j := range p.Jobs {
-		if j.Spec.Kind == wire.Array && p.due(j) && min(j.PendingTasks, p.limitAllows(j)) > 0 {
+		if j.Spec.Kind == api.Array && p.due(j) && min(j.PendingTasks, p.limitAllows(j)) > 0 {
 			p.fill(j, 1)
 		}
 	}
@@ -232,14 +232,14 @@
 		if j.PendingTasks == 0 {
 			continue
 		}
-		if j.Spec.Kind == wire.Array && !first {
+		if j.Spec.Kind == api.Array && !first {
 			p.cached = true
 			p.place(j)
 			p.cached = false
 			rest = append(rest, j)
 			continue
 		}
-		first = first && j.Spec.Kind != wire.Array
+		first = first && j.Spec.Kind != api.Array
 		p.try(j)
 	}
 	for _, j := range rest {
@@ -260,18 +260,18 @@
 	// bound. Room for it comes up or frees piece by piece, and smaller jobs
 	// took each piece as it came: gangs waited for minutes for machines that
 	// the demand had counted as theirs.
-	if !j.Deprioritized && (len(p.blocked) == 0 || j.Spec.Kind == wire.Gang && p.gangs < p.most(gangsToReserve)) {
+	if !j.Deprioritized && (len(p.blocked) == 0 || j.Spec.Kind == api.Gang && p.gangs < p.most(gangsToReserve)) {
 		p.reserve(j)
 	}
 	p.blocked = append(p.blocked, j)
 }
 
 // Allowed tells whether a job may run on this type, zone and kind at all.
-func Allowed(j *wire.Job, typ, zone string, spot bool) bool {
+func Allowed(j *api.Job, typ, zone string, spot bool) bool {
 	return (j.Types == nil || slices.Contains(j.Types, typ)) && (j.Zone == "" || j.Zone == zone) && (j.Spot || !spot)
 }
 
-func (p *planner) fetch(j *Job, t *wire.MachineType) int64 {
+func (p *planner) fetch(j *Job, t *api.MachineType) int64 {
 	if t == nil || t.FetchGBs <= 0 {
 		return 0
 	}
--- a/internal/server/gate.go
+++ b/internal/server/gate.go
@@ -4,8 +4,8 @@
 	"fmt"
 
 	"spurmoor/internal/core"
-	"spurmoor/internal/duty"
 	"spurmoor/internal/history"
+	"spurmoor/internal/leadership"
 )
 
 // gate is the one place that looks at an order's grant, against the clock, right
@@ -20,18 +20,18 @@
 // refusedError says that an order must not leave.
 type refusedError struct {
 	duty   string
-	reason duty.Reason
+	reason leadership.Reason
 }
 
 func (e *refusedError) Error() string { return fmt.Sprintf("%s: %s", e.duty, e.reason) }
 
 // admit tells whether an order may leave now.
-func (g *gate) admit(grant duty.Grant, action duty.Action) error {
+func (g *gate) admit(grant leadership.Grant, action leadership.Action) error {
 	return g.admitAt(g.now(), grant, action)
 }
 
 // admitAt is admit at a time that the caller knows.
-func (g *gate) admitAt(now int64, grant duty.Grant, action duty.Action) error {
+func (g *gate) admitAt(now int64, grant leadership.Grant, action leadership.Action) error {
 	reason := grant.Check(action, now)
 	g.orders.Note(history.Order{At: now, GrantedAt: grant.GrantedAt(), Role: grant.RoleName(), Term: grant.Term(), Action: action.String(), ExpiresAt: grant.ExpiresAt(), Refused: string(reason)})
 	if reason == "" {
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -22,16 +22,16 @@
 	"github.com/valyala/fasthttp"
 	"golang.org/x/sync/errgroup"
 
+	"spurmoor/internal/api"
 	"spurmoor/internal/clock"
 	"spurmoor/internal/cloud"
 	"spurmoor/internal/core"
-	"spurmoor/internal/duty"
 	"spurmoor/internal/history"
 	"spurmoor/internal/jsonhttp"
+	"spurmoor/internal/leadership"
 	"spurmoor/internal/peer"
 	"spurmoor/internal/settings"
 	"spurmoor/internal/store"
-	"spurmoor/internal/wire"
 )
 
 // Server is a running controller.
@@ -168,7 +168,7 @@
 // serves makes a server for so many connections.
 func (s *Server) serves(h fasthttp.RequestHandler, most int) *fasthttp.Server {
 	return &fasthttp.Server{
-		Handler: h, Concurrency: most, MaxRequestBodySize: wire.MaxBody, ReadTimeout: 10 * time.Second,
+		Handler: h, Concurrency: most, MaxRequestBodySize: api.MaxBody, ReadTimeout: 10 * time.Second,
 		WriteTimeout: 5 * time.Second, IdleTimeout: 90 * time.Second, NoDefaultServerHeader: true,
 		ReduceMemoryUsage: true, Logger: quiet{}, ErrorHandler: s.badRequest,
 	}
@@ -202,7 +202,7 @@
 	if errors.Is(err, fasthttp.ErrBodyTooLarge) {
 		why = "body over 64 KiB"
 	}
-	respond(ctx, core.Answer{Status: 400, Body: wire.Error{Error: why}})
+	respond(ctx, core.Answer{Status: 400, Body: api.Error{Error: why}})
 	ctx.SetConnectionClose()
 }
 
@@ -300,7 +300,7 @@
 		if s.stale(decidedAt) {
 			return errStoodStill
 		}
-		return s.gate.admit(p.Body.Grant(), duty.Command)
+		return s.gate.admit(p.Body.Grant(), leadership.Command)
 	})
 	// Kept open they would take the sockets of the workers' reports: one to
 	// each machine within the seconds after a take-over.
@@ -310,7 +310,7 @@
 		out.Unsent = errors.As(err, &kept)
 		return
 	}
-	if r, err := wire.ParseHeartbeat(resp.Body()); err == nil {
+	if r, err := api.ParseHeartbeat(resp.Body()); err == nil {
 		out.Status, out.Heartbeat = resp.StatusCode(), r
 	} else {
 		s.unreadable("worker", err)
@@ -353,7 +353,7 @@
 	select {
 	case in <- input{toInput(req), req, to}:
 	default:
-		respond(ctx, core.Answer{Status: 429, Body: wire.Error{Error: "too many requests"}, RetryAfterS: 2})
+		respond(ctx, core.Answer{Status: 429, Body: api.Error{Error: "too many requests"}, RetryAfterS: 2})
 		return
 	}
 	respond(ctx, s.answer(<-to))
@@ -363,15 +363,15 @@
 // decided too long ago, and commands only under a grant that holds.
 func (s *Server) answer(a decided) core.Answer {
 	refuse := func(err error) core.Answer {
-		return core.Answer{Status: 503, Body: wire.Error{Error: err.Error()}, RetryAfterS: 1}
+		return core.Answer{Status: 503, Body: api.Error{Error: err.Error()}, RetryAfterS: 1}
 	}
 	if s.stale(a.at) {
 		return refuse(errStoodStill)
 	}
-	if order, ok := a.Body.(duty.Order[wire.HeartbeatResponse]); ok {
+	if order, ok := a.Body.(leadership.Order[api.HeartbeatResponse]); ok {
 		// A worker drops an answer that comes late, so a clock that may miss a
 		// suspension until the next tick will do for the hundreds a second.
-		if err := s.gate.admitAt(s.now(), order.Grant(), duty.Command); err != nil {
+		if err := s.gate.admitAt(s.now(), order.Grant(), leadership.Command); err != nil {
 			return refuse(err)
 		}
 		a.Body = order.Body()
@@ -436,10 +436,10 @@
 		wrongMethod(ctx, fasthttp.MethodPost)
 		return
 	}
-	r, err := wire.ParseHeartbeat(ctx.PostBody())
+	r, err := api.ParseHeartbeat(ctx.PostBody())
 	if err != nil {
 		s.unreadable("worker", err)
-		respond(ctx, core.Answer{Status: 400, Body: wire.Error{Error: err.Error()}})
+		respond(ctx, core.Answer{Status: 400, Body: api.Error{Error: err.Error()}})
 		return
 	}
 	if int(s.open()) > s.set.Sockets.Crowded {
@@ -464,11 +464,11 @@
 
 func wrongMethod(ctx *fasthttp.RequestCtx, right string) {
 	ctx.Response.Header.Set("Allow", right)
-	respond(ctx, core.Answer{Status: 405, Body: wire.Error{Error: "wrong method"}})
+	respond(ctx, core.Answer{Status: 405, Body: api.Error{Error: "wrong method"}})
 }
 
 func noSuchPath(ctx *fasthttp.RequestCtx) {
-	respond(ctx, core.Answer{Status: 404, Body: wire.Error{Error: "no such path"}})
+	respond(ctx, core.Answer{Status: 404, Body: api.Error{Error: "no such path"}})
 }
 
 // internal serves the other controllers.
--- a/internal/simulation/effects.go
+++ b/internal/simulation/effects.go
@@ -4,7 +4,7 @@
 	"fmt"
 
 	"spurmoor/internal/core"
-	"spurmoor/internal/duty"
+	"spurmoor/internal/leadership"
 )
 
 // Time after which a call without an answer is given up.
@@ -67,7 +67,7 @@
 		w.storeSend(n, v, back)
 		return
 	}
-	w.depart(n, v.Transaction.Grant(), duty.Write, func() { w.storeSend(n, v, back) },
+	w.depart(n, v.Transaction.Grant(), leadership.Write, func() { w.storeSend(n, v, back) },
 		func() { back(&core.StoreReply{Call: v.Call, Unsent: true}) })
 }
 
@@ -102,9 +102,9 @@
 	send := func() { w.cloudSend(n, v, back) }
 	switch v.Op {
 	case core.OpLaunch:
-		w.depart(n, v.Launch.Grant(), duty.Launch, send, kept)
+		w.depart(n, v.Launch.Grant(), leadership.Launch, send, kept)
 	case core.OpDelete:
-		w.depart(n, v.Delete.Grant(), duty.Delete, send, kept)
+		w.depart(n, v.Delete.Grant(), leadership.Delete, send, kept)
 	default:
 		send()
 	}
@@ -131,7 +131,7 @@
 	answer := core.CommandReply{Machine: v.Machine, Token: v.Body.Body().FencingToken, Starts: v.Starts}
 	unsent := answer
 	unsent.Unsent = true
-	w.depart(n, v.Body.Grant(), duty.Command, func() { w.pushNow(n, v, answer, back) }, func() { back(unsent) })
+	w.depart(n, v.Body.Grant(), leadership.Command, func() { w.pushNow(n, v, answer, back) }, func() { back(unsent) })
 }
 
 // pushNow carries commands that may leave to a worker.
