--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -14,54 +14,98 @@
 // MaxBody is the largest request body taken, in bytes.
 const MaxBody = 64 << 10
 
-// Kinds of jobs.
+// JobKind is how a job's tasks belong together.
+type JobKind string
+
+// Kinds of jobs, with the protocol's words.
 const (
-	Array   = "array"
-	Gang    = "group"
-	Service = "daemon"
+	Array   JobKind = "array"  // tasks that run one by one
+	Gang    JobKind = "group"  // tasks that run all at once
+	Service JobKind = "daemon" // tasks that run until the job is cancelled
 )
 
-// States of jobs.
+// JobState is what users are told of a job.
+type JobState string
+
+// States of jobs, with the protocol's words.
 const (
-	JobPending   = "pending"
-	JobRunning   = "running"
-	JobDone      = "done"
-	JobCancelled = "withdrawn"
+	JobPending   JobState = "pending"
+	JobRunning   JobState = "running"
+	JobDone      JobState = "done"
+	JobCancelled JobState = "withdrawn"
 )
 
-// States of tasks in reports; running is Running.
+// TaskState is what a worker says of a task.
+type TaskState string
+
+// States of tasks in workers' heartbeats, with the protocol's words.
 const (
-	TaskFetching  = "pulling"
-	TaskWaiting   = "waiting"
-	Checkpointing = "flushing"
-	TaskExited    = "ended"
+	TaskFetching      TaskState = "pulling" // its image
+	TaskWaiting       TaskState = "waiting" // for the rest of its gang
+	TaskRunning       TaskState = "running"
+	TaskCheckpointing TaskState = "flushing"
+	TaskExited        TaskState = "ended"
 )
 
-// Causes of a task's exit; completed is Done.
+// ExitReason is why a task ended.
+type ExitReason string
+
+// Reasons of a task's exit, with the protocol's words.
 const (
-	ExitStopped   = "halted"
-	ExitMatesGone = "mates_gone"
-	ExitAlone     = "alone"
-	ExitFailed    = "error"
-	ExitNoRoom    = "no_room"
-	ExitBusy      = "busy"
-	ExitNoSuch    = "no_such"
+	ExitDone      ExitReason = "done"
+	ExitStopped   ExitReason = "halted"
+	ExitMatesGone ExitReason = "mates_gone" // the rest of its gang ended
+	ExitAlone     ExitReason = "alone"      // the rest of its gang did not come
+	ExitFailed    ExitReason = "error"
+	ExitNoRoom    ExitReason = "no_room"
+	ExitBusy      ExitReason = "busy"
+	ExitNoSuch    ExitReason = "no_such"
 )
 
-// Operations of commands.
+// CommandOp is what a command has a worker do.
+type CommandOp string
+
+// Operations of commands, with the protocol's words.
 const (
-	CommandStart  = "run"
-	CommandStop   = "halt"
-	CommandForget = "forget"
+	CommandStart  CommandOp = "run"
+	CommandStop   CommandOp = "halt"
+	CommandForget CommandOp = "forget"
 )
 
+// InstanceState is what the cloud says of a machine.
+type InstanceState string
+
+// States of machines in the cloud's list, with the protocol's words.
+const (
+	InstanceBooting InstanceState = "starting"
+	InstanceRunning InstanceState = "running"
+	InstanceFailed  InstanceState = "failed"
+)
+
+// Priority is how important a job's owner says it is.
+type Priority string
+
+// Priorities, lowest first.
+const (
+	PriorityBestEffort Priority = "best_effort"
+	PriorityStandard   Priority = "standard"
+	PriorityUrgent     Priority = "urgent"
+	PriorityProduction Priority = "production"
+)
+
+// tiers are the tiers of the priorities that there are.
+var tiers = map[Priority]int{PriorityBestEffort: 1, PriorityStandard: 4, PriorityUrgent: 7, PriorityProduction: 10}
+
+// Tier is the priority's tier, from 1 to 10; 0: there is no such priority.
+func (p Priority) Tier() int { return tiers[p] }
+
 // Job is a submitted job.
 type Job struct {
 	ID                  string   `json:"Id"`
 	Class               string   `json:"Clase"`
 	Team                string   `json:"Dueno"`
-	Kind                string   `json:"Forma"`
-	Priority            string   `json:"Prelacion"`
+	Kind                JobKind  `json:"Forma"`
+	Priority            Priority `json:"Prelacion"`
 	Tasks               int      `json:"Tareas"`
 	CPUs                float64  `json:"Vcpus"`
 	GPUs                float64  `json:"Accelerators"`
@@ -85,15 +129,6 @@
 // ValidID tells whether id has the form of a job's id.
 func ValidID(id string) bool { return idForm.MatchString(id) }
 
-// PriorityBestEffort is the lowest priority.
-const PriorityBestEffort = "best_effort"
-
-// priorities are the tiers of the priorities, lowest first.
-var priorities = map[string]int{PriorityBestEffort: 1, "standard": 4, "urgent": 7, "production": 10}
-
-// Tier is the 0 to 10 tier of a priority.
-func Tier(priority string) int { return priorities[priority] }
-
 // JobID reads only the id out of a body; "" where there is no valid one.
 func JobID(body []byte) string {
 	var v struct {
@@ -107,23 +142,23 @@
 
 // JobStatus answers users' questions about a job.
 type JobStatus struct {
-	ID      string `json:"Id"`
-	State   string `json:"Estado"`
-	Done    *int   `json:"done,omitempty"`
-	Running *int   `json:"running,omitempty"`
+	ID      string   `json:"Id"`
+	State   JobState `json:"Estado"`
+	Done    *int     `json:"done,omitempty"`
+	Running *int     `json:"running,omitempty"`
 }
 
 // Explanation says why a job waits and when it should be done. It is an
 // interface of our own, for owners and operators.
 type Explanation struct {
-	ID          string  `json:"id"`
-	State       string  `json:"state"`
-	Leader      string  `json:"holder,omitempty"` // the controller that plans it
-	Reason      string  `json:"why,omitempty"`
-	WaitedS     float64 `json:"since_submission_s"`
-	ExpectedInS float64 `json:"done_in_s,omitzero"` // expected
-	EarliestS   float64 `json:"earliest_s,omitzero"`
-	LatestS     float64 `json:"latest_s,omitzero"`
+	ID          string   `json:"id"`
+	State       JobState `json:"state"`
+	Leader      string   `json:"holder,omitempty"` // the controller that plans it
+	Reason      string   `json:"why,omitempty"`
+	WaitedS     float64  `json:"since_submission_s"`
+	ExpectedInS float64  `json:"done_in_s,omitzero"` // expected
+	EarliestS   float64  `json:"earliest_s,omitzero"`
+	LatestS     float64  `json:"latest_s,omitzero"`
 	// Of a job that waits for others: which of them are not over yet.
 	WaitsFor []string `json:"waits_for,omitzero"`
 	// Of a job with a deadline: how far off it is, and whether the job, with
@@ -176,11 +211,11 @@
 
 // TaskStatus is one task in a worker's report.
 type TaskStatus struct {
-	Task             string `json:"Tarea"`
-	Attempt          uint64 `json:"Intento"`
-	State            string `json:"Estado"`
-	ExitReason       string `json:"Causa,omitempty"`
-	CheckpointStored bool   `json:"Stored,omitempty"`
+	Task             string     `json:"Tarea"`
+	Attempt          uint64     `json:"Intento"`
+	State            TaskState  `json:"Estado"`
+	ExitReason       ExitReason `json:"Causa,omitempty"`
+	CheckpointStored bool       `json:"Stored,omitempty"`
 }
 
 // Heartbeat is what a worker tells of itself.
@@ -211,10 +246,10 @@
 
 // Command is one order to a worker.
 type Command struct {
-	Op      string   `json:"Accion"`
-	Task    string   `json:"Tarea"`
-	Attempt uint64   `json:"Intento"`
-	GraceS  *float64 `json:"GraciaS,omitempty"`
+	Op      CommandOp `json:"Accion"`
+	Task    string    `json:"Tarea"`
+	Attempt uint64    `json:"Intento"`
+	GraceS  *float64  `json:"GraciaS,omitempty"`
 }
 
 // HeartbeatResponse answers a report.
@@ -270,21 +305,15 @@
 
 // Instance is one machine in the cloud's list.
 type Instance struct {
-	ID      string  `json:"Id"`
-	Address string  `json:"Endpoint"`
-	Type    string  `json:"Tipo"`
-	Zone    string  `json:"Zona"`
-	Spot    bool    `json:"Prestadas"`
-	State   string  `json:"Estado"`
-	AgeS    float64 `json:"AgeS"`
+	ID      string        `json:"Id"`
+	Address string        `json:"Endpoint"`
+	Type    string        `json:"Tipo"`
+	Zone    string        `json:"Zona"`
+	Spot    bool          `json:"Prestadas"`
+	State   InstanceState `json:"Estado"`
+	AgeS    float64       `json:"AgeS"`
 }
 
-// States of machines in the cloud's list; running is Running.
-const (
-	InstanceBooting = "starting"
-	InstanceFailed  = "failed"
-)
-
 // InstancePage is a page of the cloud's list.
 type InstancePage struct {
 	Instances []Instance `json:"Maquinas"`
--- a/internal/api/job.go
+++ b/internal/api/job.go
@@ -21,8 +21,8 @@
 	ID          *string   `json:"Id"`
 	Class       *string   `json:"Clase"`
 	Team        *string   `json:"Dueno"`
-	Kind        *string   `json:"Forma"`
-	Priority    *string   `json:"Prelacion"`
+	Kind        *JobKind  `json:"Forma"`
+	Priority    *Priority `json:"Prelacion"`
 	Tasks       *int      `json:"Tareas"`
 	CPUs        *float64  `json:"Vcpus"`
 	GPUs        *float64  `json:"Accelerators"`
@@ -69,18 +69,18 @@
 
 // identity checks who sends what kind of job.
 func (c *fieldCheck) identity(r *rawJob, j *Job) {
-	c.text("Id", r.ID, &j.ID)
+	text(c, "Id", r.ID, &j.ID)
 	if c.err == nil && !ValidID(j.ID) {
 		c.fail("Id", "must look like wk-000412")
 	}
-	c.text("Clase", r.Class, &j.Class)
-	c.text("Dueno", r.Team, &j.Team)
-	c.text("Forma", r.Kind, &j.Kind)
+	text(c, "Clase", r.Class, &j.Class)
+	text(c, "Dueno", r.Team, &j.Team)
+	text(c, "Forma", r.Kind, &j.Kind)
 	if c.err == nil && j.Kind != Array && j.Kind != Gang && j.Kind != Service {
 		c.fail("Forma", "must be array, group or daemon")
 	}
-	c.text("Prelacion", r.Priority, &j.Priority)
-	if c.err == nil && Tier(j.Priority) == 0 {
+	text(c, "Prelacion", r.Priority, &j.Priority)
+	if c.err == nil && j.Priority.Tier() == 0 {
 		c.fail("Prelacion", "must be production, urgent, standard or best_effort")
 	}
 	switch {
@@ -98,7 +98,7 @@
 	c.amount("Vcpus", r.CPUs, &j.CPUs)
 	c.amount("Accelerators", r.GPUs, &j.GPUs)
 	c.amount("MemoryGb", r.MemoryGB, &j.MemoryGB)
-	c.text("Imagen", r.Image, &j.Image)
+	text(c, "Imagen", r.Image, &j.Image)
 	c.amount("SizeGb", r.ImageGB, &j.ImageGB)
 	if r.Types != nil {
 		if len(*r.Types) > maxTypes {
@@ -110,7 +110,7 @@
 		}
 	}
 	if r.Zone != nil {
-		c.text("Zona", r.Zone, &j.Zone)
+		text(c, "Zona", r.Zone, &j.Zone)
 	}
 	c.flag("Together", r.OneZone, &j.OneZone)
 	c.flag("Apart", r.Spread, &j.Spread)
@@ -147,7 +147,8 @@
 	}
 }
 
-func (c *fieldCheck) text(field string, from, to *string) {
+// text copies a field of text.
+func text[T ~string](c *fieldCheck, field string, from, to *T) {
 	switch {
 	case from == nil:
 		c.fail(field, "is missing")
--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -38,7 +38,7 @@
 
 	// what is known since take-over only
 	Observed         bool          // its machine has reported it
-	ReportedState    string        // state last reported
+	ReportedState    api.TaskState // state last reported
 	RunningSince     micros.Micros // running since
 	PlacedAt         micros.Micros
 	StopRequestedAt  micros.Micros // told to stop since
--- a/internal/cluster/task_lifecycle.go
+++ b/internal/cluster/task_lifecycle.go
@@ -77,7 +77,7 @@
 // TaskExited takes in how a task ended.
 func (l *TaskLifecycle) TaskExited(j *Job, n int, t *Task, m *Machine, tr api.TaskStatus) {
 	attempt := t.Attempt
-	if tr.ExitReason == api.JobDone && !j.Cancelled {
+	if tr.ExitReason == api.ExitDone && !j.Cancelled {
 		m.CacheImage(j.Spec.Image, j.Spec.ImageGB)
 		l.TaskSucceeded(j, m)
 		l.cluster.ChangeTask(j, n, TaskRecord{State: TaskDone, Attempt: attempt, Machine: ""})
--- a/internal/core/explanation.go
+++ b/internal/core/explanation.go
@@ -47,7 +47,7 @@
 }
 
 // explainUnfinished tells what is known of an unfinished job.
-func (x *jobExplainer) explainUnfinished(j *cluster.Job, state string) api.Explanation {
+func (x *jobExplainer) explainUnfinished(j *cluster.Job, state api.JobState) api.Explanation {
 	e := api.Explanation{ID: j.ID, State: state, Leader: x.cluster.Partitions[j.Partition].Claim.Node, Reason: x.scheduling.BlockedReasons[j.ID],
 		WaitedS: (x.Now - j.AcceptedAt).Seconds()}
 	switch {
--- a/internal/core/heartbeat_reconciliation.go
+++ b/internal/core/heartbeat_reconciliation.go
@@ -56,7 +56,7 @@
 }
 
 // addCommand adds a command for the worker.
-func (in *heartbeatReconciler) addCommand(op string, id cluster.TaskID, attempt uint64, grace *float64) {
+func (in *heartbeatReconciler) addCommand(op api.CommandOp, id cluster.TaskID, attempt uint64, grace *float64) {
 	if len(in.commands) < planning.MaxCommands {
 		in.commands = append(in.commands, api.Command{Op: op, Task: id.String(), Attempt: attempt, GraceS: grace})
 	}
@@ -170,9 +170,9 @@
 		c.tasks.TaskExited(j, id.Index, t, m, tr)
 		return
 	}
-	if t.ReportedState != tr.State && (tr.State == api.JobRunning || tr.State == api.TaskWaiting) {
+	if t.ReportedState != tr.State && (tr.State == api.TaskRunning || tr.State == api.TaskWaiting) {
 		m.CacheImage(j.Spec.Image, j.Spec.ImageGB)
-		if tr.State == api.JobRunning {
+		if tr.State == api.TaskRunning {
 			t.RunningSince = c.Now
 			c.LogDebug("task running", "task", tr.Task, "machine", m.Name, "after_s", (c.Now - t.PlacedAt).WholeSeconds())
 		}
@@ -181,7 +181,7 @@
 	if !c.tasks.MustStop(j, t) {
 		return
 	}
-	if grace := c.tasks.GraceFor(j, t); tr.State != api.Checkpointing || grace == 0 {
+	if grace := c.tasks.GraceFor(j, t); tr.State != api.TaskCheckpointing || grace == 0 {
 		in.addCommand(api.CommandStop, id, tr.Attempt, &grace)
 	}
 }
--- a/internal/planning/direct_commands.go
+++ b/internal/planning/direct_commands.go
@@ -41,7 +41,7 @@
 			cmds = append(cmds, api.Command{Op: api.CommandStart, Task: id.String(), Attempt: t.Attempt})
 			continue
 		}
-		if t := j.Task(id.Index); t.Observed && t.ReportedState != api.Checkpointing && k.tasks.MustStop(j, t) && len(cmds) < MaxCommands {
+		if t := j.Task(id.Index); t.Observed && t.ReportedState != api.TaskCheckpointing && k.tasks.MustStop(j, t) && len(cmds) < MaxCommands {
 			g := k.tasks.GraceFor(j, t)
 			cmds = append(cmds, api.Command{Op: api.CommandStop, Task: id.String(), Attempt: t.Attempt, GraceS: &g})
 		}
--- a/internal/planning/scheduling_cycle.go
+++ b/internal/planning/scheduling_cycle.go
@@ -172,7 +172,7 @@
 	for _, m := range y.cluster.MachinesByName {
 		// Asked again until it comes: a message may be lost.
 		if m.ClaimedBy != "" && m.Record.Partition != p.Index && jobs[m.ClaimedBy] != nil && len(y.MachineRequests) < MaxMachineRequests {
-			y.MachineRequests = append(y.MachineRequests, peer.MachineRequest{Machine: m.Name, Partition: p.Index, Tier: api.Tier(jobs[m.ClaimedBy].Spec.Priority), InheritedTier: y.urgencies.effectiveTier(jobs[m.ClaimedBy]), Guaranteed: m.ClaimGuaranteed})
+			y.MachineRequests = append(y.MachineRequests, peer.MachineRequest{Machine: m.Name, Partition: p.Index, Tier: jobs[m.ClaimedBy].Spec.Priority.Tier(), InheritedTier: y.urgencies.effectiveTier(jobs[m.ClaimedBy]), Guaranteed: m.ClaimGuaranteed})
 		}
 	}
 	if m := y.chooseSpare(p, jobs, plan.BlockedReasons); m != nil {
--- a/internal/planning/urgency.go
+++ b/internal/planning/urgency.go
@@ -1,7 +1,6 @@
 package planning
 
 import (
-	"spurmoor/internal/api"
 	"spurmoor/internal/cluster"
 	"spurmoor/internal/coordination"
 	"spurmoor/internal/scheduler"
@@ -39,7 +38,7 @@
 		if u, ok := x.byJob[j.ID]; ok {
 			return u
 		}
-		u := urgency{tier: api.Tier(j.Spec.Priority)}
+		u := urgency{tier: j.Spec.Priority.Tier()}
 		if j.Spec.DeadlineS > 0 {
 			u.deadline = scheduler.Deadline{SubmittedAt: j.AcceptedAt, WithinS: j.Spec.DeadlineS, Class: j.Spec.Class}
 		}
@@ -69,5 +68,5 @@
 	if u, ok := x.byJob[j.ID]; ok {
 		return u.tier
 	}
-	return api.Tier(j.Spec.Priority)
+	return j.Spec.Priority.Tier()
 }
--- a/internal/records/records.go
+++ b/internal/records/records.go
@@ -46,7 +46,7 @@
 
 // TerminalRecord is how a job ended, under a key that is not watched.
 type TerminalRecord struct {
-	State     string        `json:"s"`
+	State     api.JobState  `json:"s"`
 	DoneTasks int           `json:"n"`
 	EndedAt   micros.Micros `json:"t,omitzero"` // when; 0: written by the first versions
 }
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -11,7 +11,7 @@
 )
 
 // ownTier is a job's tier without what was lent to it.
-func (j *Job) ownTier() int { return api.Tier(j.Spec.Priority) }
+func (j *Job) ownTier() int { return j.Spec.Priority.Tier() }
 
 // lentMay tells whether a priority that was lent to j may stop u: tasks of
 // arrays only, that run for a while. Gangs that a pipeline needed put out others
--- a/internal/scheduler/scaleout.go
+++ b/internal/scheduler/scaleout.go
@@ -316,5 +316,5 @@
 // without a deadline, and of a class for which the settings state no objective.
 // Such a job runs where there is room, or on cheap machines rented for it.
 func (p *planner) idleTime(j *Job) bool {
-	return j.Tier <= api.Tier(api.PriorityBestEffort) && j.Deadline.WithinS == 0 && len(p.Objectives[j.Spec.Class]) == 0
+	return j.Tier <= api.PriorityBestEffort.Tier() && j.Deadline.WithinS == 0 && len(p.Objectives[j.Spec.Class]) == 0
 }
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -85,33 +85,33 @@
 
 // Job of a scenario; Every and Count repeat it under following ids.
 type Job struct {
-	AtS         float64 `toml:"at_s"`
-	ID          int     `toml:"id"`
-	Count       int     `toml:"count"`
-	EveryS      float64 `toml:"every_s"`
-	Team        string  `toml:"team"`
-	Kind        string  `toml:"kind"`
-	Priority    string  `toml:"priority"`
-	Tasks       int     `toml:"tasks"`
-	CPUs        float64 `toml:"cpus"`
-	GPUs        float64 `toml:"gpus"`
-	RunS        float64 `toml:"run_s"`
-	StepS       float64 `toml:"step_s"` // each further task runs that much longer
-	EstimateS   float64 `toml:"estimate_s"`
-	ImageGB     float64 `toml:"image_gb"`
-	CheckpointS float64 `toml:"checkpoint_s"`
-	Spot        bool    `toml:"spot"`
-	OneZone     bool    `toml:"one_zone"`
-	Spread      bool    `toml:"spread"`
-	Type        string  `toml:"type"`
-	Zone        string  `toml:"zone"`
-	CancelAtS   float64 `toml:"cancel_at_s"`
-	Bad         bool    `toml:"bad"` // fails on every machine
-	DeadlineS   float64 `toml:"deadline_s"`
-	Needs       []int   `toml:"needs"`   // ids of jobs that must be done first
-	Follows     []int   `toml:"follows"` // the same; the k-th of Count needs the k-th from there
-	Late        bool    `toml:"late"`    // submitted only when all that it needs is over
-	Class       string  `toml:"class"`
+	AtS         float64      `toml:"at_s"`
+	ID          int          `toml:"id"`
+	Count       int          `toml:"count"`
+	EveryS      float64      `toml:"every_s"`
+	Team        string       `toml:"team"`
+	Kind        api.JobKind  `toml:"kind"`
+	Priority    api.Priority `toml:"priority"`
+	Tasks       int          `toml:"tasks"`
+	CPUs        float64      `toml:"cpus"`
+	GPUs        float64      `toml:"gpus"`
+	RunS        float64      `toml:"run_s"`
+	StepS       float64      `toml:"step_s"` // each further task runs that much longer
+	EstimateS   float64      `toml:"estimate_s"`
+	ImageGB     float64      `toml:"image_gb"`
+	CheckpointS float64      `toml:"checkpoint_s"`
+	Spot        bool         `toml:"spot"`
+	OneZone     bool         `toml:"one_zone"`
+	Spread      bool         `toml:"spread"`
+	Type        string       `toml:"type"`
+	Zone        string       `toml:"zone"`
+	CancelAtS   float64      `toml:"cancel_at_s"`
+	Bad         bool         `toml:"bad"` // fails on every machine
+	DeadlineS   float64      `toml:"deadline_s"`
+	Needs       []int        `toml:"needs"`   // ids of jobs that must be done first
+	Follows     []int        `toml:"follows"` // the same; the k-th of Count needs the k-th from there
+	Late        bool         `toml:"late"`    // submitted only when all that it needs is over
+	Class       string       `toml:"class"`
 }
 
 // Fault is a trouble at a set time.
@@ -151,10 +151,10 @@
 
 // Expected is what must hold of a job at the end, or by some time.
 type Expected struct {
-	ID    int     `toml:"id"`
-	Count int     `toml:"count"`
-	State string  `toml:"state"`
-	ByS   float64 `toml:"by_s"`
+	ID    int          `toml:"id"`
+	Count int          `toml:"count"`
+	State api.JobState `toml:"state"`
+	ByS   float64      `toml:"by_s"`
 }
 
 // Parse reads a scenario.
@@ -199,13 +199,13 @@
 // spec gives a job as its user would submit it.
 func (j Job) spec(n int) api.Job {
 	w := api.Job{ID: fmt.Sprintf("wk-%06d", n), Class: j.Class, Team: j.Team, Kind: j.Kind, Priority: j.Priority, Tasks: max(1, j.Tasks),
-		CPUs: j.CPUs, GPUs: j.GPUs, MemoryGB: 1, Image: "img-" + j.Kind, ImageGB: j.ImageGB, Zone: j.Zone, OneZone: j.OneZone, Spread: j.Spread,
+		CPUs: j.CPUs, GPUs: j.GPUs, MemoryGB: 1, Image: "img-" + string(j.Kind), ImageGB: j.ImageGB, Zone: j.Zone, OneZone: j.OneZone, Spread: j.Spread,
 		Spot: j.Spot, EstimateS: j.EstimateS, CheckpointIntervalS: j.CheckpointS, DeadlineS: j.DeadlineS, Dependencies: j.needs(n)}
 	if w.Kind == "" {
 		w.Kind = api.Array
 	}
 	if w.Class == "" {
-		w.Class = w.Kind
+		w.Class = string(w.Kind)
 	}
 	if w.Priority == "" {
 		w.Priority = "standard"
--- a/internal/simulation/services.go
+++ b/internal/simulation/services.go
@@ -338,7 +338,7 @@
 			}
 			state := api.InstanceBooting
 			if wk.up {
-				state = api.JobRunning
+				state = api.InstanceRunning
 			}
 			r.Instances.Instances = append(r.Instances.Instances, api.Instance{ID: wk.name, Address: wk.addr, Type: wk.typ.Name,
 				Zone: wk.zone, Spot: wk.spot, State: state, AgeS: (c.w.now - wk.born).Seconds()})
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -14,9 +14,9 @@
 	job       Job
 	needs     []*user
 	accepted  bool
-	final     string
+	final     api.JobState
 	finalAt   micros.Micros
-	told      string
+	told      api.JobState
 	asked     bool // to cancel
 	calledOff bool // by a trouble, not by the scenario
 	tries     int
