--- a/internal/simulation/digest_test.go
+++ b/internal/simulation/digest_test.go
@@ -14,10 +14,9 @@
 	"sync"
 	"testing"
 
-	"spurmoor/internal/message"
-
 	"spurmoor/internal/api"
 	"spurmoor/internal/leadership"
+	"spurmoor/internal/message"
 	"spurmoor/internal/micros"
 	"spurmoor/internal/peer"
 )
--- /dev/null
+++ b/internal/simulation/faults_services.go
@@ -0,0 +1,49 @@
+package simulation
+
+import (
+	"fmt"
+
+	"spurmoor/internal/api"
+	"spurmoor/internal/records"
+)
+
+func (s *Simulation) injectStoreOutage(i injection) { s.store.outage(i.lasts) }
+
+// injectLowerLimits puts the store's next limits in force.
+func (s *Simulation) injectLowerLimits(injection) {
+	next := s.scenario.NextLimits
+	s.scenario.WriteRPS, s.scenario.ValueKB, s.scenario.MaxTransactionOps = next.WriteRPS, next.ValueKB, next.MaxTransactionOps
+	s.store.writes.rate = next.WriteRPS
+}
+
+// injectGarble makes the first entry of a partition's log unreadable.
+func (s *Simulation) injectGarble(i injection) {
+	prefix := fmt.Sprintf("%s%d/", records.LogKey, max(0, i.Partition-1))
+	if keys := s.store.sortedKeys(prefix); len(keys) > 0 {
+		s.store.apply([]api.Write{{Put: keys[0], Value: []byte(`"?"`)}})
+	}
+}
+
+func (s *Simulation) injectCloudOutage(i injection) {
+	s.cloud.down = true
+	s.after(i.lasts, func() { s.cloud.down = false })
+}
+
+func (s *Simulation) injectNoCapacity(i injection) {
+	s.cloud.noCapacity = true
+	s.after(i.lasts, func() { s.cloud.noCapacity = false })
+}
+
+func (s *Simulation) injectSlowBoot(i injection) {
+	s.cloud.bootFaultsUntil, s.cloud.bootFailShare, s.cloud.bootFactor = i.until, i.Share, i.Factor
+}
+
+// injectLateLaunch has machines turn up that nobody recorded, as after a launch whose
+// answer was lost.
+func (s *Simulation) injectLateLaunch(i injection) {
+	for range max(1, i.Count) {
+		s.cloud.launch(&api.LaunchRequest{
+			Name: "late", Type: s.scenario.MachineTypes[0].Name, Zone: zones[0], Count: 1,
+		})
+	}
+}
--- a/internal/simulation/relay_test.go
+++ b/internal/simulation/relay_test.go
@@ -10,35 +10,35 @@
 	"sync"
 	"time"
 
-	"github.com/go-json-experiment/json"
-
 	"spurmoor/internal/api"
 	"spurmoor/internal/leadership"
+
+	"github.com/go-json-experiment/json"
 )
 
 // relay stands between the processes and the stand-ins: it notes each order with its
 // sender and term, and can hold back what one process sends, to deliver it later, though
 // its sender has given up by then.
 type relay struct {
-	loopback       *loopback
-	mu      sync.Mutex
-	held   [3]map[leadership.Action]bool
-	release chan struct{} // closed when what is held is delivered
-	orders  []*relayedOrder
+	loopback *loopback
+	mu       sync.Mutex
+	held     [3]map[leadership.Action]bool
+	release  chan struct{} // closed when what is held is delivered
+	orders   []*relayedOrder
 }
 
 // relayedOrder is an order as it passed through the relay.
 type relayedOrder struct {
-	sender    int
-	action    leadership.Action
-	role      string
-	term      uint64 // of a command: its token
-	request   string
-	worker    string
-	arrivedAt      time.Time
+	sender      int
+	action      leadership.Action
+	role        string
+	term        uint64 // of a command: its token
+	request     string
+	worker      string
+	arrivedAt   time.Time
 	deliveredAt time.Time // zero: not yet
-	held      bool
-	tookEffect      bool // it changed something
+	held        bool
+	tookEffect  bool // it changed something
 }
 
 func newRelay(l *loopback) *relay {
--- /dev/null
+++ b/internal/simulation/scenario_jobs.go
@@ -0,0 +1,85 @@
+package simulation
+
+import (
+	"cmp"
+
+	"spurmoor/internal/api"
+
+	"github.com/go-json-experiment/json"
+)
+
+const (
+	defaultTeam = "norte"
+	// jobMemoryGB is the memory of every task, checkpointSaveS the time that a task needs
+	// to save a checkpoint.
+	jobMemoryGB     = 1
+	checkpointSaveS = 2
+)
+
+// spec gives the job with a number as its user submits it.
+func (j Job) spec(number int) api.Job {
+	spec := api.Job{
+		ID: jobID(number), Team: cmp.Or(j.Team, defaultTeam),
+		Kind: cmp.Or(j.Kind, api.Array), Priority: cmp.Or(j.Priority, api.PriorityStandard), Tasks: max(1, j.Tasks),
+		CPUs: j.CPUs, GPUs: j.GPUs, MemoryGB: jobMemoryGB,
+		Image: "img-" + string(j.Kind), ImageGB: j.ImageGB,
+		Zone: j.Zone, OneZone: j.OneZone, Spread: j.Spread, Spot: j.Spot,
+		EstimateS: j.EstimateS, CheckpointIntervalS: j.CheckpointS, DeadlineS: j.DeadlineS,
+		Dependencies: j.dependencyIDs(number),
+	}
+	spec.Class = cmp.Or(j.Class, string(spec.Kind))
+	if spec.EstimateS == 0 && spec.Kind != api.Service {
+		spec.EstimateS = j.RunS
+	}
+	if spec.CPUs == 0 {
+		spec.CPUs = 1
+	}
+	if spec.CheckpointIntervalS > 0 {
+		spec.CheckpointSaveS = checkpointSaveS
+	}
+	if j.Type != "" {
+		spec.Types = []string{j.Type}
+	}
+	return spec
+}
+
+// dependencyIDs names the dependencies of the job with a number.
+func (j Job) dependencyIDs(number int) []string {
+	var ids []string
+	for _, dependency := range j.Dependencies {
+		ids = append(ids, jobID(dependency))
+	}
+	for _, first := range j.PairedDependencies {
+		ids = append(ids, jobID(first+number-j.ID))
+	}
+	return ids
+}
+
+// submission is the body with which a job is submitted. PROTOCOL's form has nulls that the
+// encoding of our type leaves out.
+func submission(spec api.Job) []byte {
+	body := mustMarshal(spec)
+	if spec.Zone != "" && spec.DeadlineS != 0 {
+		return body
+	}
+	var fields map[string]any
+	if err := json.Unmarshal(body, &fields); err != nil {
+		panic(err) // it was encoded a moment ago: cannot fail
+	}
+	if spec.Zone == "" {
+		fields["Zona"] = nil
+	}
+	if spec.DeadlineS == 0 {
+		fields["PlazoS"] = nil
+	}
+	return mustMarshal(fields, json.Deterministic(true))
+}
+
+// mustMarshal encodes a plain record, which cannot fail.
+func mustMarshal(value any, options ...json.Options) []byte {
+	encoded, err := json.Marshal(value, options...)
+	if err != nil {
+		panic(err)
+	}
+	return encoded
+}
--- /dev/null
+++ b/internal/simulation/scenario_settings.go
@@ -0,0 +1,105 @@
+package simulation
+
+import (
+	"fmt"
+
+	"spurmoor/internal/leadership"
+	"spurmoor/internal/settings"
+
+	"github.com/go-json-experiment/json"
+)
+
+// Settings that all scenarios share.
+const (
+	gangWaitS       = 40
+	gangPeerS       = 4
+	cloudRPS        = 6
+	listLagS        = 5
+	processCores    = 0.2
+	processMemoryMB = 100
+	storeEndpoint   = "10.2.0.1:2379"
+	cloudEndpoint   = "10.2.0.2:8443"
+	publicPort      = 8080
+	internalPort    = 8081
+)
+
+// zones are the zones of the cluster.
+var zones = []string{"alta", "baja"}
+
+// nodeName gives the name of the controller with an index.
+func nodeName(index int) string { return fmt.Sprintf("nodo-%d", index) }
+
+// zoneOfNode gives the zone of the controller with an index.
+func zoneOfNode(index int) string { return zones[index%len(zones)] }
+
+// nodeAddr gives an address of the controller with an index.
+func nodeAddr(index, port int) string { return fmt.Sprintf("10.0.0.%d:%d", index+1, port) }
+
+// partitionOf gives the partition that a user's team belongs to by default.
+func (s *Scenario) partitionOf(owner *user) int {
+	set, err := s.settingsFor(0, false)
+	if err != nil {
+		return 0
+	}
+	return set.TeamPartition[owner.job.spec(0).Team]
+}
+
+// settingsFor gives the settings of the controller with an index; they announce the
+// store's next limits if announced is set.
+func (s *Scenario) settingsFor(index int, announced bool) (*settings.Settings, error) {
+	platform := settings.Platform{
+		Node: nodeName(index), Zone: zoneOfNode(index),
+		PublicAddr: nodeAddr(index, publicPort), InternalAddr: nodeAddr(index, internalPort),
+	}
+	for peer := range controllerCount {
+		if peer != index {
+			platform.Peers = append(platform.Peers, settings.Peer{
+				Name: nodeName(peer), Zone: zoneOfNode(peer), Addr: nodeAddr(peer, internalPort),
+			})
+		}
+	}
+	platform.Endpoints.Cloud, platform.Endpoints.State = cloudEndpoint, storeEndpoint
+	s.describeDeployment(&platform.Deployment, announced)
+	raw, err := json.Marshal(platform)
+	if err != nil {
+		return nil, fmt.Errorf("encode the settings of %s: %w", platform.Node, err)
+	}
+	set, err := settings.Parse(raw, s.operators())
+	if err != nil {
+		return nil, fmt.Errorf("settings of %s: %w", platform.Node, err)
+	}
+	return set, nil
+}
+
+// describeDeployment fills in what the settings of all controllers have in common.
+func (s *Scenario) describeDeployment(deployment *settings.Deployment, announced bool) {
+	deployment.Nodes, deployment.Zones = controllerCount, zones
+	for _, team := range s.Teams {
+		deployment.Teams = append(deployment.Teams, settings.Team{
+			Name: team.Name, GuaranteedGPUs: team.GPUs, MaxGPUs: team.GPUsMax,
+		})
+	}
+	workers := &deployment.Workers
+	workers.ReportS, workers.LeaseS, workers.CancelS = s.HeartbeatS, s.LeaseS, s.CancelS
+	workers.GangWaitS, workers.GangPeerS = gangWaitS, gangPeerS
+	store := &deployment.Store
+	store.RPS, store.WriteRPS = s.RPS, s.WriteRPS
+	store.ValueKB, store.MaxTransactionOps = s.ValueKB, s.MaxTransactionOps
+	if next := &s.NextLimits; announced && next.MaxTransactionOps > 0 {
+		store.Next = &settings.NextStoreLimits{
+			WriteRPS: &next.WriteRPS, ValueKB: &next.ValueKB, MaxTransactionOps: &next.MaxTransactionOps,
+		}
+	}
+	deployment.Cloud.RPS, deployment.Cloud.ListLagS = cloudRPS, listLagS
+	process := &deployment.Process
+	process.Cores, process.MemMB, process.MaxConnections = processCores, processMemoryMB, s.Connections
+}
+
+// operators gives the operators' settings.
+func (s *Scenario) operators() settings.Operators {
+	operators := settings.Defaults()
+	if s.ExclusiveRoles {
+		operators.Roles = settings.RoleSettings{Exclusive: leadership.FleetRoleNames(), RecordRequests: true}
+	}
+	return operators
+}
--- /dev/null
+++ b/internal/simulation/store.go
@@ -0,0 +1,261 @@
+package simulation
+
+import (
+	"net/http"
+	"slices"
+	"strings"
+
+	"spurmoor/internal/api"
+	"spurmoor/internal/message"
+	"spurmoor/internal/micros"
+	"spurmoor/internal/records"
+)
+
+const (
+	// historyLimit is how many events the store keeps: few, so that a controller that was
+	// cut off for a while is told to read everything again.
+	historyLimit = 150
+	// listPageSize is how many keys a page of a list holds.
+	listPageSize = 200
+	// leaseCheckPeriod is how often leases are checked for expiry.
+	leaseCheckPeriod = micros.Second / 20
+	// comparesPerWrite is how many compared keys a transaction may have for each write that
+	// it may have.
+	comparesPerWrite = 4
+	bytesPerKB       = 1024
+)
+
+// keyValueStore stands in for the consensus-backed key-value store.
+type keyValueStore struct {
+	sim         *Simulation
+	keys        map[string]*storedValue
+	revision    uint64
+	history     []api.Event
+	compactedTo uint64 // events up to this revision are no longer kept
+	leases      map[uint64]*storeLease
+	lastLease   uint64
+	watches     []*storeWatch
+	downUntil   micros.Micros
+	requests    rateLimiter
+	writes      rateLimiter
+}
+
+// storedValue is the value of a key, with the revision that wrote it.
+type storedValue struct {
+	data    []byte
+	version uint64
+	lease   uint64 // zero: none
+}
+
+// storeLease is a lease that keys may hang on.
+type storeLease struct {
+	ttl       micros.Micros
+	expiresAt micros.Micros
+}
+
+// storeWatch is a watch that waits for events.
+type storeWatch struct {
+	node  *node
+	since uint64
+	done  bool
+	reply func(*message.StoreReply)
+}
+
+func newKeyValueStore(sim *Simulation) *keyValueStore {
+	s := &keyValueStore{sim: sim, keys: map[string]*storedValue{}, leases: map[uint64]*storeLease{}}
+	s.requests.rate, s.writes.rate = sim.scenario.RPS, sim.scenario.WriteRPS
+	sim.every(leaseCheckPeriod, s.expireLeases)
+	return s
+}
+
+// outage has the store refuse everyone for a time; after it every lease has its full time
+// once more.
+func (s *keyValueStore) outage(lasts micros.Micros) {
+	s.downUntil = s.sim.now + lasts
+	for _, lease := range s.leases {
+		lease.expiresAt = s.downUntil + lease.ttl
+	}
+}
+
+// expireLeases deletes the keys of leases that have expired, oldest lease first.
+func (s *keyValueStore) expireLeases() {
+	if s.sim.now < s.downUntil {
+		return
+	}
+	for id := uint64(1); id <= s.lastLease; id++ {
+		lease := s.leases[id]
+		if lease == nil || s.sim.now < lease.expiresAt {
+			continue
+		}
+		delete(s.leases, id)
+		var deletes []api.Write
+		for _, key := range s.sortedKeys("") {
+			if s.keys[key].lease == id {
+				deletes = append(deletes, api.Write{Delete: key})
+			}
+		}
+		if deletes != nil {
+			s.apply(deletes)
+		}
+	}
+	s.notifyWatches()
+}
+
+// expireLeasesOf expires the leases that a node's leader records hang on.
+func (s *keyValueStore) expireLeasesOf(leader *node) {
+	for _, key := range s.sortedKeys(records.PartitionKey) {
+		value := s.keys[key]
+		lease := s.leases[value.lease]
+		if lease != nil && strings.Contains(string(value.data), quoted(leader.name)) {
+			lease.expiresAt = s.sim.now
+		}
+	}
+}
+
+// sortedKeys lists the keys with a prefix.
+func (s *keyValueStore) sortedKeys(prefix string) []string {
+	var keys []string
+	for key := range s.keys {
+		if strings.HasPrefix(key, prefix) {
+			keys = append(keys, key)
+		}
+	}
+	slices.Sort(keys)
+	return keys
+}
+
+// apply commits writes under a new revision.
+func (s *keyValueStore) apply(writes []api.Write) {
+	s.revision++
+	for _, write := range writes {
+		if write.Delete != "" {
+			if s.keys[write.Delete] != nil {
+				delete(s.keys, write.Delete)
+				s.history = append(s.history, api.Event{Delete: write.Delete, Version: s.revision})
+			}
+			continue
+		}
+		s.sim.noteLeaderRecord(write.Put, write.Value)
+		s.keys[write.Put] = &storedValue{write.Value, s.revision, write.Lease}
+		s.history = append(s.history, api.Event{Put: write.Put, Value: write.Value, Version: s.revision})
+	}
+	if excess := len(s.history) - historyLimit; excess > 0 {
+		s.compactedTo = s.history[excess-1].Version
+		s.history = s.history[excess:]
+	}
+}
+
+// call answers a request of a node's, at once or, if it is a watch, once there is an event.
+func (s *keyValueStore) call(sender *node, call message.StoreCall, reply func(*message.StoreReply)) {
+	answer := &message.StoreReply{Call: call.Call, Status: s.admit(sender, call)}
+	if answer.Status != http.StatusOK {
+		reply(answer)
+		return
+	}
+	switch call.Op {
+	case message.OpGet:
+		s.get(call.Key, answer)
+	case message.OpList:
+		s.list(call.Key, answer)
+	case message.OpGrantLease:
+		s.grantLease(micros.FromMilliseconds(int(call.TTLMs)), answer)
+	case message.OpRenewLease:
+		s.renewLease(call.Lease, answer)
+	case message.OpWatch:
+		if s.openWatch(sender, call, answer, reply) {
+			return
+		}
+	case message.OpTransaction:
+		s.transact(call.Transaction.Body(), answer)
+		s.sim.noteOrderUnder(sender, call.Transaction.Grant(), "", answer.Status == http.StatusOK)
+	}
+	reply(answer)
+	s.notifyWatches()
+}
+
+// admit gives the status with which a request is refused, or 200.
+func (s *keyValueStore) admit(sender *node, call message.StoreCall) int {
+	if s.sim.now < s.downUntil || sender.refusedByStore {
+		return http.StatusServiceUnavailable
+	}
+	if !s.requests.admit(s.sim.now, 1) {
+		return http.StatusTooManyRequests
+	}
+	if call.Op == message.OpTransaction && !s.writes.admit(s.sim.now, len(call.Transaction.Body().Writes)) {
+		return http.StatusTooManyRequests
+	}
+	return http.StatusOK
+}
+
+func (s *keyValueStore) get(key string, answer *message.StoreReply) {
+	value := s.keys[key]
+	if value == nil {
+		answer.Status = http.StatusNotFound
+		return
+	}
+	answer.Item = api.KeyValue{Key: key, Value: value.data, Version: value.version}
+}
+
+// list gives a page of the live keys that follow one.
+func (s *keyValueStore) list(after string, answer *message.StoreReply) {
+	answer.Page.Revision = s.revision
+	for _, key := range s.sortedKeys(records.LivePrefix) {
+		if key <= after {
+			continue
+		}
+		if len(answer.Page.Pairs) == listPageSize {
+			answer.Page.More = true
+			break
+		}
+		value := s.keys[key]
+		answer.Page.Pairs = append(answer.Page.Pairs, api.KeyValue{Key: key, Value: value.data, Version: value.version})
+	}
+}
+
+func (s *keyValueStore) grantLease(ttl micros.Micros, answer *message.StoreReply) {
+	s.lastLease++
+	s.leases[s.lastLease] = &storeLease{ttl: ttl, expiresAt: s.sim.now + ttl}
+	answer.Lease = s.lastLease
+}
+
+func (s *keyValueStore) renewLease(id uint64, answer *message.StoreReply) {
+	lease := s.leases[id]
+	if lease == nil {
+		answer.Status = http.StatusNotFound
+		return
+	}
+	lease.expiresAt = s.sim.now + lease.ttl
+}
+
+// transact commits a transaction if all compared keys have the versions named. Limits that
+// the controllers know are invariants rather than refusals: a controller must not ask.
+func (s *keyValueStore) transact(transaction *api.Transaction, answer *message.StoreReply) {
+	limit := s.sim.scenario.MaxTransactionOps
+	if len(transaction.Writes) > limit || len(transaction.Compares) > comparesPerWrite*limit {
+		s.sim.checker.violatedf(invariantStoreLimits, "%d writes, %d conditions",
+			len(transaction.Writes), len(transaction.Compares))
+	}
+	for _, compare := range transaction.Compares {
+		version := uint64(0)
+		if value := s.keys[compare.Key]; value != nil {
+			version = value.version
+		}
+		if version != compare.Version {
+			answer.Status = http.StatusConflict
+			answer.Transaction.FailedKeys = append(answer.Transaction.FailedKeys, compare.Key)
+		}
+	}
+	answer.Transaction.Revision = s.revision
+	for _, write := range transaction.Writes {
+		if write.Lease != 0 && s.leases[write.Lease] == nil {
+			answer.Status, answer.Transaction.Error = http.StatusBadRequest, "no such lease"
+		}
+		if float64(len(write.Value)) > s.sim.scenario.ValueKB*bytesPerKB {
+			s.sim.checker.violatedf(invariantStoreLimits, "%s has %d bytes", write.Put, len(write.Value))
+		}
+	}
+	if answer.Status == http.StatusOK {
+		s.apply(transaction.Writes)
+		answer.Transaction.Revision = s.revision
+	}
+}
