--- a/internal/core/job_lookup.go
+++ b/internal/core/job_lookup.go
@@ -4,10 +4,11 @@
 	"spurmoor/internal/api"
 	"spurmoor/internal/cluster"
 	"spurmoor/internal/coordination"
+	"spurmoor/internal/message"
 	"spurmoor/internal/records"
 )
 
-// jobLookup finds the states of jobs for users.
+// jobLookup finds the states of jobs, and answers users who ask for them.
 type jobLookup struct {
 	*coordination.Environment
 	cache        *coordination.WatchCache
@@ -24,6 +25,13 @@
 	return &jobLookup{Environment: env, cache: cache, cluster: cluster, dependencies: dependencies}
 }
 
+// handleStatus answers GET /work/{id}.
+func (l *jobLookup) handleStatus(request message.GetStatus) {
+	l.lookUpOrRefuse(request.RequestID, request.ID, refusalNoSuchJob, func(status api.JobStatus) {
+		l.Answer(request.RequestID, statusOK, status)
+	})
+}
+
 // lookUpOrRefuse looks a job up for a request. A known job's state goes to known; a job
 // that was never accepted is answered with notFound, and one that cannot be looked up
 // with refusalStoreUnanswered.
--- a/internal/core/pure_test.go
+++ b/internal/core/pure_test.go
@@ -9,11 +9,12 @@
 	"testing"
 )
 
-// pure are the packages of the standard library that the state machine may use: none does input or output, reads a clock or starts a goroutine.
+// pure are the packages of the standard library that the state machine may use: none does
+// input or output, reads a clock or starts a goroutine.
 var pure = map[string]bool{
 	"cmp": true, "encoding/binary": true, "errors": true, "fmt": true, "log/slog": true, "maps": true, "math": true,
 	"math/rand/v2": true, "slices": true, "strconv": true, "strings": true,
-	// The end of a role is told to whoever sends orders by an atomic flag.
+	// An atomic flag tells whoever sends orders that a role has ended.
 	"sync/atomic": true,
 }
 
