--- /dev/null
+++ b/cmd/spurmoor/cancel.go
@@ -0,0 +1,18 @@
+package main
+
+import (
+	"github.com/spf13/cobra"
+	"github.com/valyala/fasthttp"
+)
+
+// cancelCommand gives the command that cancels a job.
+func cancelCommand(service *client) *cobra.Command {
+	return &cobra.Command{
+		Use:   "cancel ID",
+		Short: "Cancel a job",
+		Args:  cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			return service.printResponse(cmd, fasthttp.MethodPost, "/work/"+args[0]+"/cancel", nil)
+		},
+	}
+}
--- /dev/null
+++ b/cmd/spurmoor/check_test.go
@@ -0,0 +1,26 @@
+package main
+
+import (
+	"strings"
+	"testing"
+
+	"spurmoor/internal/settings"
+)
+
+// TestCheckWarns guards against a check that is silent about what a start warns of.
+func TestCheckWarns(t *testing.T) {
+	loaded := &settings.Settings{Operators: settings.Defaults(), TeamPartition: map[string]int{"norte": 1}}
+	loaded.Operators.Partitions = 2
+	loaded.Deployment.Teams = []settings.Team{{Name: "norte"}}
+	loaded.Deployment.Process.MaxConnections = 20 // far too few
+	var out strings.Builder
+	if err := printCheck(&out, loaded); err != nil {
+		t.Fatal(err)
+	}
+	if want := "norte: partition 1 of 2\n"; !strings.HasPrefix(out.String(), want) {
+		t.Errorf("shows %q, not %q first", out.String(), want)
+	}
+	if len(loaded.Warnings()) == 0 || !strings.Contains(out.String(), "warning: "+loaded.Warnings()[0]) {
+		t.Errorf("%q does not warn of %q", out.String(), loaded.Warnings())
+	}
+}
--- /dev/null
+++ b/cmd/spurmoor/history.go
@@ -0,0 +1,42 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"os"
+
+	"github.com/spf13/cobra"
+
+	"spurmoor/internal/history"
+)
+
+// historyCommand gives the command that sums up a history of orders.
+func historyCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:   "history FILE",
+		Short: "Sum up the orders that a controller kept with --orders",
+		Args:  cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			return printHistory(cmd.OutOrStdout(), args[0])
+		},
+	}
+}
+
+// printHistory sums up a history of orders, also one whose end is missing.
+func printHistory(out io.Writer, path string) error {
+	file, err := os.Open(path)
+	if err != nil {
+		return failed(err)
+	}
+	defer func() { _ = file.Close() }()
+	summary := history.NewSummary()
+	cut, err := history.Read(file, summary.Add)
+	if err != nil {
+		return fmt.Errorf("%s: %w", path, err)
+	}
+	if err := summary.Print(out); err != nil || !cut {
+		return failed(err)
+	}
+	_, err = fmt.Fprintln(out, "the file ends in the middle: its process was killed or still runs")
+	return failed(err)
+}
--- /dev/null
+++ b/cmd/spurmoor/roles.go
@@ -0,0 +1,105 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"maps"
+	"slices"
+	"strings"
+	"text/tabwriter"
+
+	"github.com/go-json-experiment/json"
+	"github.com/spf13/cobra"
+	"github.com/valyala/fasthttp"
+
+	"spurmoor/internal/api"
+)
+
+// rolesCommand gives the command that shows the roles' leaders.
+func rolesCommand(service *client) *cobra.Command {
+	var asJSON bool
+	cmd := &cobra.Command{
+		Use:   "duties",
+		Short: "Show who holds which duty, and what orders were refused",
+		Args:  cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			if asJSON {
+				return service.printResponse(cmd, fasthttp.MethodGet, "/duties", nil)
+			}
+			roles, err := service.roles()
+			if err != nil {
+				return err
+			}
+			return printRoles(cmd.OutOrStdout(), roles)
+		},
+	}
+	cmd.Flags().BoolVar(&asJSON, "json", false, "print the answer as it is")
+	return cmd
+}
+
+// roles gets the roles as the controller knows them.
+func (c *client) roles() (*api.Roles, error) {
+	text, err := c.request(fasthttp.MethodGet, "/duties", nil)
+	if err != nil {
+		return nil, err
+	}
+	roles := &api.Roles{}
+	if err := json.Unmarshal([]byte(text), roles); err != nil {
+		return nil, fmt.Errorf("%s: answer can't be read: %w", c.addr, err)
+	}
+	return roles, nil
+}
+
+// columnGap is how many spaces there are between two columns.
+const columnGap = 2
+
+// printRoles prints a line for each role, and one for what they have in common.
+func printRoles(out io.Writer, roles *api.Roles) error {
+	table := tabwriter.NewWriter(out, 0, 0, columnGap, ' ', 0)
+	lines := []string{"DUTY\tHOLDER\tTERM\tSINCE\tREMAINING\tORDERS REFUSED HERE"}
+	for _, role := range roles.Roles {
+		lines = append(lines, roleLine(role))
+	}
+	for _, line := range lines {
+		if _, err := fmt.Fprintln(table, line); err != nil {
+			return failed(err)
+		}
+	}
+	if err := table.Flush(); err != nil {
+		return failed(err)
+	}
+	_, err := fmt.Fprintf(out, "answered by %s; the fleet's duties have one holder each: %t; "+
+		"rentals are recorded first: %t; refused under no duty: %s\n",
+		roles.Node, roles.Exclusive, roles.RecordsRequests, refusedCounts(roles.RefusedOrders))
+	return failed(err)
+}
+
+// unknown stands for what the controller that answers does not know.
+const unknown = "-"
+
+// roleLine gives one role's columns.
+func roleLine(role api.RoleStatus) string {
+	leader, term, since, remaining := unknown, unknown, unknown, unknown
+	if role.Leader != "" {
+		leader = role.Leader
+	}
+	if role.Term > 0 {
+		term, since = fmt.Sprint(role.Term), fmt.Sprintf("%.1fs", role.SinceS)
+	}
+	if role.RemainingS != nil {
+		remaining = fmt.Sprintf("%.1fs", *role.RemainingS)
+	}
+	return strings.Join([]string{role.Role, leader, term, since, remaining, refusedCounts(role.RefusedOrders)}, "\t")
+}
+
+// refusedCounts gives counts of refused orders by action and reason, in order.
+func refusedCounts(refused map[string]int) string {
+	if len(refused) == 0 {
+		return "none"
+	}
+	var counts []string
+	for _, reason := range slices.Sorted(maps.Keys(refused)) {
+		counts = append(counts, fmt.Sprintf("%s: %d", reason, refused[reason]))
+	}
+	return strings.Join(counts, "; ")
+}
--- /dev/null
+++ b/cmd/spurmoor/run.go
@@ -0,0 +1,55 @@
+package main
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"os"
+	"os/signal"
+	"syscall"
+
+	"spurmoor/internal/history"
+	"spurmoor/internal/logkey"
+	"spurmoor/internal/server"
+	"spurmoor/internal/settings"
+)
+
+// orderHistoryMode lets others read the history of orders.
+const orderHistoryMode = 0o644
+
+// runController runs a controller until it is killed, or told to stop by SIGTERM or
+// SIGINT: then it resigns from its roles first. With a path it keeps a history of all
+// orders there, in a file that must not be there yet.
+func runController(ctx context.Context, loaded *settings.Settings, log *slog.Logger, ordersPath string) error {
+	ctx, cancel := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
+	defer cancel()
+	var orders *history.Writer // nil: none is kept
+	if ordersPath != "" {
+		file, err := os.OpenFile(ordersPath, os.O_WRONLY|os.O_CREATE|os.O_EXCL, orderHistoryMode)
+		if err != nil {
+			return exitError{exitSettings, fmt.Errorf("--orders: %w", err)}
+		}
+		defer func() { _ = file.Close() }()
+		orders, err = history.NewWriter(file, func(err error) { log.Error("order history stopped", logkey.Error, err) })
+		if err != nil {
+			return failed(err)
+		}
+	}
+	controller, err := server.New(loaded, log, orders)
+	if err != nil {
+		return failed(err)
+	}
+	return errors.Join(controller.Run(ctx), orders.Close())
+}
+
+// newLogger gives a log on standard error, of the level that LOG_LEVEL names.
+func newLogger() (*slog.Logger, error) {
+	var level slog.Level
+	if name := os.Getenv("LOG_LEVEL"); name != "" {
+		if err := level.UnmarshalText([]byte(name)); err != nil {
+			return nil, fmt.Errorf("LOG_LEVEL: %w", err)
+		}
+	}
+	return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})), nil
+}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -19,7 +19,7 @@
 type Heartbeat struct {
 	Version         int              `msgpack:"V"`
 	Node            string           `msgpack:"Node"`    // the sender
-	Healthy         bool             `msgpack:"StoreOK"` // the sender reaches the key-value store
+	Healthy         bool             `msgpack:"StoreOK"` // the sender could lead more partitions
 	IdleMachines    []IdleMachine    `msgpack:"Idle"`
 	MachineRequests []MachineRequest `msgpack:"Asks"`
 	// WriteRate is the sender's recent changes of the key-value store a second; 0: its
