--- a/internal/cluster/catalog.go
+++ b/internal/cluster/catalog.go
@@ -71,7 +71,7 @@
 
 func (c *MachineCatalog) catalogRead(reply *message.CloudReply) {
 	c.catalogReadInFlight = false
-	if reply.Status != statusOK || len(reply.Catalog.Types) == 0 {
+	if reply.Status != message.StatusOK || len(reply.Catalog.Types) == 0 {
 		c.NextCatalogReadAt = c.Now + c.Jitter(catalogRetryInterval)
 		return
 	}
--- a/internal/cluster/dependency_check.go
+++ b/internal/cluster/dependency_check.go
@@ -1,6 +1,9 @@
 package cluster
 
-import "spurmoor/internal/api"
+import (
+	"spurmoor/internal/api"
+	"spurmoor/internal/message"
+)
 
 // dependencyCheck makes sure that the jobs a submission depends on were accepted.
 type dependencyCheck struct {
@@ -27,7 +30,7 @@
 // that it does not show has ended or was never accepted.
 func (c *dependencyCheck) replicaRead(ok bool) {
 	if !ok {
-		c.answer(statusServiceUnavailable, "the state service did not answer")
+		c.answer(message.StatusServiceUnavailable, "the state service did not answer")
 		return
 	}
 	unknown := c.unknownDependencies()
@@ -37,7 +40,7 @@
 	}
 	limit := max(0, maxOutcomeReads-c.graph.outcomeReads)
 	if limit == 0 {
-		c.answer(statusServiceUnavailable, "too many submissions that name others at a time")
+		c.answer(message.StatusServiceUnavailable, "too many submissions that name others at a time")
 		return
 	}
 	// A long list is read in several tries of its user, each of which finds more of it
@@ -53,9 +56,9 @@
 func (c *dependencyCheck) outcomesRead(batch *outcomeBatch, complete bool) {
 	switch {
 	case batch.missing != "":
-		c.answer(statusUnprocessableEntity, batch.missing+" was never accepted")
+		c.answer(message.StatusUnprocessableEntity, batch.missing+" was never accepted")
 	case batch.failed || !complete:
-		c.answer(statusServiceUnavailable, "not all jobs that it names could be looked up")
+		c.answer(message.StatusServiceUnavailable, "not all jobs that it names could be looked up")
 	default:
 		c.accept()
 	}
@@ -77,7 +80,7 @@
 func (c *dependencyCheck) accept() {
 	for _, id := range c.spec.Dependencies {
 		if job := c.graph.cluster.Jobs[id]; job != nil && job.Spec.Kind == api.Service {
-			c.answer(statusUnprocessableEntity, id+" is a service: it is never done")
+			c.answer(message.StatusUnprocessableEntity, id+" is a service: it is never done")
 			return
 		}
 	}
--- a/internal/cluster/outcome_reading.go
+++ b/internal/cluster/outcome_reading.go
@@ -93,10 +93,10 @@
 
 // terminalRecordRead handles the store's reply to the read of a job's terminal record.
 func (g *DependencyGraph) terminalRecordRead(id string, reply *message.StoreReply) LookupResult {
-	if reply.Status == statusNotFound {
+	if reply.Status == message.StatusNotFound {
 		return JobNeverAccepted
 	}
-	if reply.Status != statusOK {
+	if reply.Status != message.StatusOK {
 		return LookupFailed
 	}
 	var record records.TerminalRecord
--- a/internal/core/cancellation.go
+++ b/internal/core/cancellation.go
@@ -55,7 +55,7 @@
 	job := h.cluster.Jobs[request.id]
 	switch {
 	case state == api.JobDone || state == api.JobCancelled:
-		h.Answer(request.requestID, statusOK, api.JobStatus{ID: request.id, State: state})
+		h.Answer(request.requestID, message.StatusOK, api.JobStatus{ID: request.id, State: state})
 	case job == nil || request.writesLeft == 0:
 		refuse(h.Environment, request.requestID, refusalStoreUnanswered)
 	default:
@@ -73,7 +73,7 @@
 		switch outcome {
 		case writeCommitted:
 			h.messenger.notifyCancelled(request.id)
-			h.Answer(request.requestID, statusOK, api.JobStatus{ID: request.id, State: api.JobCancelled})
+			h.Answer(request.requestID, message.StatusOK, api.JobStatus{ID: request.id, State: api.JobCancelled})
 		case writeConflict:
 			h.tryCancel(request)
 		default:
--- a/internal/core/command_reply.go
+++ b/internal/core/command_reply.go
@@ -33,7 +33,7 @@
 	if heartbeat == nil || !machine.IsNewer(heartbeat) {
 		return
 	}
-	if reply.Status == statusConflict {
+	if reply.Status == message.StatusConflict {
 		// We did not know the worker's incarnation: again with the right one.
 		h.observeIncarnation(machine, heartbeat.Incarnation)
 		machine.NextCommandAt = h.Now
@@ -47,7 +47,7 @@
 // heartbeatOf gives the heartbeat that a reply carries; nil: it has none of the machine
 // that was asked.
 func heartbeatOf(reply message.CommandReply) *api.Heartbeat {
-	answered := reply.Status == statusOK || reply.Status == statusConflict
+	answered := reply.Status == message.StatusOK || reply.Status == message.StatusConflict
 	if !answered || reply.Heartbeat == nil || reply.Heartbeat.Machine != reply.Machine {
 		return nil
 	}
--- a/internal/core/explanation.go
+++ b/internal/core/explanation.go
@@ -56,10 +56,10 @@
 	x.jobs.lookUpOrRefuse(request.RequestID, request.ID, refusalNoSuchJob, func(status api.JobStatus) {
 		job := x.cluster.Jobs[request.ID]
 		if job == nil || job.Terminal || job.Cancelled {
-			x.Answer(request.RequestID, statusOK, api.Explanation{ID: request.ID, State: status.State})
+			x.Answer(request.RequestID, message.StatusOK, api.Explanation{ID: request.ID, State: status.State})
 			return
 		}
-		x.Answer(request.RequestID, statusOK, x.explainUnfinished(job, status.State))
+		x.Answer(request.RequestID, message.StatusOK, x.explainUnfinished(job, status.State))
 	})
 }
 
--- a/internal/core/job_lookup.go
+++ b/internal/core/job_lookup.go
@@ -28,7 +28,7 @@
 // handleStatus answers GET /work/{id}.
 func (l *jobLookup) handleStatus(request message.GetStatus) {
 	l.lookUpOrRefuse(request.RequestID, request.ID, refusalNoSuchJob, func(status api.JobStatus) {
-		l.Answer(request.RequestID, statusOK, status)
+		l.Answer(request.RequestID, message.StatusOK, status)
 	})
 }
 
--- a/internal/core/job_writer.go
+++ b/internal/core/job_writer.go
@@ -44,10 +44,10 @@
 	w.budget.ChargeWrites(1)
 	w.CallStore(call, func(reply *message.StoreReply) {
 		switch reply.Status {
-		case statusOK:
+		case message.StatusOK:
 			w.applyOwnWrite(key, record, reply.Transaction.Revision)
 			done(writeCommitted)
-		case statusConflict:
+		case message.StatusConflict:
 			done(writeConflict)
 		default:
 			done(writeUnknown)
--- a/internal/core/readiness.go
+++ b/internal/core/readiness.go
@@ -41,7 +41,7 @@
 		refuse(h.Environment, request.RequestID, refusalNotReady(current))
 		return
 	}
-	h.Answer(request.RequestID, statusOK, api.Readiness{Condition: string(current)})
+	h.Answer(request.RequestID, message.StatusOK, api.Readiness{Condition: string(current)})
 }
 
 // isReady tells whether this controller can serve users. Where the store answers no
--- a/internal/core/refusals.go
+++ b/internal/core/refusals.go
@@ -3,6 +3,7 @@
 import (
 	"spurmoor/internal/api"
 	"spurmoor/internal/coordination"
+	"spurmoor/internal/message"
 )
 
 // refusal is why a request of a user or a worker is not carried out, and when to try again.
@@ -26,54 +27,55 @@
 // Refusals of requests of users and workers alike.
 var (
 	refusalNotSynced = refusal{
-		status: statusServiceUnavailable, reason: "the state service has not been read yet", retryAfterS: retrySoonS,
+		status: message.StatusServiceUnavailable, reason: "the state service has not been read yet", retryAfterS: retrySoonS,
 	}
 	refusalStoreUnanswered = refusal{
-		status: statusServiceUnavailable, reason: "the state service did not answer", retryAfterS: retrySoonS,
+		status: message.StatusServiceUnavailable, reason: "the state service did not answer", retryAfterS: retrySoonS,
 	}
 )
 
 // Refusals of users' requests.
 var (
 	refusalStoreUnavailable = refusal{
-		status: statusServiceUnavailable, reason: "the state service does not answer", retryAfterS: retrySoonS,
+		status: message.StatusServiceUnavailable, reason: "the state service does not answer", retryAfterS: retrySoonS,
 	}
 	refusalStoreBusy = refusal{
-		status: statusServiceUnavailable, reason: "the state service is busy", retryAfterS: retrySoonS,
+		status: message.StatusServiceUnavailable, reason: "the state service is busy", retryAfterS: retrySoonS,
 	}
 	refusalNoSuchJob = refusal{
-		status: statusNotFound, reason: "no such job", retryAfterS: retryNever,
+		status: message.StatusNotFound, reason: "no such job", retryAfterS: retryNever,
 	}
 )
 
 // Refusals of submissions, by admission control.
 var (
 	refusalCatalogUnknown = refusal{
-		status: statusServiceUnavailable, reason: "the machine types are not known yet", retryAfterS: retryLaterS,
+		status: message.StatusServiceUnavailable, reason: "the machine types are not known yet", retryAfterS: retryLaterS,
 	}
 	refusalUnknownTeam = refusal{
-		status: statusUnprocessableEntity, reason: "unknown team", retryAfterS: retryNever,
+		status: message.StatusUnprocessableEntity, reason: "unknown team", retryAfterS: retryNever,
 	}
 	refusalFitsNoMachine = refusal{
-		status: statusUnprocessableEntity, reason: "a task fits no allowed machine type", retryAfterS: retryNever,
+		status: message.StatusUnprocessableEntity, reason: "a task fits no allowed machine type", retryAfterS: retryNever,
 	}
 	refusalExceedsTeamLimit = refusal{
-		status: statusUnprocessableEntity, reason: "the job needs more than the team's limit", retryAfterS: retryNever,
+		status: message.StatusUnprocessableEntity, reason: "the job needs more than the team's limit", retryAfterS: retryNever,
 	}
 	refusalTooLong = refusal{
-		status: statusBadRequest, reason: "the job's description is too long", retryAfterS: retryNever,
+		status: message.StatusBadRequest, reason: "the job's description is too long", retryAfterS: retryNever,
 	}
 	refusalTooManyJobs = refusal{
-		status: statusTooManyRequests, reason: "too many unfinished jobs", retryAfterS: retryAfterJobsEndS,
+		status: message.StatusTooManyRequests, reason: "too many unfinished jobs", retryAfterS: retryAfterJobsEndS,
 	}
 	refusalDependsOnItself = refusal{
-		status: statusUnprocessableEntity, reason: "the job waits for itself", retryAfterS: retryNever,
+		status: message.StatusUnprocessableEntity, reason: "the job waits for itself", retryAfterS: retryNever,
 	}
 	refusalDependenciesUnreadable = refusal{
-		status: statusServiceUnavailable, reason: "not all controllers know jobs that wait for jobs yet", retryAfterS: retryLaterS,
+		status: message.StatusServiceUnavailable, reason: "not all controllers know jobs that wait for jobs yet", retryAfterS: retryLaterS,
 	}
 	refusalTooManyDependencies = refusal{
-		status: statusServiceUnavailable, reason: "it waits for more unfinished jobs than can be recorded", retryAfterS: retryAfterJobsEndS,
+		status: message.StatusServiceUnavailable, reason: "it waits for more unfinished jobs than can be recorded",
+		retryAfterS: retryAfterJobsEndS,
 	}
 )
 
@@ -81,24 +83,24 @@
 // worker's lease.
 var (
 	refusalOtherMachine = refusal{
-		status: statusBadRequest, reason: "not the machine that was rented", retryAfterS: retryNever,
+		status: message.StatusBadRequest, reason: "not the machine that was rented", retryAfterS: retryNever,
 	}
 	// refusalLeaseMustExpire is explained at mustLetLeaseExpire.
 	refusalLeaseMustExpire = refusal{
-		status: statusServiceUnavailable, reason: "a cancelled task may still start there", retryAfterS: retrySoonS,
+		status: message.StatusServiceUnavailable, reason: "a cancelled task may still start there", retryAfterS: retrySoonS,
 	}
 	// refusalTokenOutranked: the worker obeys a later leader, which our replica does not show yet.
 	refusalTokenOutranked = refusal{
-		status: statusServiceUnavailable, reason: "not entitled", retryAfterS: retrySoonS,
+		status: message.StatusServiceUnavailable, reason: "not entitled", retryAfterS: retrySoonS,
 	}
 	refusalHeartbeatOvertaken = refusal{
-		status: statusServiceUnavailable, reason: "a newer report was seen", retryAfterS: retrySoonS,
+		status: message.StatusServiceUnavailable, reason: "a newer report was seen", retryAfterS: retrySoonS,
 	}
 )
 
 // refusalMalformed refuses a submission that is no valid job.
 func refusalMalformed(err error) refusal {
-	return refusal{status: statusBadRequest, reason: err.Error(), retryAfterS: retryNever}
+	return refusal{status: message.StatusBadRequest, reason: err.Error(), retryAfterS: retryNever}
 }
 
 // refusalByDependencies refuses a submission for the jobs that it names.
@@ -108,7 +110,7 @@
 
 // refusalNotReady tells a health check what keeps this controller from serving users.
 func refusalNotReady(current condition) refusal {
-	return refusal{status: statusServiceUnavailable, reason: string(current), retryAfterS: retrySoonS}
+	return refusal{status: message.StatusServiceUnavailable, reason: string(current), retryAfterS: retrySoonS}
 }
 
 // refuse answers a request with a refusal.
@@ -119,5 +121,5 @@
 // redirect answers a heartbeat that this controller must not answer 200; leader is the
 // node to turn to, "" if none is known.
 func redirect(env *coordination.Environment, requestID uint64, leader string) {
-	env.Answer(requestID, statusMisdirectedRequest, api.Redirect{To: leader})
+	env.Answer(requestID, message.StatusMisdirectedRequest, api.Redirect{To: leader})
 }
--- a/internal/core/submission.go
+++ b/internal/core/submission.go
@@ -127,11 +127,11 @@
 // another controller: then the answer is from a new read.
 func (h *submissionHandler) confirmAccepted(job *submission) {
 	if len(job.spec.Dependencies) == 0 && h.Now < job.sentAt+coordination.MaxReadAge {
-		h.Answer(job.requestID, statusCreated, api.JobStatus{ID: job.spec.ID, State: api.JobPending})
+		h.Answer(job.requestID, message.StatusCreated, api.JobStatus{ID: job.spec.ID, State: api.JobPending})
 		return
 	}
 	h.jobs.lookUpOrRefuse(job.requestID, job.spec.ID, refusalStoreUnanswered, func(status api.JobStatus) {
-		h.Answer(job.requestID, statusCreated, api.JobStatus{ID: job.spec.ID, State: status.State})
+		h.Answer(job.requestID, message.StatusCreated, api.JobStatus{ID: job.spec.ID, State: status.State})
 	})
 }
 
@@ -143,6 +143,6 @@
 		return
 	}
 	h.jobs.lookUpOrRefuse(requestID, id, why, func(status api.JobStatus) {
-		h.Answer(requestID, statusOK, status)
+		h.Answer(requestID, message.StatusOK, status)
 	})
 }
--- a/internal/core/worker_heartbeat.go
+++ b/internal/core/worker_heartbeat.go
@@ -83,7 +83,7 @@
 	h.extendWorkerLease(machine)
 	response := api.HeartbeatResponse{FencingToken: h.cluster.FencingToken(machine), Commands: commands}
 	grant := h.storeLease.CommandGrant(h.cluster.Partitions[machine.Record.Partition].RoleState)
-	h.Answer(request.RequestID, statusOK, leadership.NewOrder(grant, response))
+	h.Answer(request.RequestID, message.StatusOK, leadership.NewOrder(grant, response))
 }
 
 // isRecordedAs tells whether a heartbeat comes from a machine like the one that was launched.
--- a/internal/planning/direct_commands.go
+++ b/internal/planning/direct_commands.go
@@ -17,7 +17,7 @@
 	// unless something new is to be said.
 	commandInterval = 2 * micros.Second
 	// commandsRefused is a worker's status for commands of which it carried out none.
-	commandsRefused = 409
+	commandsRefused = message.StatusConflict
 	// commandsUnanswered is the status where no answer came.
 	commandsUnanswered = 0
 )
--- a/internal/provisioning/instance_deletion.go
+++ b/internal/provisioning/instance_deletion.go
@@ -96,7 +96,7 @@
 	call := message.CloudCall{Op: message.OpDelete, Delete: leadership.NewOrder(grant, names)}
 	d.CallCloud(call, func(reply *message.CloudReply) {
 		d.deleteInFlight = false
-		d.handleDeleteReply(names, reply.Status == statusOK)
+		d.handleDeleteReply(names, reply.Status == message.StatusOK)
 	})
 }
 
--- a/internal/provisioning/instance_list.go
+++ b/internal/provisioning/instance_list.go
@@ -102,7 +102,7 @@
 func (l *InstanceList) requestPage(after string) {
 	call := message.CloudCall{Op: message.OpListInstances, After: after}
 	l.CallCloud(call, func(reply *message.CloudReply) {
-		if reply.Status != statusOK {
+		if reply.Status != message.StatusOK {
 			l.listInFlight = false
 			l.NextListAt = l.Now + l.Jitter(listRetryInterval)
 			return
--- a/internal/provisioning/provisioner.go
+++ b/internal/provisioning/provisioner.go
@@ -16,11 +16,7 @@
 )
 
 // The cloud's answers that differ in what follows from them; 0 means that none came.
-const (
-	statusNoReply         = 0
-	statusOK              = 200
-	statusTooManyRequests = 429
-)
+const ()
 
 // Provisioner requests machines from the cloud and has those that are launched recorded.
 type Provisioner struct {
--- a/internal/provisioning/request_sending.go
+++ b/internal/provisioning/request_sending.go
@@ -74,15 +74,15 @@
 	case reply.Unsent:
 		request.attempts--
 		request.nextSendAt = p.Now + requestRetryInterval
-	case reply.Status == statusOK:
+	case reply.Status == message.StatusOK:
 		p.recordLaunched(partition, request, reply.Launched)
-	case reply.Status == statusNoReply && request.attempts < maxRequestAttempts:
+	case reply.Status == message.StatusNoReply && request.attempts < maxRequestAttempts:
 		// Whether it was carried out is not known: the same name gives the same
 		// machines.
 		request.outcomeUnknown = true
 		p.sendRequest(partition, request)
 	default:
-		request.outcomeUnknown = request.outcomeUnknown || reply.Status == statusNoReply
+		request.outcomeUnknown = request.outcomeUnknown || reply.Status == message.StatusNoReply
 		p.handleRefusal(partition, request, reply.Status)
 	}
 }
@@ -97,7 +97,7 @@
 	} else {
 		ledger.withdraw(request)
 	}
-	if status == statusTooManyRequests {
+	if status == message.StatusTooManyRequests {
 		return // we called too often: it says nothing of the cloud's capacity
 	}
 	p.unavailableUntil[request.kind] = p.Now + p.Jitter(p.refusalMemory())
