--- a/internal/core/command_reply.go
+++ b/internal/core/command_reply.go
@@ -28,7 +28,7 @@
 	if h.cluster.LedPartition(machine) == nil {
 		return
 	}
-	h.manager.SettleDirectStarts(machine, reply)
+	h.manager.ResolveDirectStarts(machine, reply)
 	heartbeat := heartbeatOf(reply)
 	if heartbeat == nil || !machine.IsNewer(heartbeat) {
 		return
--- a/internal/core/components.go
+++ b/internal/core/components.go
@@ -47,11 +47,11 @@
 	deleter      *provisioning.InstanceDeleter
 
 	// Planning, and the care for machines by the plans.
-	isolation    *planning.IsolationGuard
+	isolation    *planning.IsolationMonitor
 	urgencies    *planning.UrgencyIndex
 	view         *planning.SchedulerView
 	reservations *planning.ReservationPlanner
-	lending      *planning.MachineLending
+	lending      *planning.MachineLender
 	manager      *planning.MachineManager
 	scheduling   *planning.SchedulingCycle
 
@@ -134,13 +134,13 @@
 
 // makePlanning makes what plans, and what looks after machines by the plans.
 func (c *Controller) makePlanning(env *coordination.Environment) {
-	c.isolation = planning.NewIsolationGuard(env, c.cluster, c.peers, c.roles, c.workerReach)
+	c.isolation = planning.NewIsolationMonitor(env, c.cluster, c.peers, c.roles, c.workerReach)
 	c.urgencies = planning.NewUrgencyIndex(env, c.catalog, c.cluster, c.dependencies)
 	c.view = planning.NewSchedulerView(env, c.cluster, c.tasks, c.urgencies)
 	c.reservations = planning.NewReservationPlanner(
 		env, c.boots, c.cluster, c.registry, c.tasks, c.urgencies, c.view,
 	)
-	c.lending = planning.NewMachineLending(
+	c.lending = planning.NewMachineLender(
 		env, c.cluster, c.peers, c.registry, c.reservations, c.urgencies, c.view,
 	)
 	c.manager = planning.NewMachineManager(
--- a/internal/core/condition.go
+++ b/internal/core/condition.go
@@ -39,7 +39,7 @@
 	*coordination.Environment
 	cache       *coordination.WatchCache
 	cluster     *cluster.State
-	isolation   *planning.IsolationGuard
+	isolation   *planning.IsolationMonitor
 	peers       *coordination.PeerTracker
 	storeHealth *coordination.StoreHealth
 	workerReach *coordination.WorkerReach
@@ -54,7 +54,7 @@
 	env *coordination.Environment,
 	cache *coordination.WatchCache,
 	cluster *cluster.State,
-	isolation *planning.IsolationGuard,
+	isolation *planning.IsolationMonitor,
 	peers *coordination.PeerTracker,
 	health *coordination.StoreHealth,
 	reach *coordination.WorkerReach,
@@ -73,7 +73,7 @@
 		return t.conditionWithoutStore()
 	case !t.cache.Synced:
 		return conditionNotSynced
-	case t.workerReach.IsolatedFromWorkers || t.isolation.UnreachedSince > 0:
+	case t.workerReach.IsolatedFromWorkers || t.isolation.NoWorkerContactSince > 0:
 		return conditionNoWorkers
 	}
 	return conditionHealthy
--- a/internal/core/controller.go
+++ b/internal/core/controller.go
@@ -105,7 +105,7 @@
 	c.isolation.ProbeWorkers()
 	// What was already requested of the cloud is repeated before the plan requests more.
 	c.reconcileCloud()
-	c.scheduling.RunSchedulingCycle()
+	c.scheduling.RunIfDue()
 	// What was just planned is committed at once, not with the next input.
 	c.partitionLog.CommitChanges()
 	// The heartbeat tells the other controllers what the plan wants of them and leaves idle.
--- a/internal/core/peer_messenger.go
+++ b/internal/core/peer_messenger.go
@@ -41,7 +41,7 @@
 	cache       *coordination.WatchCache
 	cluster     *cluster.State
 	instances   *provisioning.InstanceList
-	lending     *planning.MachineLending
+	lending     *planning.MachineLender
 	peers       *coordination.PeerTracker
 	roles       *coordination.RoleManager
 	scheduling  *planning.SchedulingCycle
@@ -59,7 +59,7 @@
 	cache *coordination.WatchCache,
 	cluster *cluster.State,
 	instances *provisioning.InstanceList,
-	lending *planning.MachineLending,
+	lending *planning.MachineLender,
 	peers *coordination.PeerTracker,
 	roles *coordination.RoleManager,
 	scheduling *planning.SchedulingCycle,
--- a/internal/planning/direct_commands.go
+++ b/internal/planning/direct_commands.go
@@ -11,22 +11,26 @@
 )
 
 const (
-	// MaxCommands keeps an answer's one line below 64 KiB.
+	// MaxCommands limits the commands to a machine in one message, so that an answer,
+	// which is a single line, stays below 64 KiB.
 	MaxCommands = 400
-	// commandInterval is the least time between two sets of direct commands to a machine,
-	// unless something new is to be said.
+	// commandInterval is the minimum time between two sets of direct commands to a
+	// machine, unless there is something new to send.
 	commandInterval = 2 * micros.Second
-	// commandsRefused is a worker's status for commands of which it carried out none.
+	// commandsRefused is the status with which a worker answers commands of which it
+	// carried out none.
 	commandsRefused = message.StatusConflict
-	// commandsUnanswered is the status where no answer came.
+	// commandsUnanswered is the status if no answer came.
 	commandsUnanswered = 0
 )
 
 // sendDueCommands sends a machine the commands that should not wait for its next
-// heartbeat; the others go with the answers to heartbeats. A machine whose heartbeat is
-// late is sent a command before it is taken for dead: where two controllers were cut off
-// its heartbeat went to both of them first, five seconds each, and two hundred machines
-// at work were deleted.
+// heartbeat. All others go with the answers to heartbeats.
+//
+// A machine whose heartbeat is late is sent a message even without commands, before it is
+// treated as failed. When two controllers are cut off, its heartbeat goes to both of them
+// first, for five seconds each. Without the message, two hundred machines at work were
+// deleted in that case.
 func (m *MachineManager) sendDueCommands(machine *cluster.Machine) {
 	machine.NextCommandAt = m.Now + commandInterval
 	if machine.Address == "" || machine.RecordChangePending() {
@@ -39,8 +43,8 @@
 	}
 }
 
-// directCommands lists the commands worth sending at once: stops of tasks that must stop
-// and have not begun to, and the first start of each task.
+// directCommands returns the commands that are sent at once: stops of tasks that must
+// stop and have not begun to, and the first start of each task.
 func (m *MachineManager) directCommands(machine *cluster.Machine) []api.Command {
 	var commands []api.Command
 	for _, id := range machine.TaskIDsCopy() {
@@ -62,7 +66,8 @@
 	return commands
 }
 
-// shouldStartDirectly tells whether a task waits for its first start, and may be started.
+// shouldStartDirectly reports whether a task waits for its first start and may be
+// started.
 func (m *MachineManager) shouldStartDirectly(machine *cluster.Machine, job *cluster.Job, index int) bool {
 	task := job.Task(index)
 	if task.Observed || task.DirectStartToken > 0 || job.Partition != machine.Record.Partition {
@@ -71,12 +76,14 @@
 	return !m.tasks.MustStop(job, task) && job.IsCommitted(index) && m.tasks.MayStartOn(machine, job)
 }
 
-// shouldStopDirectly tells whether a task runs that must stop.
+// shouldStopDirectly reports whether a task must stop, was reported by its worker, and is
+// not yet saving a checkpoint.
 func (m *MachineManager) shouldStopDirectly(job *cluster.Job, task *cluster.Task) bool {
 	return task.Observed && task.ReportedState != api.TaskCheckpointing && m.tasks.MustStop(job, task)
 }
 
-// sendCommands sends direct commands; none at all still raise the worker's fencing token.
+// sendCommands sends direct commands. An empty list still raises the worker's fencing
+// token.
 func (m *MachineManager) sendCommands(machine *cluster.Machine, commands []api.Command) {
 	machine.CommandInFlight = true
 	if commands == nil {
@@ -98,12 +105,12 @@
 
 func isStart(command api.Command) bool { return command.Op == api.CommandStart }
 
-// SettleDirectStarts takes in what an answer, or its absence, says of the direct starts
-// that were sent with it.
-func (m *MachineManager) SettleDirectStarts(machine *cluster.Machine, reply message.CommandReply) {
+// ResolveDirectStarts updates the direct starts on a machine after the worker replied to
+// the commands that carried them, or did not reply.
+func (m *MachineManager) ResolveDirectStarts(machine *cluster.Machine, reply message.CommandReply) {
 	if reply.Status == commandsUnanswered && reply.StartsTasks && !reply.Unsent {
-		// The start may be carried out minutes late. A higher token, once the worker
-		// has seen it, makes that impossible.
+		// The start may still be carried out minutes late. Once the worker has seen a
+		// higher token, that is impossible.
 		machine.StartOutcomeUnknown = true
 	}
 	carriedOutNone := reply.Status == commandsRefused || reply.Unsent
--- a/internal/planning/fixture_test.go
+++ b/internal/planning/fixture_test.go
@@ -17,13 +17,13 @@
 // bootS is the boot time of the machines in these tests, in seconds.
 const bootS = 30
 
-// fixture is a controller of two partitions that leads the first, as far as the components
-// of this package need one. The time is 1,000 s.
+// fixture holds the components of a controller that leads the first of two partitions, as
+// far as the tests of this package need them. Its time is 1,000 s.
 type fixture struct {
 	env          *coordination.Environment
 	state        *cluster.State
 	peers        *coordination.PeerTracker
-	lending      *MachineLending
+	lender       *MachineLender
 	reservations *ReservationPlanner
 	manager      *MachineManager
 }
@@ -32,12 +32,12 @@
 	t.Helper()
 	operators := settings.Defaults()
 	operators.Parts = 2
-	set := &settings.Settings{Operators: operators}
-	set.Node = "nodo-1"
-	set.Deployment.Workers.ReportS = 3
-	set.Deployment.Workers.LeaseS = 20
-	set.Deployment.Teams = []settings.Team{{Name: "team", GuaranteedGPUs: 8}}
-	env := coordination.NewEnvironment(set, 1, rand.New(rand.NewPCG(1, 1)))
+	config := &settings.Settings{Operators: operators}
+	config.Node = "nodo-1"
+	config.Deployment.Workers.ReportS = 3
+	config.Deployment.Workers.LeaseS = 20
+	config.Deployment.Teams = []settings.Team{{Name: "team", GuaranteedGPUs: 8}}
+	env := coordination.NewEnvironment(config, 1, rand.New(rand.NewPCG(1, 1)))
 	env.Now = 1000 * micros.Second
 
 	roles := coordination.NewRoleManager(env, nil, nil, nil, nil, nil, nil, nil)
@@ -46,7 +46,7 @@
 	state := cluster.NewState(env, nil, roles)
 	own := leadership.Claim{Node: "nodo-1", Incarnation: 1}
 	if !state.Partitions[0].Observe(env.Now, own, 5, own, true) {
-		t.Fatal("the first partition is not led")
+		t.Fatal("first partition led: got false, want true")
 	}
 	peers := coordination.NewPeerTracker(env, nil)
 	tasks := cluster.NewTaskLifecycle(env, state, lease, trigger)
@@ -59,14 +59,14 @@
 		state:        state,
 		peers:        peers,
 		reservations: reservations,
-		lending:      NewMachineLending(env, state, peers, nil, reservations, urgencies, view),
+		lender:       NewMachineLender(env, state, peers, nil, reservations, urgencies, view),
 		manager:      NewMachineManager(env, boots, state, nil, nil, reservations, lease, tasks),
 	}
 }
 
-// idleMachine adds a machine of the first partition that was up for long, and heard just
-// now, with nothing to do.
-func (f *fixture) idleMachine(t *testing.T) *cluster.Machine {
+// addIdleMachine adds a machine of the first partition that has been up for a long time,
+// was heard from just now, and has nothing to do.
+func (f *fixture) addIdleMachine(t *testing.T) *cluster.Machine {
 	t.Helper()
 	longAgo := f.env.Now - 300*micros.Second
 	machine := &cluster.Machine{
@@ -87,8 +87,9 @@
 	return machine
 }
 
-// run adds a job of the second partition with one task on a machine, placed long ago.
-func (f *fixture) run(machine *cluster.Machine, id string, spec api.Job) *cluster.Task {
+// placeTask adds a job of the second partition with one task, which was placed on the
+// machine long ago.
+func (f *fixture) placeTask(machine *cluster.Machine, id string, spec api.Job) *cluster.Task {
 	spec.Team = "team"
 	spec.Tasks = 1
 	job := f.state.AddJob(id, spec)
--- a/internal/planning/isolation.go
+++ b/internal/planning/isolation.go
@@ -7,126 +7,135 @@
 	"spurmoor/internal/micros"
 )
 
-// IsolationGuard gives our roles up when no worker reaches this controller, and finds out
-// when one does again.
-type IsolationGuard struct {
+// IsolationMonitor resigns this controller's roles when no worker reaches it, and probes
+// workers to find out when one does again.
+type IsolationMonitor struct {
 	*coordination.Environment
 	cluster     *cluster.State
 	peers       *coordination.PeerTracker
 	roles       *coordination.RoleManager
 	workerReach *coordination.WorkerReach
 
-	UnreachedSince micros.Micros // since when no worker reaches us; 0: workers do
-	nextProbeAt    micros.Micros
-	nextProbeIndex int // where probing goes on in the machines by name; it only grows
+	NoWorkerContactSince micros.Micros // when it was found that no worker reaches this controller; 0: workers do
+	nextProbeAt          micros.Micros
+	nextProbeIndex       int // where in the machines by name the next probes start; it only grows
 }
 
-// NewIsolationGuard makes an isolation guard.
-func NewIsolationGuard(
+// NewIsolationMonitor returns a monitor that has not detected isolation.
+func NewIsolationMonitor(
 	env *coordination.Environment,
 	state *cluster.State,
 	peers *coordination.PeerTracker,
 	roles *coordination.RoleManager,
 	reach *coordination.WorkerReach,
-) *IsolationGuard {
-	return &IsolationGuard{Environment: env, cluster: state, peers: peers, roles: roles, workerReach: reach}
+) *IsolationMonitor {
+	return &IsolationMonitor{Environment: env, cluster: state, peers: peers, roles: roles, workerReach: reach}
 }
 
 const (
-	// A machine, or all of them, that was silent for so much of the time after which a
-	// machine is scaled in counts as likely cut off: before the first one is scaled in
-	// there is time to find out whether it is us.
-	likelyCutOffNumerator   = 2
-	likelyCutOffDenominator = 3
-	// minMachinesToJudge must be up for their silence to say anything of our own network.
-	minMachinesToJudge = 2
-	// minIsolationSilence is the least time without any heartbeat that counts.
-	minIsolationSilence = 5 * micros.Second
-	// missedHeartbeatsOfAll is how many heartbeats of all machines together must be
-	// missing.
-	missedHeartbeatsOfAll = 20
-	// isolationConfirmation is how long no worker may reach us before roles are given up.
-	isolationConfirmation = 2 * micros.Second
-	// probeInterval is the time between probes, each of probesAtOnce workers.
-	probeInterval = 2 * micros.Second
-	probesAtOnce  = 3
+	// A machine, or all machines together, that was silent for this fraction of the
+	// heartbeat timeout counts as likely unreachable. Machines are scaled in only after
+	// the whole timeout, so there is time to find out whether it is this controller that
+	// is cut off.
+	likelyUnreachableNumerator   = 2
+	likelyUnreachableDenominator = 3
+	// minMachinesForDetection is how many machines must be up for their silence to say
+	// anything about this controller's own network.
+	minMachinesForDetection = 2
+	// minIsolationTimeout is the shortest time without any heartbeat that counts as
+	// isolation.
+	minIsolationTimeout = 5 * micros.Second
+	// minMissedHeartbeats is how many heartbeats must be missing for isolation, over all
+	// machines together.
+	minMissedHeartbeats = 20
+	// isolationConfirmationTime is how long a detected isolation must last before roles
+	// are resigned.
+	isolationConfirmationTime = 2 * micros.Second
+	// probeInterval is the time between two rounds of probes. Each round probes
+	// probesPerRound workers.
+	probeInterval  = 2 * micros.Second
+	probesPerRound = 3
 )
 
-// likelyCutOffSilence is how long something must be silent to count as likely cut off.
-func (g *IsolationGuard) likelyCutOffSilence() micros.Micros {
-	return g.Settings.HeartbeatTimeout() * likelyCutOffNumerator / likelyCutOffDenominator
+// likelyUnreachableTimeout returns how long a machine, or all machines together, must be
+// silent to count as likely unreachable.
+func (m *IsolationMonitor) likelyUnreachableTimeout() micros.Micros {
+	return m.Settings.HeartbeatTimeout() * likelyUnreachableNumerator / likelyUnreachableDenominator
 }
 
-// resignIfIsolated gives our roles up when no worker of any partition reaches us, although
-// another controller is healthy: the cut may be ours alone. machinesUp is how many
-// machines of ours sent a heartbeat before. Judged by each machine's own silence, a
-// controller that was cut off went on borrowing machines, each of which counted as heard,
-// until the leases of the tasks on all of its own had expired.
-func (g *IsolationGuard) resignIfIsolated(machinesUp int) {
-	if machinesUp < minMachinesToJudge || g.silenceOfAll() < g.isolationSilence(machinesUp) {
-		g.UnreachedSince = 0
+// resignIfIsolated resigns this controller's roles when no worker of any partition
+// reaches it although another controller is healthy: only this controller may be cut off.
+// machinesUp is how many of its machines have sent a heartbeat.
+//
+// The silence of single machines is not enough to detect this. A controller that is cut
+// off goes on borrowing machines, each of which counts as heard from, until the leases of
+// the tasks on all its own machines have expired.
+func (m *IsolationMonitor) resignIfIsolated(machinesUp int) {
+	if machinesUp < minMachinesForDetection || m.timeSinceWorkerContact() < m.isolationTimeout(machinesUp) {
+		m.NoWorkerContactSince = 0
 		return
 	}
-	if g.UnreachedSince == 0 {
-		g.UnreachedSince = g.Now
+	if m.NoWorkerContactSince == 0 {
+		m.NoWorkerContactSince = m.Now
 	}
-	confirmed := g.Now >= g.UnreachedSince+isolationConfirmation
-	if !confirmed || !g.peers.HealthyPeerKnown() || g.Now < g.workerReach.NoFailoverBefore {
+	confirmed := m.Now >= m.NoWorkerContactSince+isolationConfirmationTime
+	if !confirmed || !m.peers.HealthyPeerKnown() || m.Now < m.workerReach.NoFailoverBefore {
 		return
 	}
-	g.UnreachedSince = 0
-	g.workerReach.Isolate()
-	for _, role := range g.roles.Roles {
+	m.NoWorkerContactSince = 0
+	m.workerReach.Isolate()
+	for _, role := range m.roles.Roles {
 		if role.Leads() {
-			g.roles.ResignRole(role, "no worker reaches this controller")
+			m.roles.ResignRole(role, "no worker reaches this controller")
 		}
 	}
 }
 
-// silenceOfAll is how long no worker reached us, counted from the failover to us of the
-// partition that we got last.
-func (g *IsolationGuard) silenceOfAll() micros.Micros {
-	silence := g.Now
-	for _, partition := range g.cluster.Partitions {
+// timeSinceWorkerContact returns how long no worker has reached this controller, counted
+// at the earliest from when it acquired its latest partition.
+func (m *IsolationMonitor) timeSinceWorkerContact() micros.Micros {
+	elapsed := m.Now
+	for _, partition := range m.cluster.Partitions {
 		if partition.Leads() {
-			silence = min(silence, g.Now-max(g.workerReach.LastWorkerContactAt, partition.AcquiredAt))
+			elapsed = min(elapsed, m.Now-max(m.workerReach.LastWorkerContactAt, partition.AcquiredAt))
 		}
 	}
-	return silence
+	return elapsed
 }
 
-// isolationSilence is how long no worker may reach us: the more machines are up, the sooner
-// silence is certain. There must be two at least.
-func (g *IsolationGuard) isolationSilence(machinesUp int) micros.Micros {
-	heartbeatInterval := micros.FromSeconds(g.Settings.Deployment.Workers.ReportS)
-	missed := missedHeartbeatsOfAll * heartbeatInterval / micros.Micros(machinesUp)
-	return min(g.likelyCutOffSilence(), max(minIsolationSilence, missed))
+// isolationTimeout returns how long no worker may reach this controller until it counts
+// as isolated. The more machines are up, the sooner their silence is conclusive. There
+// must be at least minMachinesForDetection of them.
+func (m *IsolationMonitor) isolationTimeout(machinesUp int) micros.Micros {
+	heartbeatInterval := micros.FromSeconds(m.Settings.Deployment.Workers.ReportS)
+	missed := minMissedHeartbeats * heartbeatInterval / micros.Micros(machinesUp)
+	return min(m.likelyUnreachableTimeout(), max(minIsolationTimeout, missed))
 }
 
-// ProbeWorkers probes a few workers, after no worker reached us, to learn whether one does
-// again: none comes by itself to a controller that leads no partition. When the roles were
-// given back after a fixed time instead, the partitions went without answers for as long
-// again.
-func (g *IsolationGuard) ProbeWorkers() {
-	if !g.workerReach.IsolatedFromWorkers || g.Now < g.nextProbeAt {
+// ProbeWorkers probes a few workers while this controller is isolated, to find out when
+// one is reachable again: no worker contacts a controller that leads no partition. Taking
+// the roles back after a fixed time instead leaves the partitions without answers for as
+// long again.
+func (m *IsolationMonitor) ProbeWorkers() {
+	if !m.workerReach.IsolatedFromWorkers || m.Now < m.nextProbeAt {
 		return
 	}
-	g.nextProbeAt = g.Now + probeInterval
-	machines := g.cluster.MachinesByName
+	m.nextProbeAt = m.Now + probeInterval
+	machines := m.cluster.MachinesByName
 	sent := 0
 	for offset := range machines {
-		machine := machines[(g.nextProbeIndex+offset)%len(machines)]
+		machine := machines[(m.nextProbeIndex+offset)%len(machines)]
 		if machine.Address == "" || machine.Record.Condemned {
 			continue
 		}
-		g.Emit(message.ProbeCommand(machine.Name, machine.Address, max(1, machine.Incarnation)))
+		m.Emit(message.ProbeCommand(machine.Name, machine.Address, max(1, machine.Incarnation)))
 		sent++
-		if sent == probesAtOnce {
-			g.nextProbeIndex += offset + 1
+		if sent == probesPerRound {
+			m.nextProbeIndex += offset + 1
 			break
 		}
 	}
 	if sent == 0 {
-		g.workerReach.EndIsolation()
+		m.workerReach.EndIsolation()
 	}
 }
--- a/internal/planning/lending.go
+++ b/internal/planning/lending.go
@@ -8,9 +8,9 @@
 	"spurmoor/internal/scheduler"
 )
 
-// MachineLending moves machines between partitions: it offers idle ones, and gives what
-// other partitions request where that is permitted.
-type MachineLending struct {
+// MachineLender transfers machines between partitions. It offers idle machines, and
+// grants the requests of other partitions where that is permitted.
+type MachineLender struct {
 	*coordination.Environment
 	cluster      *cluster.State
 	peers        *coordination.PeerTracker
@@ -20,8 +20,8 @@
 	view         *SchedulerView
 }
 
-// NewMachineLending makes a machine lending.
-func NewMachineLending(
+// NewMachineLender returns a machine lender, which keeps no state of its own.
+func NewMachineLender(
 	env *coordination.Environment,
 	state *cluster.State,
 	peers *coordination.PeerTracker,
@@ -29,8 +29,8 @@
 	reservations *ReservationPlanner,
 	urgencies *UrgencyIndex,
 	view *SchedulerView,
-) *MachineLending {
-	return &MachineLending{
+) *MachineLender {
+	return &MachineLender{
 		Environment:  env,
 		cluster:      state,
 		peers:        peers,
@@ -42,21 +42,22 @@
 }
 
 const (
-	// MaxIdleOffers bounds what is offered at a time, so that one message to another
-	// controller holds it.
+	// MaxIdleOffers limits the machines that are offered at a time, so that they fit into
+	// one message to another controller.
 	MaxIdleOffers = 400
-	// minIdleToOffer is how long a machine must have been idle to be offered: its own
-	// partition plans first.
+	// minIdleToOffer is how long a machine must have been idle to be offered, so that its
+	// own partition plans first.
 	minIdleToOffer = micros.Second / 3
-	// offerDuration is how long another controller's offer counts: a few of its
-	// heartbeats, for one may be lost.
+	// offerDuration is how long another controller's offer is valid. It covers a few of
+	// that controller's heartbeats, since one may be lost.
 	offerDuration = 3 * micros.Second
 )
 
-// IdleOffers lists machines of ours that another partition may borrow. Where there are
-// more than may be offered, each kind has its turn: offered by name alone, four thousand
-// idle machines of one type would hide the few of another that a gang waits for.
-func (l *MachineLending) IdleOffers() []peer.IdleMachine {
+// IdleOffers returns the machines of this controller that another partition may borrow.
+// If there are more than MaxIdleOffers, it takes them from each kind in turn. In the
+// order of their names alone, four thousand idle machines of one type would hide the few
+// of another type that a gang waits for.
+func (l *MachineLender) IdleOffers() []peer.IdleMachine {
 	offers := map[scheduler.InstanceKind][]peer.IdleMachine{}
 	var order []scheduler.InstanceKind
 	for _, machine := range l.cluster.MachinesByName {
@@ -72,13 +73,13 @@
 	return InterleaveKinds(offers, order, MaxIdleOffers)
 }
 
-// kindOf gives the kind that a machine was requested as.
+// kindOf returns the kind that a machine was requested as from the cloud.
 func kindOf(machine *cluster.Machine) scheduler.InstanceKind {
 	return scheduler.InstanceKind{Type: machine.Record.Type, Zone: machine.Record.Zone, Spot: machine.Record.Spot}
 }
 
-// InterleaveKinds takes one machine of each kind in turn, in the order given, and no more
-// than limit in all.
+// InterleaveKinds returns at most limit machines, one of each kind in turn in the given
+// order.
 func InterleaveKinds(
 	kinds map[scheduler.InstanceKind][]peer.IdleMachine, order []scheduler.InstanceKind, limit int,
 ) []peer.IdleMachine {
@@ -97,46 +98,48 @@
 	return list
 }
 
-// isOffered tells whether a machine of ours is offered to other partitions.
-func (l *MachineLending) isOffered(machine *cluster.Machine) bool {
+// isOffered reports whether a machine of this controller is offered to other partitions.
+func (l *MachineLender) isOffered(machine *cluster.Machine) bool {
 	return l.isLendable(machine) && l.Now > machine.IdleSince+minIdleToOffer
 }
 
-// isLendable tells whether a machine may go to another partition now: it is ours, nothing
-// runs on it or is meant for it, and it is in good order. That it is empty must be
-// committed: a machine lent while its record still named a task started that task for the
-// borrower, after the lender had placed it elsewhere.
-func (l *MachineLending) isLendable(machine *cluster.Machine) bool {
+// isLendable reports whether a machine may go to another partition now: this controller
+// leads its partition, nothing runs on it or is intended for it, and it is healthy. It
+// must also be committed that the machine is empty. Otherwise the log may still name a
+// task on it, which the borrower starts although the lender has placed that task
+// elsewhere.
+func (l *MachineLender) isLendable(machine *cluster.Machine) bool {
 	if l.cluster.LedPartition(machine) == nil || !machine.TokenConfirmed || l.reservations.isReserved(machine) {
 		return false
 	}
 	if !l.cluster.IsEmptyAndCommitted(machine) || !machine.AllTasksEnded() || machine.RecordChangePending() {
 		return false
 	}
-	return staysInService(machine) && !l.claimedByOwnPartition(machine) && l.responds(machine)
+	return staysInService(machine) && !l.claimedByOwnPartition(machine) && l.isResponsive(machine)
 }
 
-// staysInService tells whether a machine is neither about to be deleted or interrupted nor
-// quarantined.
+// staysInService reports whether a machine is neither condemned nor quarantined, and no
+// interruption is announced for it.
 func staysInService(machine *cluster.Machine) bool {
 	return !machine.Record.Condemned && !machine.Quarantined && machine.InterruptionAt == 0
 }
 
-// responds tells whether a machine was heard of late and does what it is told.
-func (l *MachineLending) responds(machine *cluster.Machine) bool {
+// isResponsive reports whether a machine was heard from recently and obeys its commands.
+func (l *MachineLender) isResponsive(machine *cluster.Machine) bool {
 	return machine.IgnoringSince == 0 && l.Now < machine.LastSeenAt+l.Settings.ContactTimeout()
 }
 
-// claimedByOwnPartition tells whether a job of the machine's own partition has a claim on
+// claimedByOwnPartition reports whether a job of the machine's own partition has claimed
 // it.
-func (l *MachineLending) claimedByOwnPartition(machine *cluster.Machine) bool {
+func (l *MachineLender) claimedByOwnPartition(machine *cluster.Machine) bool {
 	job := l.cluster.Jobs[machine.ClaimedBy]
 	return job != nil && job.Partition == machine.Record.Partition
 }
 
-// isBorrowable tells whether a machine may be borrowed by a partition that is not its own:
-// we lead its partition and would offer it, or the controller that does offered it lately.
-func (l *MachineLending) isBorrowable(machine *cluster.Machine) bool {
+// isBorrowable reports whether a partition may borrow a machine that is not its own: this
+// controller leads the machine's partition and would offer it, or the controller that
+// leads it offered it recently.
+func (l *MachineLender) isBorrowable(machine *cluster.Machine) bool {
 	if l.cluster.LedPartition(machine) != nil {
 		return l.isOffered(machine)
 	}
--- a/internal/planning/lending_test.go
+++ b/internal/planning/lending_test.go
@@ -9,7 +9,8 @@
 	"spurmoor/internal/scheduler"
 )
 
-// lendingCases are changes of an idle machine of ours, and what may be done with it then.
+// lendingCases are changes of an idle machine that this controller leads, and what may be
+// done with the machine afterwards.
 var lendingCases = []struct {
 	name     string
 	change   func(f *fixture, machine *cluster.Machine)
@@ -20,7 +21,7 @@
 	{name: "idle just now", change: func(f *fixture, machine *cluster.Machine) { machine.IdleSince = f.env.Now }, lendable: true},
 	{name: "led by another", change: func(_ *fixture, machine *cluster.Machine) { machine.Record.Partition = 1 }},
 	{name: "token not confirmed", change: func(_ *fixture, machine *cluster.Machine) { machine.TokenConfirmed = false }},
-	{name: "with a task", change: func(f *fixture, machine *cluster.Machine) { f.run(machine, "wk-1", api.Job{Kind: api.Array}) }},
+	{name: "with a task", change: func(f *fixture, machine *cluster.Machine) { f.placeTask(machine, "wk-1", api.Job{Kind: api.Array}) }},
 	{name: "task left, not committed", change: func(f *fixture, machine *cluster.Machine) {
 		machine.DepartedJobs = map[string]bool{"wk-1": true}
 		f.state.AddJob("wk-1", api.Job{}).ChangedTasks = 1
@@ -58,56 +59,57 @@
 	}, lendable: true, offered: true},
 }
 
-// TestWhichMachinesMayBeLent guards against lending a machine that something runs on or is
-// meant for, that is not ours to lend, or that would not serve the borrower.
-func TestWhichMachinesMayBeLent(t *testing.T) {
+// TestLendableMachines guards against lending a machine that something runs on or is
+// intended for, that this controller does not lead, or that would be of no use to the
+// borrower.
+func TestLendableMachines(t *testing.T) {
 	t.Parallel()
 	for _, tc := range lendingCases {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			fix := newFixture(t)
-			machine := fix.idleMachine(t)
+			machine := fix.addIdleMachine(t)
 			tc.change(fix, machine)
-			if got := fix.lending.isLendable(machine); got != tc.lendable {
-				t.Errorf("lendable: %t, want %t", got, tc.lendable)
+			if got := fix.lender.isLendable(machine); got != tc.lendable {
+				t.Errorf("isLendable: got %t, want %t", got, tc.lendable)
 			}
-			if got := len(fix.lending.IdleOffers()) == 1; got != tc.offered {
-				t.Errorf("offered: %t, want %t", got, tc.offered)
+			if got := len(fix.lender.IdleOffers()) == 1; got != tc.offered {
+				t.Errorf("offered: got %t, want %t", got, tc.offered)
 			}
 			if machine.Record.Partition != 0 {
-				return // whether it may be borrowed is then another controller's to say
+				return // another controller then decides whether it may be borrowed
 			}
-			if got := fix.lending.isBorrowable(machine); got != tc.offered {
-				t.Errorf("borrowable: %t, want %t", got, tc.offered)
+			if got := fix.lender.isBorrowable(machine); got != tc.offered {
+				t.Errorf("isBorrowable: got %t, want %t", got, tc.offered)
 			}
 		})
 	}
 }
 
-// TestOffersOfOthersExpire guards against requests for machines that another controller
-// offered long ago.
-func TestOffersOfOthersExpire(t *testing.T) {
+// TestPeerOffersExpire guards against requests for machines that another controller
+// offered too long ago.
+func TestPeerOffersExpire(t *testing.T) {
 	t.Parallel()
 	fix := newFixture(t)
-	machine := fix.idleMachine(t)
+	machine := fix.addIdleMachine(t)
 	machine.Record.Partition = 1
-	if fix.lending.isBorrowable(machine) {
-		t.Error("borrowable without an offer")
+	if fix.lender.isBorrowable(machine) {
+		t.Error("isBorrowable without an offer: got true, want false")
 	}
 	fix.peers.ObservePeer(&peer.Heartbeat{Node: "nodo-2", Healthy: true, IdleMachines: []peer.IdleMachine{{Machine: machine.Name}}})
 	fix.env.Now += offerDuration - 1
-	if !fix.lending.isBorrowable(machine) {
-		t.Error("offered, and not borrowable")
+	if !fix.lender.isBorrowable(machine) {
+		t.Error("isBorrowable with a valid offer: got false, want true")
 	}
 	fix.env.Now++
-	if fix.lending.isBorrowable(machine) {
-		t.Error("borrowable by an offer that has expired")
+	if fix.lender.isBorrowable(machine) {
+		t.Error("isBorrowable with an expired offer: got true, want false")
 	}
 }
 
-// TestPromisesFollowPreemption guards against stopping tasks for another partition where
-// the rules for preemption forbid it.
-func TestPromisesFollowPreemption(t *testing.T) {
+// TestTransfersFollowPreemptionRules guards against stopping tasks for another partition
+// where the rules for preemption forbid it.
+func TestTransfersFollowPreemptionRules(t *testing.T) {
 	t.Parallel()
 	array := func(priority api.Priority) api.Job { return api.Job{Kind: api.Array, Priority: priority} }
 	low, high := array(api.PriorityBestEffort), array(api.PriorityProduction)
@@ -120,7 +122,7 @@
 	for _, tc := range []struct {
 		name    string
 		spec    api.Job
-		recent  bool // the task started just now
+		recent  bool // the task was placed just now
 		used    float64
 		request peer.MachineRequest
 		want    bool
@@ -139,28 +141,28 @@
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			fix := newFixture(t)
-			machine := fix.idleMachine(t)
-			task := fix.run(machine, "wk-1", tc.spec)
+			machine := fix.addIdleMachine(t)
+			task := fix.placeTask(machine, "wk-1", tc.spec)
 			if tc.recent {
-				task.PlacedAt = fix.env.Now - recentStart + 1
+				task.PlacedAt = fix.env.Now - recentStartWindow + 1
 			}
 			*fix.state.TeamUsage["team"] = scheduler.ResourcesOf(0, tc.used, 0)
-			if got := fix.lending.mayPreemptAll(machine, tc.request); got != tc.want {
-				t.Errorf("may be preempted: %t, want %t", got, tc.want)
+			if got := fix.lender.mayPreemptAll(machine, tc.request); got != tc.want {
+				t.Errorf("mayPreemptAll: got %t, want %t", got, tc.want)
 			}
 		})
 	}
 }
 
-// TestWhatIsPromised guards against a machine with tasks that is promised twice, or to a
-// partition without a right to it.
-func TestWhatIsPromised(t *testing.T) {
+// TestScheduledTransfers guards against scheduling a machine with tasks for transfer
+// twice, or to a partition that has no right to it.
+func TestScheduledTransfers(t *testing.T) {
 	t.Parallel()
 	spare := peer.MachineRequest{Partition: 1, Spare: true}
 	reclaim := peer.MachineRequest{Partition: 1, Reclaim: true}
-	fromHome := func(machine *cluster.Machine) { machine.Record.HomePartition = 1 }
+	lentByOther := func(machine *cluster.Machine) { machine.Record.HomePartition = 1 }
 	quarantine := func(machine *cluster.Machine) { machine.Quarantined = true }
-	promise := func(machine *cluster.Machine) { machine.MoveToPartition = 0 }
+	scheduleTransfer := func(machine *cluster.Machine) { machine.MoveToPartition = 0 }
 	for _, tc := range []struct {
 		name    string
 		change  func(machine *cluster.Machine)
@@ -168,25 +170,25 @@
 		moveTo  int
 	}{
 		{name: "spare", request: spare, moveTo: 1},
-		{name: "reclaimed", change: fromHome, request: reclaim, moveTo: 1},
+		{name: "reclaimed", change: lentByOther, request: reclaim, moveTo: 1},
 		{name: "reclaimed by another", request: reclaim, moveTo: noPartition},
 		{name: "to its own partition", request: peer.MachineRequest{Partition: 0, Spare: true}, moveTo: noPartition},
 		{name: "to no partition", request: peer.MachineRequest{Partition: 2, Spare: true}, moveTo: noPartition},
 		{name: "quarantined", change: quarantine, request: spare, moveTo: noPartition},
-		{name: "promised before", change: promise, request: spare, moveTo: 0},
+		{name: "promised before", change: scheduleTransfer, request: spare, moveTo: 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			fix := newFixture(t)
-			machine := fix.idleMachine(t)
-			fix.run(machine, "wk-1", api.Job{Kind: api.Array})
+			machine := fix.addIdleMachine(t)
+			fix.placeTask(machine, "wk-1", api.Job{Kind: api.Array})
 			if tc.change != nil {
 				tc.change(machine)
 			}
 			tc.request.Machine = machine.Name
-			fix.lending.HandleMachineRequests([]peer.MachineRequest{tc.request})
+			fix.lender.HandleMachineRequests([]peer.MachineRequest{tc.request})
 			if machine.MoveToPartition != tc.moveTo || machine.PreemptForMove {
-				t.Errorf("moves to %d, preempting %t; want %d", machine.MoveToPartition, machine.PreemptForMove, tc.moveTo)
+				t.Errorf("got transfer to %d, preempting %t; want %d, false", machine.MoveToPartition, machine.PreemptForMove, tc.moveTo)
 			}
 		})
 	}
--- a/internal/planning/machine_manager.go
+++ b/internal/planning/machine_manager.go
@@ -6,26 +6,26 @@
 	"spurmoor/internal/logkey"
 )
 
-// MachineManager looks after the machines of the partitions that we lead, through all of
-// their lives: their leases and commands, their records, drains, moves to other
-// partitions, and when they are scaled in.
+// MachineManager manages the machines of the partitions that this controller leads,
+// through their whole lifecycle: their leases and commands, records, drains, transfers to
+// other partitions, and scale-in.
 type MachineManager struct {
 	*coordination.Environment
 	boots        *cluster.BootStatistics
 	cluster      *cluster.State
-	isolation    *IsolationGuard
+	isolation    *IsolationMonitor
 	registry     *cluster.MachineRegistry
 	reservations *ReservationPlanner
 	storeLease   *coordination.StoreLease
 	tasks        *cluster.TaskLifecycle
 }
 
-// NewMachineManager makes a machine manager.
+// NewMachineManager returns a machine manager, which keeps no state of its own.
 func NewMachineManager(
 	env *coordination.Environment,
 	boots *cluster.BootStatistics,
 	state *cluster.State,
-	isolation *IsolationGuard,
+	isolation *IsolationMonitor,
 	registry *cluster.MachineRegistry,
 	reservations *ReservationPlanner,
 	lease *coordination.StoreLease,
@@ -43,10 +43,11 @@
 	}
 }
 
-// ReconcileMachines does what is due of all machines of the partitions that we lead.
+// ReconcileMachines performs what is due for all machines of the partitions that this
+// controller leads. It resigns the controller's roles if no worker reaches it.
 func (m *MachineManager) ReconcileMachines() {
 	machinesUp, silent := m.countMachines()
-	mostSilent := machinesUp >= minMachinesToJudge && silent > machinesUp-silent
+	mostSilent := machinesUp >= minMachinesForDetection && silent > machinesUp-silent
 	m.sendAllDueCommands()
 	m.isolation.resignIfIsolated(machinesUp)
 	for _, machine := range m.cluster.MachinesByName {
@@ -56,23 +57,24 @@
 	}
 }
 
-// countMachines counts the machines of ours that sent a heartbeat before, and of these the
-// ones that are likely cut off from us.
+// countMachines returns how many machines of this controller have sent a heartbeat, and
+// how many of these are likely unreachable.
 func (m *MachineManager) countMachines() (machinesUp, silent int) {
-	cutOff := m.isolation.likelyCutOffSilence()
+	timeout := m.isolation.likelyUnreachableTimeout()
 	for _, machine := range m.cluster.MachinesByName {
 		if machine.FirstHeartbeatAt == 0 || m.cluster.LedPartition(machine) == nil {
 			continue
 		}
 		machinesUp++
-		if m.Now > m.storeLease.MissedHeartbeatsCountFrom(machine.LastSeenAt)+cutOff {
+		if m.Now > m.storeLease.MissedHeartbeatsCountFrom(machine.LastSeenAt)+timeout {
 			silent++
 		}
 	}
 	return machinesUp, silent
 }
 
-// sendAllDueCommands sends direct commands to the machines of ours that they are due for.
+// sendAllDueCommands sends direct commands to the machines of this controller for which
+// they are due.
 func (m *MachineManager) sendAllDueCommands() {
 	for _, machine := range m.cluster.MachinesByName {
 		partition := m.cluster.LedPartition(machine)
@@ -85,13 +87,15 @@
 	}
 }
 
-// reconcileMachine does what is due of one machine of ours. mostSilent: most machines are
-// silent, so that silence says nothing of a single one. Without a lease that is known to
-// hold no machine is judged, for another controller may lead its partition by now; but
-// tasks on one that will be interrupted are told to checkpoint in an outage as well.
+// reconcileMachine performs what is due for one machine of this controller. mostSilent
+// says that most machines are silent, so that silence says nothing about a single one.
+//
+// Unless the store lease is certain to be valid, no machine is treated as failed, because
+// another controller may already lead its partition. Tasks on a machine that will be
+// interrupted are told to checkpoint in an outage of the store as well.
 func (m *MachineManager) reconcileMachine(machine *cluster.Machine, mostSilent bool) {
-	mayJudge := m.storeLease.LeaseValid()
-	if mayJudge && m.Now > machine.LeaseExpiresAt && len(machine.TaskIDs) > 0 {
+	leaseValid := m.storeLease.LeaseValid()
+	if leaseValid && m.Now > machine.LeaseExpiresAt && len(machine.TaskIDs) > 0 {
 		m.LogInfo("machine lease expired", logkey.Machine, machine.Name, logkey.Tasks, len(machine.TaskIDs))
 		m.tasks.ReleaseTasks(machine, "its lease expired")
 	}
@@ -100,7 +104,7 @@
 		return
 	}
 	m.maintainRecord(machine)
-	if reason := m.faultReason(machine, mostSilent); mayJudge && reason != "" {
+	if reason := m.faultReason(machine, mostSilent); leaseValid && reason != "" {
 		m.registry.ScaleIn(machine, reason)
 	} else {
 		m.releaseMachine(machine)
@@ -108,7 +112,8 @@
 	m.expireClaim(machine)
 }
 
-// dropDeletedRecord has the record dropped of a machine that the cloud deleted.
+// dropDeletedRecord requests that the record of a machine be dropped once the cloud has
+// deleted the machine.
 func (m *MachineManager) dropDeletedRecord(machine *cluster.Machine) {
 	if !machine.DeleteConfirmed || machine.RecordChangePending() {
 		return
@@ -119,8 +124,8 @@
 	}
 }
 
-// maintainRecord has a machine's record copied into the log of its partition, and its
-// fencing token raised where a direct start had no answer.
+// maintainRecord requests that a machine's record be copied into the log of its
+// partition, and that its fencing token be raised if a direct start had no answer.
 func (m *MachineManager) maintainRecord(machine *cluster.Machine) {
 	if machine.Origin.Partition != machine.Record.Partition && !machine.RecordChangePending() {
 		m.cluster.RequestRecordChange(machine, cluster.CopyRecord)
@@ -131,25 +136,26 @@
 	}
 }
 
-// releaseMachine lets go of a machine that is not to go on as it does: it is drained, kept
-// for the gang that it is reserved for, moved to another partition, or scaled in as idle.
+// releaseMachine handles a machine that does not stay in use as it is: the machine is
+// drained, kept for the gang that it is reserved for, transferred to another partition,
+// or scaled in as idle.
 func (m *MachineManager) releaseMachine(machine *cluster.Machine) {
-	moving := machine.MoveToPartition != noPartition
+	transferring := machine.MoveToPartition != noPartition
 	switch {
 	case machine.InterruptionAt > 0 || machine.Quarantined:
 		m.drain(machine)
-	case !moving && m.reservations.isReserved(machine):
+	case !transferring && m.reservations.isReserved(machine):
 		m.reservations.enforceReservation(machine)
-	case moving:
-		m.advanceMove(machine)
-	case m.hasIdledEnough(machine):
+	case transferring:
+		m.advanceTransfer(machine)
+	case m.isPastIdleTimeout(machine):
 		m.registry.ScaleIn(machine, reasonIdle)
 	}
 }
 
-// drain empties a machine that will be interrupted or is quarantined, and scales it in.
-// Tasks on a quarantined one end by themselves; those that can checkpoint leave one that
-// will be interrupted.
+// drain empties a machine that is quarantined or will be interrupted, and scales it in.
+// On a quarantined machine, tasks end by themselves. On one that will be interrupted,
+// tasks that can checkpoint are stopped.
 func (m *MachineManager) drain(machine *cluster.Machine) {
 	for job, task := range tasksOn(m.cluster, machine) {
 		if !machine.Quarantined && job.Spec.CheckpointIntervalS > 0 && task.StopRequestedAt == 0 {
@@ -161,9 +167,9 @@
 	}
 }
 
-// advanceMove empties a machine that goes to another partition, and transfers it once it is
-// empty. Tasks are stopped only where the promise permits that.
-func (m *MachineManager) advanceMove(machine *cluster.Machine) {
+// advanceTransfer transfers a machine to another partition once it is empty. Its tasks
+// are stopped only if the scheduled transfer permits preemption.
+func (m *MachineManager) advanceTransfer(machine *cluster.Machine) {
 	if machine.PreemptForMove {
 		for job, task := range tasksOn(m.cluster, machine) {
 			m.tasks.RequestTaskStop(job, task, "the machine goes to another partition")
@@ -174,10 +180,10 @@
 	}
 }
 
-// expireClaim ends a job's claim on a machine with its time, or when all of the job's tasks
-// are placed; the job's start on the machine itself ends it as well. When it ended with
-// the job's first task anywhere, two partitions took a machine from each other three times
-// a second.
+// expireClaim ends a job's claim on a machine when its time is over, or when all tasks of
+// the job are placed. The start of the job on the machine itself ends the claim as well
+// (bindTask). A claim must not end with the job's first task on any machine: two
+// partitions then take a machine from each other three times a second.
 func (m *MachineManager) expireClaim(machine *cluster.Machine) {
 	if machine.ClaimedBy == "" {
 		return
--- a/internal/planning/machine_requests.go
+++ b/internal/planning/machine_requests.go
@@ -8,9 +8,10 @@
 	"spurmoor/internal/scheduler"
 )
 
-// HandleMachineRequests transfers the machines that other partitions request, or promises
-// them, where we lead their partitions and that is permitted.
-func (l *MachineLending) HandleMachineRequests(requests []peer.MachineRequest) {
+// HandleMachineRequests handles requests of other partitions for machines of partitions
+// that this controller leads. Where that is permitted, it transfers a machine at once, or
+// schedules the transfer of a machine that still has tasks.
+func (l *MachineLender) HandleMachineRequests(requests []peer.MachineRequest) {
 	for _, request := range requests {
 		machine := l.cluster.Machines[request.Machine]
 		if machine == nil || l.cluster.LedPartition(machine) == nil || !l.isForOtherPartition(machine, request) {
@@ -18,35 +19,36 @@
 		}
 		if l.isLendable(machine) {
 			l.registry.TransferMachine(machine, request.Partition)
-		} else if l.isPromisable(machine) {
-			l.promiseMachine(machine, request)
+		} else if l.mayScheduleTransfer(machine) {
+			l.scheduleTransfer(machine, request)
 		}
 	}
 }
 
-// isForOtherPartition tells whether a request is of a partition that exists and is not the
-// machine's own.
-func (l *MachineLending) isForOtherPartition(machine *cluster.Machine, request peer.MachineRequest) bool {
+// isForOtherPartition reports whether a request comes from an existing partition that is
+// not the machine's own.
+func (l *MachineLender) isForOtherPartition(machine *cluster.Machine, request peer.MachineRequest) bool {
 	exists := request.Partition >= 0 && request.Partition < len(l.cluster.Partitions)
 	return exists && request.Partition != machine.Record.Partition
 }
 
-// isPromisable tells whether a machine of ours with tasks may be promised to another
-// partition: it is in good order and nobody has a right to it.
-func (l *MachineLending) isPromisable(machine *cluster.Machine) bool {
+// mayScheduleTransfer reports whether a machine that still has tasks may be scheduled for
+// transfer to another partition: it is healthy, and not yet reserved, claimed by its own
+// partition, or scheduled for transfer.
+func (l *MachineLender) mayScheduleTransfer(machine *cluster.Machine) bool {
 	if machine.MoveToPartition != noPartition || !machine.TokenConfirmed || !staysInService(machine) {
 		return false
 	}
 	return !l.reservations.isReserved(machine) && !l.claimedByOwnPartition(machine)
 }
 
-// promiseMachine promises a machine with tasks to another partition, if that is permitted:
-// as a spare or reclaimed one it goes once its tasks have ended by themselves, for a job of
-// enough priority they are preempted.
-func (l *MachineLending) promiseMachine(machine *cluster.Machine, request peer.MachineRequest) {
+// scheduleTransfer schedules the transfer of a machine with tasks to another partition,
+// if that is permitted. A spare or reclaimed machine is transferred once its tasks have
+// ended by themselves. For a job of sufficient priority its tasks are preempted.
+func (l *MachineLender) scheduleTransfer(machine *cluster.Machine, request peer.MachineRequest) {
 	switch {
 	case request.Spare:
-		l.LogInfo("spare machine promised",
+		l.LogInfo("spare machine transfer scheduled",
 			logkey.Machine, machine.Name,
 			logkey.ToPartition, request.Partition,
 			logkey.Tasks, len(machine.TaskIDs))
@@ -57,7 +59,7 @@
 			logkey.HomePartition, request.Partition)
 		machine.MoveToPartition, machine.PreemptForMove = request.Partition, false
 	case request.Tier > 0 && l.mayPreemptAll(machine, request):
-		l.LogInfo("machine promised",
+		l.LogInfo("machine transfer scheduled",
 			logkey.Machine, machine.Name,
 			logkey.ToPartition, request.Partition,
 			logkey.Tasks, len(machine.TaskIDs),
@@ -67,32 +69,33 @@
 	}
 }
 
-// mayPreemptAll tells whether PROTOCOL's preemption permits stopping all of a machine's
-// tasks for a request: they are of a lower tier, or of the same and their teams keep their
-// guarantees without them, while the requesting job's team is within its own.
-func (l *MachineLending) mayPreemptAll(machine *cluster.Machine, request peer.MachineRequest) bool {
+// mayPreemptAll reports whether PROTOCOL permits preempting all tasks on a machine for a
+// request. Tasks of a lower tier may be preempted. Tasks of the same tier may be
+// preempted if their teams keep their guarantees without them and the team of the
+// requesting job is within its own.
+func (l *MachineLender) mayPreemptAll(machine *cluster.Machine, request peer.MachineRequest) bool {
 	preempted := map[string]scheduler.Resources{} // by team, of tasks of the same tier
 	for job, task := range tasksOn(l.cluster, machine) {
 		if l.isOutranked(job, task, request) {
 			continue
 		}
 		if !request.Guaranteed || l.urgencies.effectiveTier(job) > request.Tier || l.view.startedRecently(task) {
-			return false // one of the same tier that started lately costs more than it serves
+			return false // stopping a task of the same tier that started recently costs more than it gains
 		}
 		team := job.Spec.Team
 		preempted[team] = preempted[team].Add(job.Request, 1)
-		if !l.view.schedulerTeam(team).KeepsGuaranteeWithout(preempted[team]) {
+		if !l.view.teamQuota(team).KeepsGuaranteeWithout(preempted[team]) {
 			return false
 		}
 	}
 	return true
 }
 
-// isOutranked tells whether a task may be preempted for a request by tier alone. A tier
-// that the requesting job inherited from one that depends on it stops only tasks of arrays
-// that did not start lately: without that bound gangs that a pipeline named preempted
-// others of their own class again and again.
-func (l *MachineLending) isOutranked(job *cluster.Job, task *cluster.Task, request peer.MachineRequest) bool {
+// isOutranked reports whether a task may be preempted for a request because of its tier
+// alone. A tier that the requesting job inherited from one that depends on it preempts
+// only tasks of arrays that did not start recently. Without this limit, gangs that a
+// pipeline needs preempt other gangs of their own class again and again.
+func (l *MachineLender) isOutranked(job *cluster.Job, task *cluster.Task, request peer.MachineRequest) bool {
 	tier := l.urgencies.effectiveTier(job)
 	if tier < request.Tier {
 		return true
--- a/internal/planning/plan_execution.go
+++ b/internal/planning/plan_execution.go
@@ -13,20 +13,21 @@
 const (
 	// claimDuration is how long a machine is kept for the job that it is emptied for.
 	claimDuration = 40 * micros.Second
-	// MaxMachineRequests bounds what is requested of other partitions at a time, so that
-	// one message holds it; what is still wanted is requested with the next plan.
+	// MaxMachineRequests limits the requests to other partitions that are made at a time,
+	// so that they fit into one message. The next plan requests what is still needed.
 	MaxMachineRequests = 500
 )
 
-// taskQueue gives the tasks of a job that a plan places, one after the other.
+// taskQueue holds the tasks of a job that a plan places, in order.
 type taskQueue struct {
 	job         *cluster.Job
 	pending     []int
-	gangAttempt api.Attempt // of all tasks of a gang; 0: not a gang
+	gangAttempt api.Attempt // the same for all tasks of a gang; 0: not a gang
 }
 
-// newTaskQueue starts placing tasks of a job. All tasks of a gang get the same attempt: a
-// new one, unless replacements complete a gang that has not begun to run.
+// newTaskQueue returns the queue of a job's tasks that may be placed now. It marks the
+// start of a gang as uncommitted. All tasks of a gang get the same attempt: a new one,
+// unless replacements complete a gang that has not begun to run.
 func (c *SchedulingCycle) newTaskQueue(job *cluster.Job) *taskQueue {
 	queue := &taskQueue{job: job, pending: job.Placeable(c.Now, c.tasks.MaxTasksPerCycle(job))}
 	if job.Spec.Kind == api.Gang {
@@ -39,7 +40,7 @@
 	return queue
 }
 
-// next gives the next task to place and its attempt.
+// next removes the next task to place from the queue, and returns its index and attempt.
 func (q *taskQueue) next() (index int, attempt api.Attempt) {
 	index = q.pending[0]
 	q.pending = q.pending[1:]
@@ -52,7 +53,8 @@
 	return index, 1
 }
 
-// bindTasks places tasks as a plan says, to be committed before they are started.
+// bindTasks places tasks as a plan says. They are started only after their placement is
+// committed.
 func (c *SchedulingCycle) bindTasks(bindings []scheduler.Binding, jobs map[string]*cluster.Job) {
 	queues := map[string]*taskQueue{}
 	for _, binding := range bindings {
@@ -67,7 +69,7 @@
 	}
 }
 
-// bindTask places a task on a machine, which ends the job's claim on it.
+// bindTask places a task on a machine, and ends the job's claim on that machine.
 func (c *SchedulingCycle) bindTask(job *cluster.Job, index int, attempt api.Attempt, machineName string) {
 	c.cluster.ChangeTask(job, index, cluster.TaskRecord{State: records.TaskPlaced, Attempt: attempt, Machine: machineName})
 	c.LogDebug("task placed",
@@ -81,9 +83,9 @@
 	}
 }
 
-// preemptTasks stops tasks as a plan says, and has their machines kept for the jobs that
-// they are stopped for. A machine that is emptied for its job already is only kept for
-// longer; one of another partition is requested (requestMachines).
+// preemptTasks stops tasks as a plan says, and claims their machines for the jobs that
+// need them. If the same job has already claimed a machine, the claim is only extended. A
+// machine of another partition is requested instead (requestMachines).
 func (c *SchedulingCycle) preemptTasks(preemptions []scheduler.Preemption) {
 	for _, preemption := range preemptions {
 		machine := c.cluster.Machines[preemption.Machine.Name]
@@ -105,7 +107,7 @@
 	}
 }
 
-// stopVictims has the tasks stopped that a plan preempts on a machine.
+// stopVictims requests the stop of the tasks that a plan preempts on one machine.
 func (c *SchedulingCycle) stopVictims(preemption scheduler.Preemption) {
 	c.LogInfo("tasks preempted",
 		logkey.ForJob, preemption.For.ID,
@@ -117,11 +119,12 @@
 	}
 }
 
-// requestMachines requests machines of other partitions that a partition needs. Requests
-// are heard by all controllers, this one among them.
+// requestMachines requests the machines of other partitions that a partition needs. The
+// requests are broadcast to all other controllers; those for machines of this controller
+// are handled here.
 func (c *SchedulingCycle) requestMachines(partition *cluster.Partition, plan *scheduler.Plan, jobs map[string]*cluster.Job) {
-	c.requestIdle(partition, plan.MachinesToBorrow)
-	c.requestClaimed(partition, jobs)
+	c.requestMachinesToBorrow(partition, plan.MachinesToBorrow)
+	c.requestClaimedMachines(partition, jobs)
 	if spare := c.chooseSpare(partition, jobs, plan.BlockedReasons); spare != nil {
 		c.MachineRequests = append(c.MachineRequests, peer.MachineRequest{
 			Machine:   spare.Name,
@@ -131,13 +134,13 @@
 	}
 	if len(c.MachineRequests) > 0 {
 		c.peers.RequestBroadcast()
-		c.lending.HandleMachineRequests(c.MachineRequests)
+		c.lender.HandleMachineRequests(c.MachineRequests)
 	}
 }
 
-// requestIdle requests the machines that a plan borrows: idle ones, and those of the
-// partition by home, which are reclaimed.
-func (c *SchedulingCycle) requestIdle(partition *cluster.Partition, machines []*scheduler.Machine) {
+// requestMachinesToBorrow requests the machines that a plan borrows: idle machines, and
+// machines whose home is the partition, which are reclaimed.
+func (c *SchedulingCycle) requestMachinesToBorrow(partition *cluster.Partition, machines []*scheduler.Machine) {
 	for _, machine := range machines {
 		if len(c.MachineRequests) >= MaxMachineRequests {
 			return
@@ -151,9 +154,10 @@
 	}
 }
 
-// requestClaimed requests the machines that jobs of the partition have a claim on, with
-// each plan until they come, for a message may be lost.
-func (c *SchedulingCycle) requestClaimed(partition *cluster.Partition, jobs map[string]*cluster.Job) {
+// requestClaimedMachines requests the machines of other partitions that jobs of the
+// partition have claimed. Each plan repeats the requests until the machines arrive, since
+// a message may be lost.
+func (c *SchedulingCycle) requestClaimedMachines(partition *cluster.Partition, jobs map[string]*cluster.Job) {
 	for _, machine := range c.cluster.MachinesByName {
 		if len(c.MachineRequests) >= MaxMachineRequests {
 			return
--- a/internal/planning/reservation.go
+++ b/internal/planning/reservation.go
@@ -24,7 +24,7 @@
 	byMachine map[string]scheduler.AdvanceReservation
 }
 
-// NewReservationPlanner makes a reservation planner without reservations.
+// NewReservationPlanner returns a planner without reservations.
 func NewReservationPlanner(
 	env *coordination.Environment,
 	boots *cluster.BootStatistics,
@@ -45,47 +45,47 @@
 	}
 }
 
-// noPartition stands for a partition where there is none.
+// noPartition stands for the absence of a partition.
 const noPartition = -1
 
 const (
 	// A gang of which nothing runs after 1/reserveAfterDivisor of begin_within_s gets a
-	// reservation. Until 1/preferPreemptionDivisor of it is over, only one that cannot
-	// have its machines sooner by preempting others does.
+	// reservation. Until 1/preferPreemptionDivisor of begin_within_s has passed, it gets
+	// one only if it cannot have its machines sooner by preemption.
 	reserveAfterDivisor     = 4
 	preferPreemptionDivisor = 2
-	// assumedBoots is after how many times the boot time of its type a machine that
-	// another controller looks after is assumed to be up.
-	assumedBoots = 1.5
-	// minTransferInterval is the least time between two transfers of a machine for a
-	// reservation: two controllers may see it differently, and would otherwise send it
-	// back and forth.
+	// A machine that another controller manages is assumed to be up after
+	// assumedUpBootFactor times the boot time of its type.
+	assumedUpBootFactor = 1.5
+	// minTransferInterval is the minimum time between two transfers of a machine for a
+	// reservation. Two controllers may see the machine differently, and would otherwise
+	// send it back and forth.
 	minTransferInterval = 4 * micros.Second
-	// preemptionLead is how long before the gang's last machine is ready tasks on the
-	// others are stopped.
-	preemptionLead = 2 * scheduler.PreemptionTime
+	// Tasks on machines reserved for a gang are stopped preemptionLeadTime before the
+	// last of these machines is ready.
+	preemptionLeadTime = 2 * scheduler.PreemptionTime
 )
 
-// beginWithin is the time within which a job should have begun.
+// beginWithin returns the time within which a job should begin.
 func (r *ReservationPlanner) beginWithin() micros.Micros {
 	return micros.FromSeconds(r.Settings.Operators.BeginWithinS)
 }
 
-// planReservations decides, for all partitions, which machines are reserved for the gangs
-// that have waited long. Every controller decides the same by its replica.
+// planReservations decides for all partitions which machines are reserved for gangs that
+// have waited long. Every controller decides the same from its own replica.
 func (r *ReservationPlanner) planReservations() {
 	r.byMachine = map[string]scheduler.AdvanceReservation{}
-	due := r.gangsToReserveFor()
-	if due == nil {
+	gangs := r.gangsToReserveFor()
+	if gangs == nil {
 		return
 	}
-	old := r.Now - micros.FromSeconds(r.Settings.Operators.BeginWithinS/preferPreemptionDivisor)
-	r.byMachine = scheduler.ReserveInAdvance(r.Now, old, r.reservableMachines(), due)
-	r.trackReservedSince(due)
+	recentSince := r.Now - micros.FromSeconds(r.Settings.Operators.BeginWithinS/preferPreemptionDivisor)
+	r.byMachine = scheduler.ReserveInAdvance(r.Now, recentSince, r.reservableMachines(), gangs)
+	r.updateReservedSince(gangs)
 }
 
-// trackReservedSince notes since when the gangs that are due have machines reserved.
-func (r *ReservationPlanner) trackReservedSince(due []*scheduler.Job) {
+// updateReservedSince records since when each of the gangs has had machines reserved.
+func (r *ReservationPlanner) updateReservedSince(gangs []*scheduler.Job) {
 	reserved := map[string]bool{}
 	for _, reservation := range r.byMachine {
 		reserved[reservation.Job.ID] = true
@@ -93,45 +93,46 @@
 			job.ReservedSince = r.Now
 		}
 	}
-	for _, gang := range due {
+	for _, gang := range gangs {
 		if !reserved[gang.ID] {
 			r.cluster.Jobs[gang.ID].ReservedSince = 0
 		}
 	}
 }
 
-// gangsToReserveFor lists the gangs that machines are to be reserved for; nil: none.
+// gangsToReserveFor returns the gangs that need a reservation, or nil if there are none.
 func (r *ReservationPlanner) gangsToReserveFor() []*scheduler.Job {
-	var due []*scheduler.Job
+	var gangs []*scheduler.Job
 	for _, id := range slices.Sorted(maps.Keys(r.cluster.Jobs)) {
 		job := r.cluster.Jobs[id]
-		if !r.hasWaitedLong(job) {
+		if !r.needsReservation(job) {
 			continue
 		}
-		r.expireReservation(job)
+		r.expireUnusedReservation(job)
 		if r.Now < job.NoReservationBefore {
 			continue
 		}
-		shown := r.view.schedulerJob(job)
-		shown.PendingTasks = job.Spec.Tasks
-		due = append(due, shown)
+		schedulerJob := r.view.schedulerJob(job)
+		schedulerJob.PendingTasks = job.Spec.Tasks
+		gangs = append(gangs, schedulerJob)
 	}
-	return due
+	return gangs
 }
 
-// expireReservation ends a reservation that its gang has not used for long: something that
-// we do not know of keeps the gang from starting. It gets none for as long, else machines
-// would be held for it without end.
-func (r *ReservationPlanner) expireReservation(job *cluster.Job) {
+// expireUnusedReservation ends a reservation that its gang has not used for a long time:
+// something that this controller does not know of keeps the gang from starting. The gang
+// gets no new reservation for as long, since machines would otherwise be held for it
+// indefinitely.
+func (r *ReservationPlanner) expireUnusedReservation(job *cluster.Job) {
 	if job.ReservedSince > 0 && r.Now > job.ReservedSince+r.beginWithin() {
 		job.ReservedSince = 0
 		job.NoReservationBefore = r.Now + r.beginWithin()
 	}
 }
 
-// hasWaitedLong tells whether a job is a gang that could run, and has waited for a quarter
-// of the time within which it should have begun.
-func (r *ReservationPlanner) hasWaitedLong(job *cluster.Job) bool {
+// needsReservation reports whether a job is a gang that could run and has waited for
+// 1/reserveAfterDivisor of the time within which it should have begun.
+func (r *ReservationPlanner) needsReservation(job *cluster.Job) bool {
 	if job.Spec.Kind != api.Gang || !mayRun(job) || job.HasStarted() {
 		return false
 	}
@@ -141,29 +142,31 @@
 	return r.Now >= job.EligibleAt()+micros.FromSeconds(r.Settings.Operators.BeginWithinS/reserveAfterDivisor)
 }
 
-// mayRun tells whether a job is not over or cancelled, and waits for no other job.
+// mayRun reports whether a job is neither finished nor cancelled, and waits for no other
+// job.
 func mayRun(job *cluster.Job) bool {
 	return !job.Terminal && !job.MustNotRun() && job.PendingDependencies == 0
 }
 
-// reservableMachines shows the machines of all partitions that may be reserved.
+// reservableMachines returns the machines of all partitions that may be reserved,
+// converted for the scheduler.
 func (r *ReservationPlanner) reservableMachines() []*scheduler.Machine {
 	var list []*scheduler.Machine
 	for _, machine := range r.cluster.MachinesByName {
 		if !r.isReservable(machine) {
 			continue
 		}
-		shown := r.view.schedulerMachine(machine)
-		shown.Schedulable = r.isUp(machine)
-		shown.ReadyAt = max(r.Now, machine.LaunchedAt+bootTime(machine))
-		r.view.addAllocations(shown, machine, nil)
-		list = append(list, shown)
+		schedulerMachine := r.view.schedulerMachine(machine)
+		schedulerMachine.Schedulable = r.isUp(machine)
+		schedulerMachine.ReadyAt = max(r.Now, machine.LaunchedAt+bootTime(machine))
+		r.view.addAllocations(schedulerMachine, machine, nil)
+		list = append(list, schedulerMachine)
 	}
 	return list
 }
 
-// isReservable tells whether a machine of any partition is of use to a gang. Whether one
-// that another controller looks after is late is not known here.
+// isReservable reports whether a machine of any partition is usable for a gang. Whether
+// the boot of a machine that another controller manages is overdue is not known here.
 func (r *ReservationPlanner) isReservable(machine *cluster.Machine) bool {
 	if machine.MachineType == nil || !staysInService(machine) || machine.IgnoringSince > 0 {
 		return false
@@ -171,8 +174,9 @@
 	return r.cluster.LedPartition(machine) == nil || !r.boots.BootOverdue(machine)
 }
 
-// isUp tells whether a machine of any partition has come up. Of another controller's this
-// is not in the replica: then its tasks say so, or its age.
+// isUp reports whether a machine of any partition has come up. For a machine that another
+// controller manages, this is not in the replica: it counts as up if it has tasks or is
+// old enough.
 func (r *ReservationPlanner) isUp(machine *cluster.Machine) bool {
 	if machine.FirstHeartbeatAt > 0 {
 		return true
@@ -180,18 +184,19 @@
 	if r.cluster.LedPartition(machine) != nil {
 		return false
 	}
-	assumedUpAt := machine.LaunchedAt + micros.FromSeconds(assumedBoots*machine.MachineType.BootS)
+	assumedUpAt := machine.LaunchedAt + micros.FromSeconds(assumedUpBootFactor*machine.MachineType.BootS)
 	return len(machine.TaskIDs) > 0 || r.Now > assumedUpAt
 }
 
-// bootTime is how long machines of a machine's type take to come up. The type must be
-// known.
+// bootTime returns how long machines of this machine's type take to come up. The type
+// must be known.
 func bootTime(machine *cluster.Machine) micros.Micros {
 	return micros.FromSeconds(machine.MachineType.BootS)
 }
 
-// reservedForPartition is the partition whose gang a machine is reserved for; noPartition:
-// there is none, or the gang has begun or does not wait any more.
+// reservedForPartition returns the partition of the gang that a machine is reserved for.
+// It returns noPartition if the machine is not reserved, or if the gang has begun or no
+// longer waits.
 func (r *ReservationPlanner) reservedForPartition(machine *cluster.Machine) int {
 	reservation, ok := r.byMachine[machine.Name]
 	if !ok {
@@ -204,21 +209,21 @@
 	return job.Partition
 }
 
-// isReserved tells whether a machine is reserved for a gang.
+// isReserved reports whether a machine is reserved for a gang that still waits.
 func (r *ReservationPlanner) isReserved(machine *cluster.Machine) bool {
 	return r.reservedForPartition(machine) != noPartition
 }
 
-// enforceReservation transfers a reserved machine of ours to the gang's partition once it
-// is empty. Tasks of a lower tier are stopped when the gang's other machines are about
-// ready.
+// enforceReservation transfers a reserved machine of this controller to the gang's
+// partition once it is empty. Tasks of a lower tier are stopped when the gang's other
+// machines are almost ready.
 func (r *ReservationPlanner) enforceReservation(machine *cluster.Machine) {
 	if len(machine.TaskIDs) == 0 {
-		r.transferReserved(machine)
+		r.transferReservedMachine(machine)
 		return
 	}
 	reservation := r.byMachine[machine.Name]
-	if r.Now+preemptionLead < reservation.ReadyAt {
+	if r.Now+preemptionLeadTime < reservation.ReadyAt {
 		return
 	}
 	for job, task := range tasksOn(r.cluster, machine) {
@@ -228,11 +233,12 @@
 	}
 }
 
-// transferReserved transfers an empty machine to the partition that it is reserved for.
-func (r *ReservationPlanner) transferReserved(machine *cluster.Machine) {
-	to := r.reservedForPartition(machine)
-	settled := r.Now > machine.AwaitingHeartbeatSince+minTransferInterval
-	if to != machine.Record.Partition && machine.TokenConfirmed && settled {
-		r.registry.TransferMachine(machine, to)
+// transferReservedMachine transfers an empty machine to the partition that it is reserved
+// for, at most once per minTransferInterval.
+func (r *ReservationPlanner) transferReservedMachine(machine *cluster.Machine) {
+	target := r.reservedForPartition(machine)
+	intervalPassed := r.Now > machine.AwaitingHeartbeatSince+minTransferInterval
+	if target != machine.Record.Partition && machine.TokenConfirmed && intervalPassed {
+		r.registry.TransferMachine(machine, target)
 	}
 }
--- a/internal/planning/scale_in.go
+++ b/internal/planning/scale_in.go
@@ -5,10 +5,10 @@
 	"spurmoor/internal/micros"
 )
 
-// Why a machine is scaled in, as the log gives it.
+// Reasons for scaling in a machine, as they are logged.
 const (
 	reasonNeverCameUp     = "never came up"
-	reasonOverdue         = "overdue, and nothing waits for it"
+	reasonBootOverdue     = "overdue, and nothing waits for it"
 	reasonSilent          = "silent"
 	reasonIgnoresCommands = "ignores its commands"
 	reasonIdle            = "idle"
@@ -16,27 +16,27 @@
 )
 
 const (
-	// unknownBootS is the boot time taken for a machine of an unknown type, in seconds.
-	unknownBootS = 60.0
-	// A machine never came up after maxBoots times the boot time of its type and
-	// bootMarginS seconds.
-	maxBoots    = 3
-	bootMarginS = 20
-	// bootSilenceMargin is how much longer than for a silent machine's next heartbeat is
-	// waited for the first one of a machine that has not come up.
-	bootSilenceMargin = 8 * micros.Second
-	// minIdleAge is how old a machine must be to be scaled in as idle: one that is deleted
-	// costs a minute in any case.
-	minIdleAge = 50 * micros.Second
+	// defaultBootS is the boot time assumed for a machine of an unknown type, in seconds.
+	defaultBootS = 60.0
+	// A machine that has not come up after bootTimeoutFactor times the boot time of its
+	// type plus bootMarginS seconds never will.
+	bootTimeoutFactor = 3
+	bootMarginS       = 20
+	// firstHeartbeatMargin is how much longer the first heartbeat of a machine is waited
+	// for than the next heartbeat of a machine that was up.
+	firstHeartbeatMargin = 8 * micros.Second
+	// minIdleScaleInAge is how old a machine must be to be scaled in as idle. A machine
+	// costs at least a minute, even if it is deleted sooner.
+	minIdleScaleInAge = 50 * micros.Second
 )
 
-// faultReason says why a machine is scaled in for what it does not do; "": it is not.
+// faultReason returns why a machine is scaled in as faulty, or "" if it is not.
 func (m *MachineManager) faultReason(machine *cluster.Machine, mostSilent bool) string {
-	switch overdue := m.isOverdue(machine); {
-	case overdue && m.Now > machine.LaunchedAt+bootDeadline(machine):
+	switch overdue := m.isBootOverdue(machine); {
+	case overdue && m.Now > machine.LaunchedAt+bootTimeout(machine):
 		return reasonNeverCameUp
 	case overdue && !m.cluster.Partitions[machine.Record.Partition].HasBlockedJobs:
-		return reasonOverdue
+		return reasonBootOverdue
 	case !mostSilent && m.isSilent(machine):
 		return reasonSilent
 	case m.ignoresCommands(machine):
@@ -45,42 +45,43 @@
 	return ""
 }
 
-// bootDeadline is how long after its launch a machine that has not come up is given up.
-func bootDeadline(machine *cluster.Machine) micros.Micros {
-	bootS := unknownBootS
+// bootTimeout returns how long after its launch a machine that has not come up is given
+// up.
+func bootTimeout(machine *cluster.Machine) micros.Micros {
+	bootS := defaultBootS
 	if machine.MachineType != nil {
 		bootS = machine.MachineType.BootS
 	}
-	return micros.FromSeconds(bootS*maxBoots + bootMarginS)
+	return micros.FromSeconds(bootS*bootTimeoutFactor + bootMarginS)
 }
 
-// isOverdue tells whether a machine should have come up by now, and this controller has
-// waited for it for long enough to know that it has not.
-func (m *MachineManager) isOverdue(machine *cluster.Machine) bool {
+// isBootOverdue reports whether a machine should have come up by now, and this controller
+// has waited for it long enough to know that it has not.
+func (m *MachineManager) isBootOverdue(machine *cluster.Machine) bool {
 	awaitedSince := m.storeLease.MissedHeartbeatsCountFrom(machine.AwaitingHeartbeatSince)
-	return m.Now > awaitedSince+m.Settings.HeartbeatTimeout()+bootSilenceMargin && m.boots.BootOverdue(machine)
+	return m.Now > awaitedSince+m.Settings.HeartbeatTimeout()+firstHeartbeatMargin && m.boots.BootOverdue(machine)
 }
 
-// isSilent tells whether a machine that was up has said nothing for too long.
+// isSilent reports whether a machine that was up has sent nothing for too long.
 func (m *MachineManager) isSilent(machine *cluster.Machine) bool {
 	silentSince := m.storeLease.MissedHeartbeatsCountFrom(machine.LastSeenAt)
 	return machine.FirstHeartbeatAt > 0 && m.Now > silentSince+m.Settings.HeartbeatTimeout()
 }
 
-// ignoresCommands tells whether a machine that sends heartbeats has needed the same
-// commands for too long: no answer reaches it.
+// ignoresCommands reports whether a machine that sends heartbeats has needed the same
+// commands for too long, which means that no answer reaches it.
 func (m *MachineManager) ignoresCommands(machine *cluster.Machine) bool {
 	heartbeatInterval := micros.FromSeconds(m.Settings.Deployment.Workers.ReportS)
 	ignoringSince := m.storeLease.MissedHeartbeatsCountFrom(machine.IgnoringSince)
 	return machine.IgnoringSince > 0 && m.Now > ignoringSince+m.Settings.HeartbeatTimeout()+heartbeatInterval
 }
 
-// hasIdledEnough tells whether a machine has had nothing to do for so long that it is
-// scaled in.
-func (m *MachineManager) hasIdledEnough(machine *cluster.Machine) bool {
+// isPastIdleTimeout reports whether a machine has been idle for so long that it is scaled
+// in.
+func (m *MachineManager) isPastIdleTimeout(machine *cluster.Machine) bool {
 	if !machine.TokenConfirmed || len(machine.TaskIDs) > 0 || machine.ClaimedBy != "" {
 		return false
 	}
 	idleReturn := micros.FromSeconds(m.Settings.Operators.IdleReturnS)
-	return m.Now > machine.IdleSince+idleReturn && m.Now > machine.LaunchedAt+minIdleAge
+	return m.Now > machine.IdleSince+idleReturn && m.Now > machine.LaunchedAt+minIdleScaleInAge
 }
--- a/internal/planning/scale_in_test.go
+++ b/internal/planning/scale_in_test.go
@@ -7,12 +7,12 @@
 	"spurmoor/internal/micros"
 )
 
-// TestFaultReasons guards against scaling in a machine before what it does not do is
-// certain, and against keeping one for ever.
+// TestFaultReasons guards against scaling in a machine before its fault is certain, and
+// against never scaling in a faulty one.
 func TestFaultReasons(t *testing.T) {
 	t.Parallel()
 	const second = micros.Second
-	// launched makes a machine that has not come up, launched so long ago.
+	// launched returns a change to a machine that was launched that long ago and has not come up.
 	launched := func(ago micros.Micros) func(*fixture, *cluster.Machine) {
 		return func(f *fixture, machine *cluster.Machine) {
 			machine.FirstHeartbeatAt = 0
@@ -35,7 +35,7 @@
 	}{
 		{name: "idle and heard", change: silent(0)},
 		{name: "booting", change: launched(90 * second)},
-		{name: "overdue", change: launched(90*second + 1), want: reasonOverdue},
+		{name: "overdue", change: launched(90*second + 1), want: reasonBootOverdue},
 		{name: "overdue while jobs wait", change: launched(110 * second), blocked: true},
 		{name: "never came up", change: launched(110*second + 1), blocked: true, want: reasonNeverCameUp},
 		{name: "overdue, not awaited by us for long", change: func(f *fixture, machine *cluster.Machine) {
@@ -59,11 +59,11 @@
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			f := newFixture(t)
-			machine := f.idleMachine(t)
+			machine := f.addIdleMachine(t)
 			tc.change(f, machine)
 			f.state.Partitions[0].HasBlockedJobs = tc.blocked
 			if got := f.manager.faultReason(machine, tc.mostSilent); got != tc.want {
-				t.Errorf("%q, want %q", got, tc.want)
+				t.Errorf("faultReason: got %q, want %q", got, tc.want)
 			}
 		})
 	}
--- a/internal/planning/scheduler_view.go
+++ b/internal/planning/scheduler_view.go
@@ -10,7 +10,8 @@
 	"spurmoor/internal/scheduler"
 )
 
-// SchedulerView shows jobs, machines and teams in the form that the scheduler plans with.
+// SchedulerView converts jobs, machines and teams from the replica to the scheduler's
+// types.
 type SchedulerView struct {
 	*coordination.Environment
 	cluster   *cluster.State
@@ -18,7 +19,7 @@
 	urgencies *UrgencyIndex
 }
 
-// NewSchedulerView makes a scheduler view.
+// NewSchedulerView returns a view that reads the replica at each call and caches nothing.
 func NewSchedulerView(
 	env *coordination.Environment, state *cluster.State, tasks *cluster.TaskLifecycle, urgencies *UrgencyIndex,
 ) *SchedulerView {
@@ -26,31 +27,32 @@
 }
 
 const (
-	// recentStart is how long a start must last to count for users: stopping a task
-	// before undoes its start.
-	recentStart = 30 * micros.Second
-	// cancelledTaskEnd is how soon a task of a cancelled job is expected to be gone.
-	cancelledTaskEnd = 3 * micros.Second
-	// stopMarginS is how many seconds beyond its grace a task takes to stop.
+	// recentStartWindow is how long a start must last to count for users. Stopping a task
+	// earlier undoes its start.
+	recentStartWindow = 30 * micros.Second
+	// cancelledTaskStopTime is how soon a task of a cancelled job is expected to be gone.
+	cancelledTaskStopTime = 3 * micros.Second
+	// stopMarginS is how many seconds beyond its grace period a task takes to stop.
 	stopMarginS = 1
-	// checkpointedWork is how much work is taken to be lost with a task that checkpoints,
-	// beside the time to save.
-	checkpointedWork = 5 * micros.Second
-	// minFetchGBs is the least rate taken for fetching images, in gigabytes a second: a
-	// type's rate may be missing.
-	minFetchGBs = 0.01
-	// An overdue task is expected to end overdueMinimum and 1/overdueDivisor of its age
-	// from now: its estimate was wrong, and the longer it lasts the longer it may.
-	overdueMinimum = micros.Second
-	overdueDivisor = 5
-	// startingDivisor: of a task that was placed and does not run, 1/startingDivisor of
-	// the time since is taken to be lost work.
-	startingDivisor = 2
+	// checkpointedLostWork is the work that a task with checkpoints is assumed to lose
+	// when it is stopped, in addition to the time that saving takes.
+	checkpointedLostWork = 5 * micros.Second
+	// minFetchGBPerS is the lowest rate assumed for fetching images, in gigabytes per
+	// second. The rate of a machine type may be missing.
+	minFetchGBPerS = 0.01
+	// An overdue task is expected to run for another minRemainingTime plus
+	// 1/remainingAgeDivisor of the time since its placement. Its estimate was wrong, and
+	// the longer it has run, the longer it may still run.
+	minRemainingTime    = micros.Second
+	remainingAgeDivisor = 5
+	// A task that is placed but not running yet is assumed to lose
+	// 1/startingLostWorkDivisor of the time since its placement.
+	startingLostWorkDivisor = 2
 )
 
-// schedulerJob shows a job.
+// schedulerJob converts a job. The caller sets its PendingTasks.
 func (v *SchedulerView) schedulerJob(job *cluster.Job) *scheduler.Job {
-	shown := &scheduler.Job{
+	schedulerJob := &scheduler.Job{
 		ID:             job.ID,
 		Spec:           &job.Spec,
 		Request:        job.Request,
@@ -62,11 +64,12 @@
 		Deprioritized:  v.tasks.Deprioritized(job),
 		Started:        job.HasStarted(),
 	}
-	maps.Copy(shown.TasksPerZone, job.TasksPerZone)
-	return shown
+	maps.Copy(schedulerJob.TasksPerZone, job.TasksPerZone)
+	return schedulerJob
 }
 
-// schedulerMachine shows a machine, without what runs on it. Its type must be known.
+// schedulerMachine converts a machine without its allocations. The type of the machine
+// must be known.
 func (v *SchedulerView) schedulerMachine(machine *cluster.Machine) *scheduler.Machine {
 	total := totalResources(machine.MachineType)
 	return &scheduler.Machine{
@@ -80,22 +83,23 @@
 	}
 }
 
-// totalResources gives what a machine of a type has.
+// totalResources returns the resources of an empty machine of a type.
 func totalResources(machineType *api.MachineType) scheduler.Resources {
 	return scheduler.ResourcesOf(machineType.CPUs, machineType.GPUs, machineType.MemoryGB)
 }
 
-// addAllocations shows what runs on a machine. jobs are those that are shown already, by
-// ID; the others, of other partitions, are shown with what preemption asks of them. A task
-// of a cancelled job is shown without a job.
-func (v *SchedulerView) addAllocations(shown *scheduler.Machine, machine *cluster.Machine, jobs map[string]*scheduler.Job) {
+// addAllocations adds the tasks on a machine to its converted form. jobs holds the jobs
+// that are already converted, by ID. A job that is missing there, such as one of another
+// partition, gets only the fields that preemption needs. A task of a cancelled job is
+// added without a job.
+func (v *SchedulerView) addAllocations(schedulerMachine *scheduler.Machine, machine *cluster.Machine, jobs map[string]*scheduler.Job) {
 	for _, id := range machine.TaskIDsCopy() {
 		job := v.cluster.Jobs[id.Job]
 		allocation := scheduler.Allocation{
 			Job:         jobs[id.Job],
 			TaskIndex:   id.Index,
 			Request:     job.Request,
-			ExpectedEnd: v.Now + cancelledTaskEnd,
+			ExpectedEnd: v.Now + cancelledTaskStopTime,
 		}
 		if allocation.Job == nil && !job.Cancelled {
 			allocation.Job = &scheduler.Job{
@@ -106,14 +110,14 @@
 			}
 		}
 		if allocation.Job != nil {
-			v.describeTask(&allocation, job, job.Task(id.Index), machine)
+			v.setTaskState(&allocation, job, job.Task(id.Index), machine)
 		}
-		shown.Allocations = append(shown.Allocations, allocation)
+		schedulerMachine.Allocations = append(schedulerMachine.Allocations, allocation)
 	}
 }
 
-// describeTask shows when a task is expected to end and what stopping it costs.
-func (v *SchedulerView) describeTask(
+// setTaskState sets when a task is expected to end and what stopping it costs.
+func (v *SchedulerView) setTaskState(
 	allocation *scheduler.Allocation, job *cluster.Job, task *cluster.Task, machine *cluster.Machine,
 ) {
 	allocation.ExpectedEnd = v.expectedTaskEnd(job, task, machine)
@@ -122,10 +126,11 @@
 	allocation.StartedRecently = v.startedRecently(task)
 }
 
-// expectedTaskEnd is when a task on a machine is expected to end, by its owner's estimate.
+// expectedTaskEnd returns when a task on a machine is expected to end, based on its
+// owner's estimate.
 func (v *SchedulerView) expectedTaskEnd(job *cluster.Job, task *cluster.Task, machine *cluster.Machine) micros.Micros {
 	estimate := micros.FromSeconds(job.Spec.EstimateS)
-	fetch := micros.FromSeconds(job.Spec.ImageGB / max(minFetchGBs, machine.MachineType.FetchGBPerS))
+	fetch := micros.FromSeconds(job.Spec.ImageGB / max(minFetchGBPerS, machine.MachineType.FetchGBPerS))
 	end := task.PlacedAt + estimate + fetch
 	if task.RunningSince > 0 {
 		end = task.RunningSince + estimate
@@ -133,27 +138,28 @@
 	if task.StopRequestedAt > 0 {
 		end = min(end, task.StopRequestedAt+micros.FromSeconds(task.GraceS+stopMarginS))
 	}
-	return max(end, v.Now+overdueMinimum+(v.Now-task.PlacedAt)/overdueDivisor)
+	return max(end, v.Now+minRemainingTime+(v.Now-task.PlacedAt)/remainingAgeDivisor)
 }
 
-// startedRecently tells whether stopping a task would undo its start.
+// startedRecently reports whether stopping a task now would undo its start.
 func (v *SchedulerView) startedRecently(task *cluster.Task) bool {
-	return v.Now < task.PlacedAt+recentStart
+	return v.Now < task.PlacedAt+recentStartWindow
 }
 
-// lostWork is about how much work is lost if a task is stopped now.
+// lostWork returns about how much work is lost if a task is stopped now.
 func (v *SchedulerView) lostWork(job *cluster.Job, task *cluster.Task) micros.Micros {
 	switch {
 	case job.Spec.CheckpointIntervalS > 0:
-		return micros.FromSeconds(job.Spec.CheckpointSaveS) + checkpointedWork
+		return micros.FromSeconds(job.Spec.CheckpointSaveS) + checkpointedLostWork
 	case task.RunningSince == 0:
-		return (v.Now - task.PlacedAt) / startingDivisor
+		return (v.Now - task.PlacedAt) / startingLostWorkDivisor
 	}
 	return v.Now - task.RunningSince
 }
 
-// schedulerTeam shows a team's use and quota; nothing of an unknown one.
-func (v *SchedulerView) schedulerTeam(name string) *scheduler.Quota {
+// teamQuota returns the usage and quota of a team, or an empty quota if the team is
+// unknown.
+func (v *SchedulerView) teamQuota(name string) *scheduler.Quota {
 	for _, team := range v.Settings.Deployment.Teams {
 		if team.Name == name {
 			return &scheduler.Quota{
--- a/internal/planning/scheduling_cycle.go
+++ b/internal/planning/scheduling_cycle.go
@@ -1,5 +1,5 @@
-// Package planning shows the cluster to the scheduler, carries its plans out, and looks
-// after the machines of the partitions that this controller leads.
+// Package planning prepares the scheduler's input, carries out its plans, and manages the
+// machines of the partitions that this controller leads.
 //
 // It is pure: it does no input or output, reads no clock and starts no goroutine.
 package planning
@@ -15,16 +15,17 @@
 	"spurmoor/internal/scheduler"
 )
 
-// SchedulingCycle plans for the partitions that we lead, and carries the plans out.
+// SchedulingCycle makes and carries out the plans for the partitions that this controller
+// leads.
 type SchedulingCycle struct {
 	*coordination.Environment
 	boots        *cluster.BootStatistics
 	cache        *coordination.WatchCache
 	catalog      *provisioning.MachineCatalog
 	cluster      *cluster.State
-	lending      *MachineLending
+	lender       *MachineLender
 	peers        *coordination.PeerTracker
-	provisioning *provisioning.Provisioner
+	provisioner  *provisioning.Provisioner
 	reservations *ReservationPlanner
 	tasks        *cluster.TaskLifecycle
 	trigger      *cluster.CycleTrigger
@@ -32,20 +33,21 @@
 	view         *SchedulerView
 
 	nextCycleAt     micros.Micros
-	earliestPlanAt  micros.Micros            // no cycle before this, whatever triggers one
-	BlockedReasons  map[string]string        // by job, of the last plans
-	ExpectedEnds    map[string]micros.Micros // by job, of the last plans
-	MachineRequests []peer.MachineRequest    // to other partitions' leaders
+	earliestCycleAt micros.Micros            // no cycle runs before this, even if one is triggered
+	BlockedReasons  map[string]string        // by job ID, from the latest plans
+	ExpectedEnds    map[string]micros.Micros // by job ID, from the latest plans
+	MachineRequests []peer.MachineRequest    // from the latest plans, to the leaders of other partitions
 }
 
-// NewSchedulingCycle makes a scheduling cycle.
+// NewSchedulingCycle returns a scheduling cycle whose first run is due as soon as the
+// watch cache is synced.
 func NewSchedulingCycle(
 	env *coordination.Environment,
 	boots *cluster.BootStatistics,
 	cache *coordination.WatchCache,
 	catalog *provisioning.MachineCatalog,
 	state *cluster.State,
-	lending *MachineLending,
+	lender *MachineLender,
 	peers *coordination.PeerTracker,
 	provisioner *provisioning.Provisioner,
 	reservations *ReservationPlanner,
@@ -60,9 +62,9 @@
 		cache:          cache,
 		catalog:        catalog,
 		cluster:        state,
-		lending:        lending,
+		lender:         lender,
 		peers:          peers,
-		provisioning:   provisioner,
+		provisioner:    provisioner,
 		reservations:   reservations,
 		tasks:          tasks,
 		trigger:        trigger,
@@ -73,28 +75,31 @@
 }
 
 const (
-	// basePlanInterval and planIntervalPerItem give the least time between two cycles.
-	basePlanInterval    = micros.Second / 10
-	planIntervalPerItem = 400 * micros.Microsecond // for each machine and each job
+	// baseCycleInterval and cycleIntervalPerItem determine the minimum time between two
+	// cycles.
+	baseCycleInterval    = micros.Second / 10
+	cycleIntervalPerItem = 400 * micros.Microsecond // for each machine and each job
 )
 
-// minPlanInterval is the least time between two cycles: it grows with what a plan goes
-// through, so that planning takes a bounded share of the processor.
-func minPlanInterval(machines, jobs int) micros.Micros {
-	return basePlanInterval + micros.Micros(machines+jobs)*planIntervalPerItem
+// minCycleInterval returns the minimum time between two cycles. It grows with the number
+// of machines and jobs that a plan covers, so that planning uses a bounded share of the
+// processor.
+func minCycleInterval(machines, jobs int) micros.Micros {
+	return baseCycleInterval + micros.Micros(machines+jobs)*cycleIntervalPerItem
 }
 
-// RunSchedulingCycle plans for every partition that we lead, as often as the operators set,
-// and earlier when something was triggered, but no sooner than the least interval after
-// the last cycle. Nothing is planned before the replica and the catalog are complete.
-func (c *SchedulingCycle) RunSchedulingCycle() {
+// RunIfDue plans for every partition that this controller leads. A cycle is due at the
+// interval that the operators set, or earlier if one was triggered, but never sooner than
+// the minimum interval after the last cycle. Nothing is planned before the replica and
+// the catalog are complete.
+func (c *SchedulingCycle) RunIfDue() {
 	due := c.Now >= c.nextCycleAt || c.trigger.Due()
-	if !c.cache.Synced || !due || c.Now < c.earliestPlanAt {
+	if !c.cache.Synced || !due || c.Now < c.earliestCycleAt {
 		return
 	}
 	c.nextCycleAt = c.Now + micros.FromSeconds(c.Settings.Operators.CycleS)
 	c.trigger.Clear()
-	c.earliestPlanAt = c.Now + minPlanInterval(len(c.cluster.Machines), len(c.cluster.Jobs))
+	c.earliestCycleAt = c.Now + minCycleInterval(len(c.cluster.Machines), len(c.cluster.Jobs))
 	c.MachineRequests = nil
 	c.BlockedReasons = map[string]string{}
 	c.ExpectedEnds = map[string]micros.Micros{}
@@ -110,21 +115,22 @@
 	}
 }
 
-// planPartition makes one partition's plan and carries it out.
+// planPartition makes and carries out the plan of one partition.
 func (c *SchedulingCycle) planPartition(partition *cluster.Partition) {
-	snapshot, jobs := c.snapshotFor(partition)
+	snapshot, jobs := c.buildSnapshot(partition)
 	plan := scheduler.MakePlan(snapshot)
 	c.bindTasks(plan.Bindings, jobs)
 	c.preemptTasks(plan.Preemptions)
 	for _, scaleOut := range plan.ScaleOuts {
-		c.provisioning.ScaleOut(partition, scaleOut.Kind, scaleOut.Count)
+		c.provisioner.ScaleOut(partition, scaleOut.Kind, scaleOut.Count)
 	}
 	c.requestMachines(partition, plan, jobs)
-	c.noteOutlook(partition, plan, jobs)
+	c.recordPlanResults(partition, plan, jobs)
 }
 
-// noteOutlook keeps what a plan says of the jobs that wait, and of when jobs will end.
-func (c *SchedulingCycle) noteOutlook(partition *cluster.Partition, plan *scheduler.Plan, jobs map[string]*cluster.Job) {
+// recordPlanResults records why jobs of the partition are blocked, and when its jobs are
+// expected to end.
+func (c *SchedulingCycle) recordPlanResults(partition *cluster.Partition, plan *scheduler.Plan, jobs map[string]*cluster.Job) {
 	partition.HasBlockedJobs = len(plan.BlockedReasons) > 0
 	maps.Copy(c.BlockedReasons, plan.BlockedReasons)
 	for id, end := range plan.ExpectedEnds {
--- a/internal/planning/scheduling_cycle_test.go
+++ b/internal/planning/scheduling_cycle_test.go
@@ -6,9 +6,9 @@
 	"spurmoor/internal/micros"
 )
 
-// TestMinPlanInterval guards against planning that takes more than a bounded share of the
+// TestMinCycleInterval guards against planning that uses more than a bounded share of the
 // processor.
-func TestMinPlanInterval(t *testing.T) {
+func TestMinCycleInterval(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
 		machines, jobs int
@@ -19,8 +19,8 @@
 		{0, 1, 100*micros.Millisecond + 400},
 		{4000, 1000, 2100 * micros.Millisecond},
 	} {
-		if got := minPlanInterval(tc.machines, tc.jobs); got != tc.want {
-			t.Errorf("%d machines, %d jobs: %d, want %d", tc.machines, tc.jobs, got, tc.want)
+		if got := minCycleInterval(tc.machines, tc.jobs); got != tc.want {
+			t.Errorf("minCycleInterval(%d, %d): got %d, want %d", tc.machines, tc.jobs, got, tc.want)
 		}
 	}
 }
--- a/internal/planning/snapshot.go
+++ b/internal/planning/snapshot.go
@@ -13,35 +13,36 @@
 )
 
 const (
-	// transferTime is about how long it takes until a machine of another partition can be
-	// given tasks: it is requested, its record changes, and it sends a heartbeat.
+	// transferTime is about how long it takes until a machine of another partition
+	// accepts tasks: it is requested, its record changes, and it sends a heartbeat.
 	transferTime = 2 * micros.Second
-	// busyTransferTime is the same for one that has tasks, which are stopped first.
+	// busyTransferTime is the same for a machine with tasks, which are stopped first.
 	busyTransferTime = 5 * micros.Second
-	// minBootRemainder is the least time that a machine which has not come up is expected
-	// to take yet.
-	minBootRemainder = 2 * micros.Second
-	// confirmationTime is about how long it takes until a machine that is up has sent a
-	// heartbeat with our fencing token.
-	confirmationTime = 3 * micros.Second
-	// largeBorrowerFactor: a partition with more than so many times our machines, by
-	// price, uses far more than we do, so that machines lent to it are reclaimed.
+	// minRemainingBootTime is the shortest remaining boot time assumed for a machine that
+	// has not come up.
+	minRemainingBootTime = 2 * micros.Second
+	// tokenConfirmationTime is about how long it takes until a machine that is up has
+	// sent a heartbeat with this controller's fencing token.
+	tokenConfirmationTime = 3 * micros.Second
+	// A partition whose machines cost more than largeBorrowerFactor times as much as
+	// those of the lending partition uses far more than that one. Machines lent to it are
+	// reclaimed.
 	largeBorrowerFactor = 2
 )
 
-// snapshotBuilder shows the cluster to the scheduler as one partition sees it.
+// snapshotBuilder builds the scheduler's snapshot of the cluster for one partition.
 type snapshotBuilder struct {
 	*SchedulingCycle
-	partition       *cluster.Partition
-	snapshot        *scheduler.Snapshot
-	jobs            map[string]*cluster.Job   // those shown, by ID
-	schedulerJobs   map[string]*scheduler.Job // the same as the scheduler sees them
-	partitionPrices []float64                 // of the machines that each partition has
+	partition        *cluster.Partition
+	snapshot         *scheduler.Snapshot
+	jobs             map[string]*cluster.Job   // those in the snapshot, by ID
+	schedulerJobs    map[string]*scheduler.Job // the same, converted for the scheduler
+	priceByPartition []float64                 // total price of the machines of each partition
 }
 
-// snapshotFor shows the cluster as a partition sees it, and gives the partition's jobs that
-// are shown, by ID.
-func (c *SchedulingCycle) snapshotFor(partition *cluster.Partition) (*scheduler.Snapshot, map[string]*cluster.Job) {
+// buildSnapshot returns the scheduler's snapshot of the cluster for a partition, and the
+// partition's jobs in that snapshot by ID.
+func (c *SchedulingCycle) buildSnapshot(partition *cluster.Partition) (*scheduler.Snapshot, map[string]*cluster.Job) {
 	builder := &snapshotBuilder{
 		SchedulingCycle: c,
 		partition:       partition,
@@ -67,173 +68,178 @@
 	return builder.snapshot, builder.jobs
 }
 
-// addSettings shows objectives, teams and what the cloud refused of late.
+// addSettings adds the objectives, the quotas of the teams, and the machine kinds that
+// the cloud refused recently.
 func (b *snapshotBuilder) addSettings() {
 	for _, objective := range b.Settings.Deployment.Objectives {
 		b.snapshot.Objectives[objective.Class] = append(b.snapshot.Objectives[objective.Class], objective)
 	}
 	for _, team := range b.Settings.Deployment.Teams {
-		b.snapshot.Quotas[team.Name] = b.view.schedulerTeam(team.Name)
+		b.snapshot.Quotas[team.Name] = b.view.teamQuota(team.Name)
 	}
-	b.snapshot.UnavailableKinds = b.provisioning.UnavailableKinds()
+	b.snapshot.UnavailableKinds = b.provisioner.UnavailableKinds()
 }
 
-// addJobs shows the partition's jobs that may run.
+// addJobs adds the partition's jobs that may run. A job in back-off and a gang that is
+// restarting have no pending tasks.
 func (b *snapshotBuilder) addJobs() {
 	for _, id := range slices.Sorted(maps.Keys(b.cluster.Jobs)) {
 		job := b.cluster.Jobs[id]
 		if job.Partition != b.partition.Index || !mayRun(job) {
 			continue
 		}
-		shown := b.view.schedulerJob(job)
+		schedulerJob := b.view.schedulerJob(job)
 		if b.Now >= job.NotBefore && !isRestarting(job) {
-			shown.PendingTasks = len(job.Placeable(b.Now, b.tasks.PlaceableTasks(job)))
+			schedulerJob.PendingTasks = len(job.Placeable(b.Now, b.tasks.PlaceableTasks(job)))
 		}
 		b.jobs[id] = job
-		b.schedulerJobs[id] = shown
-		b.snapshot.Jobs = append(b.snapshot.Jobs, shown)
+		b.schedulerJobs[id] = schedulerJob
+		b.snapshot.Jobs = append(b.snapshot.Jobs, schedulerJob)
 	}
 }
 
-// isRestarting tells whether a gang has tasks left from an attempt that failed: it starts
-// anew only when all of them are gone.
+// isRestarting reports whether a gang still has tasks of a failed attempt. It starts
+// again only when all of them are gone.
 func isRestarting(job *cluster.Job) bool {
 	return job.Spec.Kind == api.Gang && job.PlacedTasks > 0 && !job.IsReassembling()
 }
 
-// sumPrices adds up the prices of the machines that each partition has.
+// sumPrices adds up the machine prices of each partition. Condemned machines and those of
+// unknown type do not count.
 func (b *snapshotBuilder) sumPrices() {
-	b.partitionPrices = make([]float64, len(b.cluster.Partitions))
+	b.priceByPartition = make([]float64, len(b.cluster.Partitions))
 	for _, machine := range b.cluster.MachinesByName {
 		index := machine.Record.Partition
-		known := machine.MachineType != nil && index >= 0 && index < len(b.partitionPrices)
+		known := machine.MachineType != nil && index >= 0 && index < len(b.priceByPartition)
 		if known && !machine.Record.Condemned {
-			b.partitionPrices[index] += machine.MachineType.Price
+			b.priceByPartition[index] += machine.MachineType.Price
 		}
 	}
 }
 
-// addMachine shows a machine if it is of any use to the partition.
+// addMachine adds a machine if the partition can use it.
 func (b *snapshotBuilder) addMachine(machine *cluster.Machine) {
-	shown := b.view.schedulerMachine(machine)
+	schedulerMachine := b.view.schedulerMachine(machine)
 	own := machine.Record.Partition == b.partition.Index
 	reservedFor := b.reservations.reservedForPartition(machine)
 	if reservedFor != noPartition {
-		b.showReservation(machine, shown)
+		b.setReservation(machine, schedulerMachine)
 		if !own {
-			b.addReservedElsewhere(machine, shown, reservedFor)
+			b.addReservedFromOtherPartition(machine, schedulerMachine, reservedFor)
 			return
 		}
 	}
 	if machine.ClaimedBy != "" && b.Now > machine.ClaimExpiresAt {
-		machine.ClaimedBy, shown.ClaimedBy = "", ""
+		machine.ClaimedBy, schedulerMachine.ClaimedBy = "", ""
 	}
-	var useful bool
+	var usable bool
 	if own {
-		useful = b.showOwn(machine, shown)
+		usable = b.fillOwnMachine(machine, schedulerMachine)
 	} else {
-		useful = b.showOtherPartitions(machine, shown)
+		usable = b.fillOtherPartitionMachine(machine, schedulerMachine)
 	}
-	if useful {
-		b.snapshot.Machines = append(b.snapshot.Machines, shown)
+	if usable {
+		b.snapshot.Machines = append(b.snapshot.Machines, schedulerMachine)
 	}
 }
 
-// showReservation shows for which gang a machine is reserved; a reservation precedes all
-// claims.
-func (b *snapshotBuilder) showReservation(machine *cluster.Machine, shown *scheduler.Machine) {
+// setReservation sets the gang that a machine is reserved for. A reservation takes
+// precedence over any claim.
+func (b *snapshotBuilder) setReservation(machine *cluster.Machine, schedulerMachine *scheduler.Machine) {
 	reservation := b.reservations.byMachine[machine.Name]
 	if job := b.schedulerJobs[reservation.Job.ID]; job != nil {
-		reservation.Job = job // the scheduler compares jobs of one snapshot
+		reservation.Job = job // the scheduler compares the pointers of a snapshot's jobs
 	}
-	shown.ClaimedBy = ""
-	shown.Reservation = &reservation
+	schedulerMachine.ClaimedBy = ""
+	schedulerMachine.Reservation = &reservation
 }
 
-// addReservedElsewhere shows another partition's machine that is reserved if it is for a
-// gang of this partition: it is being emptied for it.
-func (b *snapshotBuilder) addReservedElsewhere(machine *cluster.Machine, shown *scheduler.Machine, reservedFor int) {
+// addReservedFromOtherPartition adds a reserved machine of another partition if it is
+// reserved for a gang of this one: the machine is being emptied for that gang.
+func (b *snapshotBuilder) addReservedFromOtherPartition(machine *cluster.Machine, schedulerMachine *scheduler.Machine, reservedFor int) {
 	if reservedFor != b.partition.Index {
 		return
 	}
-	shown.HeldByOtherPartition = true
-	shown.Free = shown.Total
-	shown.ReadyAt = max(b.Now, b.reservations.byMachine[machine.Name].ReadyAt)
-	b.snapshot.Machines = append(b.snapshot.Machines, shown)
+	schedulerMachine.HeldByOtherPartition = true
+	schedulerMachine.Free = schedulerMachine.Total
+	schedulerMachine.ReadyAt = max(b.Now, b.reservations.byMachine[machine.Name].ReadyAt)
+	b.snapshot.Machines = append(b.snapshot.Machines, schedulerMachine)
 }
 
-// showOtherPartitions shows a machine of another partition that is not reserved: an idle
-// one that may be borrowed, one that is lent out and comes back, or one that may be
-// requested for preemption. It tells whether the machine is any of these.
-func (b *snapshotBuilder) showOtherPartitions(machine *cluster.Machine, shown *scheduler.Machine) bool {
+// fillOtherPartitionMachine sets the state of an unreserved machine of another partition:
+// an idle one that may be borrowed, one that this partition lent out and gets back, or
+// one that may be requested for preemption. It reports whether the machine is any of
+// these.
+func (b *snapshotBuilder) fillOtherPartitionMachine(machine *cluster.Machine, schedulerMachine *scheduler.Machine) bool {
 	switch {
-	case b.lending.isBorrowable(machine):
-		shown.Borrowable = true
-		shown.ReadyAt = b.Now + transferTime
+	case b.lender.isBorrowable(machine):
+		schedulerMachine.Borrowable = true
+		schedulerMachine.ReadyAt = b.Now + transferTime
 	case machine.Record.HomePartition == b.partition.Index && machine.ClaimedBy == "":
-		b.showLentOut(machine, shown)
+		b.fillLentOutMachine(machine, schedulerMachine)
 	case len(machine.TaskIDs) > 0:
-		b.showBusyElsewhere(machine, shown)
+		b.fillBusyMachine(machine, schedulerMachine)
 	default:
 		return false
 	}
 	return true
 }
 
-// showLentOut shows a machine of the partition by home that another one uses: it can be
-// had once its tasks have ended.
-func (b *snapshotBuilder) showLentOut(machine *cluster.Machine, shown *scheduler.Machine) {
-	b.view.addAllocations(shown, machine, b.schedulerJobs)
-	shown.HeldByOtherPartition = true
-	shown.LentOut = true
-	shown.ReadyAt = b.Now + transferTime
-	for _, allocation := range shown.Allocations {
-		shown.ReadyAt = max(shown.ReadyAt, allocation.ExpectedEnd)
+// fillLentOutMachine sets the state of a machine that this partition has lent to another
+// one. It is available once its tasks have ended.
+func (b *snapshotBuilder) fillLentOutMachine(machine *cluster.Machine, schedulerMachine *scheduler.Machine) {
+	b.view.addAllocations(schedulerMachine, machine, b.schedulerJobs)
+	schedulerMachine.HeldByOtherPartition = true
+	schedulerMachine.LentOut = true
+	schedulerMachine.ReadyAt = b.Now + transferTime
+	for _, allocation := range schedulerMachine.Allocations {
+		schedulerMachine.ReadyAt = max(schedulerMachine.ReadyAt, allocation.ExpectedEnd)
 	}
-	ours := b.partitionPrices[b.partition.Index]
-	borrowers := b.partitionPrices[machine.Record.Partition]
-	shown.BorrowerOverShare = largeBorrowerFactor*ours < borrowers
+	lenderPrice := b.priceByPartition[b.partition.Index]
+	borrowerPrice := b.priceByPartition[machine.Record.Partition]
+	schedulerMachine.BorrowerOverShare = largeBorrowerFactor*lenderPrice < borrowerPrice
 }
 
-// showBusyElsewhere shows a machine with tasks of another partition. A claimed one is being
-// emptied for a job of ours.
-func (b *snapshotBuilder) showBusyElsewhere(machine *cluster.Machine, shown *scheduler.Machine) {
-	shown.HeldByOtherPartition = true
-	shown.ReadyAt = b.Now + busyTransferTime
+// fillBusyMachine sets the state of a machine with tasks of another partition. A claimed
+// machine is being emptied for a job, so all of its resources count as free.
+func (b *snapshotBuilder) fillBusyMachine(machine *cluster.Machine, schedulerMachine *scheduler.Machine) {
+	schedulerMachine.HeldByOtherPartition = true
+	schedulerMachine.ReadyAt = b.Now + busyTransferTime
 	if machine.ClaimedBy != "" {
-		shown.Free = shown.Total
+		schedulerMachine.Free = schedulerMachine.Total
 	}
-	b.view.addAllocations(shown, machine, b.schedulerJobs)
+	b.view.addAllocations(schedulerMachine, machine, b.schedulerJobs)
 }
 
-// showOwn shows a machine of the partition; it tells whether the machine may be given
-// tasks, now or soon.
-func (b *snapshotBuilder) showOwn(machine *cluster.Machine, shown *scheduler.Machine) bool {
+// fillOwnMachine sets the state of a machine of this partition. It reports whether the
+// machine accepts tasks, now or soon.
+func (b *snapshotBuilder) fillOwnMachine(machine *cluster.Machine, schedulerMachine *scheduler.Machine) bool {
 	if machine.RecordChangePending() || machine.MoveToPartition != noPartition {
 		return false
 	}
-	responds := b.lending.responds(machine) && !b.cluster.HeartbeatsMissing(machine)
+	responds := b.lender.isResponsive(machine) && !b.cluster.HeartbeatsMissing(machine)
 	wasUp := machine.FirstHeartbeatAt > 0
 	switch {
 	case machine.TokenConfirmed && responds:
-		shown.Schedulable = true
+		schedulerMachine.Schedulable = true
 	case wasUp && responds:
-		shown.ReadyAt = b.Now + confirmationTime
+		schedulerMachine.ReadyAt = b.Now + tokenConfirmationTime
 	case !wasUp && !b.boots.BootOverdue(machine):
-		shown.ReadyAt = max(b.Now+minBootRemainder, machine.LaunchedAt+bootTime(machine))
+		schedulerMachine.ReadyAt = max(b.Now+minRemainingBootTime, machine.LaunchedAt+bootTime(machine))
 	default:
 		return false
 	}
 	for _, image := range machine.CachedImages {
-		shown.CachedImages = append(shown.CachedImages, image.Name)
+		schedulerMachine.CachedImages = append(schedulerMachine.CachedImages, image.Name)
 	}
-	b.view.addAllocations(shown, machine, b.schedulerJobs)
+	b.view.addAllocations(schedulerMachine, machine, b.schedulerJobs)
 	return true
 }
 
-// addPendingMachines shows the machines that were requested and are not recorded yet.
+// addPendingMachines adds the machines that were requested from the cloud and are not
+// recorded yet.
 func (b *snapshotBuilder) addPendingMachines() {
-	pending := b.provisioning.PendingMachines(b.partition)
+	pending := b.provisioner.PendingMachines(b.partition)
 	kinds := slices.SortedFunc(maps.Keys(pending), func(left, right scheduler.InstanceKind) int {
 		return cmp.Compare(left.String(), right.String())
 	})
@@ -248,7 +254,7 @@
 	}
 }
 
-// pendingMachine shows a machine that has no name yet.
+// pendingMachine returns a machine of a kind that was requested. It has no name yet.
 func (b *snapshotBuilder) pendingMachine(kind scheduler.InstanceKind, machineType *api.MachineType) *scheduler.Machine {
 	total := totalResources(machineType)
 	return &scheduler.Machine{
--- a/internal/planning/spare_machine.go
+++ b/internal/planning/spare_machine.go
@@ -11,28 +11,30 @@
 	"spurmoor/internal/scheduler"
 )
 
-// spareAfterDivisor: a spare machine is requested for a job of which nothing has begun
-// after 1/spareAfterDivisor of begin_within_s.
+// A spare machine is requested for a job of which nothing has begun after
+// 1/spareAfterDivisor of begin_within_s.
 const spareAfterDivisor = 6
 
-// chooseSpare chooses a machine of another partition with room for a job of ours that has
-// waited and that nothing can be launched for; nil: none is wanted, or there is none. It is
-// requested to be given when its tasks have ended, one machine at a time. A machine has one
-// partition, so room beside another partition's tasks is no use to us: in a small, full
-// cluster a team under its limit waited for two minutes beside it.
+// chooseSpare returns a machine of another partition that has room for a waiting job for
+// which nothing can be launched. It returns nil if no job needs one, or if there is none.
+// The machine is to be transferred once its tasks have ended, one machine at a time.
+//
+// A machine belongs to one partition, so the room beside another partition's tasks is of
+// no use to this one. Without spare machines, a team within its limit waited for two
+// minutes beside such room in a small, full cluster.
 func (c *SchedulingCycle) chooseSpare(
 	partition *cluster.Partition, jobs map[string]*cluster.Job, blockedReasons map[string]string,
 ) *cluster.Machine {
-	job := c.oldestWithoutScaleOut(jobs, blockedReasons)
+	job := c.oldestJobNeedingSpare(jobs, blockedReasons)
 	if job == nil {
 		partition.RequestedSpare = ""
 		return nil
 	}
 	requested := c.cluster.Machines[partition.RequestedSpare]
 	if requested != nil && c.mayRequestSpare(requested, partition, job) {
-		return requested // it goes on emptying
+		return requested // its tasks are still ending
 	}
-	spare := c.soonestSpare(partition, job)
+	spare := c.soonestEmptySpare(partition, job)
 	if spare == nil {
 		partition.RequestedSpare = ""
 		return nil
@@ -46,9 +48,9 @@
 	return spare
 }
 
-// oldestWithoutScaleOut gives the job that has waited longest of those that a single
-// machine would help, and that nothing can be launched for; nil: there is none.
-func (c *SchedulingCycle) oldestWithoutScaleOut(
+// oldestJobNeedingSpare returns the job that has waited longest of those that a single
+// machine would help and for which nothing can be launched, or nil if there is none.
+func (c *SchedulingCycle) oldestJobNeedingSpare(
 	jobs map[string]*cluster.Job, blockedReasons map[string]string,
 ) *cluster.Job {
 	var oldest *cluster.Job
@@ -64,8 +66,8 @@
 	return oldest
 }
 
-// needsSpare tells whether a job has waited for long enough to get a spare machine, and a
-// single one would help it.
+// needsSpare reports whether a job has waited long enough to get a spare machine, and a
+// single machine would help it.
 func (c *SchedulingCycle) needsSpare(job *cluster.Job) bool {
 	oneMachineHelps := job.Spec.Kind == api.Array || job.Spec.Tasks == 1
 	if !oneMachineHelps || job.HasStarted() || c.tasks.Deprioritized(job) {
@@ -75,22 +77,22 @@
 	return c.Now > job.EligibleAt()+wait
 }
 
-// soonestSpare gives the machine with room for a job's task that is expected to be empty
-// first; nil: there is none.
-func (c *SchedulingCycle) soonestSpare(partition *cluster.Partition, job *cluster.Job) *cluster.Machine {
+// soonestEmptySpare returns the machine with room for one of the job's tasks that is
+// expected to be empty first, or nil if there is none.
+func (c *SchedulingCycle) soonestEmptySpare(partition *cluster.Partition, job *cluster.Job) *cluster.Machine {
 	var soonest *cluster.Machine
 	var soonestEnd micros.Micros
 	for _, machine := range c.cluster.MachinesByName {
 		if !c.mayRequestSpare(machine, partition, job) {
 			continue
 		}
-		shown := c.view.schedulerMachine(machine)
-		if !shown.Free.Fits(job.Request) {
+		schedulerMachine := c.view.schedulerMachine(machine)
+		if !schedulerMachine.Free.Fits(job.Request) {
 			continue
 		}
-		c.view.addAllocations(shown, machine, nil)
+		c.view.addAllocations(schedulerMachine, machine, nil)
 		end := c.Now
-		for _, allocation := range shown.Allocations {
+		for _, allocation := range schedulerMachine.Allocations {
 			end = max(end, allocation.ExpectedEnd)
 		}
 		if soonest == nil || end < soonestEnd {
@@ -100,7 +102,8 @@
 	return soonest
 }
 
-// mayRequestSpare tells whether a machine of another partition may be requested for a job.
+// mayRequestSpare reports whether a machine of another partition may be requested for a
+// job.
 func (c *SchedulingCycle) mayRequestSpare(machine *cluster.Machine, partition *cluster.Partition, job *cluster.Job) bool {
 	if machine.Record.Partition == partition.Index || machine.MachineType == nil || machine.Record.Condemned {
 		return false
--- a/internal/planning/tasks_on_machine.go
+++ b/internal/planning/tasks_on_machine.go
@@ -4,8 +4,8 @@
 	"spurmoor/internal/cluster"
 )
 
-// tasksOn goes through the tasks recorded on a machine, with their jobs. Tasks may be
-// changed meanwhile, also so that they leave the machine.
+// tasksOn iterates over the tasks recorded on a machine, with their jobs. The loop may
+// change the tasks, and may take them off the machine.
 func tasksOn(state *cluster.State, machine *cluster.Machine) func(yield func(*cluster.Job, *cluster.Task) bool) {
 	return func(yield func(*cluster.Job, *cluster.Task) bool) {
 		for _, id := range machine.TaskIDsCopy() {
--- a/internal/planning/urgency.go
+++ b/internal/planning/urgency.go
@@ -7,8 +7,8 @@
 	"spurmoor/internal/scheduler"
 )
 
-// UrgencyIndex is how urgent each unfinished job is, with what it inherits from the jobs
-// that depend on it.
+// UrgencyIndex holds the urgency of each unfinished job, including what the job inherits
+// from the jobs that depend on it.
 type UrgencyIndex struct {
 	*coordination.Environment
 	catalog      *provisioning.MachineCatalog
@@ -18,7 +18,7 @@
 	byJob map[string]urgency
 }
 
-// NewUrgencyIndex makes an empty urgency index.
+// NewUrgencyIndex returns an empty urgency index.
 func NewUrgencyIndex(
 	env *coordination.Environment,
 	catalog *provisioning.MachineCatalog,
@@ -28,25 +28,25 @@
 	return &UrgencyIndex{Environment: env, catalog: catalog, cluster: state, dependencies: dependencies}
 }
 
-// urgency is what a job is ranked by: its own priority and deadline, or those of the most
-// urgent job that depends on it.
+// urgency is the tier and the deadline that a job is ranked by: its own, or those of the
+// most urgent job that depends on it.
 type urgency struct {
 	tier     int
 	deadline scheduler.Deadline
 }
 
-// computeUrgencies works out the urgency of every job in the replica.
+// computeUrgencies recomputes the urgency of every job in the replica.
 func (u *UrgencyIndex) computeUrgencies() {
 	u.byJob = map[string]urgency{}
-	slowestFetch := u.catalog.SlowestFetchSecondsPerGB()
+	slowestFetchSPerGB := u.catalog.SlowestFetchSecondsPerGB()
 	for _, job := range u.cluster.Jobs {
-		u.urgencyOf(job, slowestFetch)
+		u.urgencyOf(job, slowestFetchSPerGB)
 	}
 }
 
-// urgencyOf gives a job's urgency, worked out if it was not yet. slowestFetch is how many
-// seconds fetching a gigabyte takes at most.
-func (u *UrgencyIndex) urgencyOf(job *cluster.Job, slowestFetch float64) urgency {
+// urgencyOf returns the urgency of a job, which it computes at the first call in a cycle.
+// slowestFetchSPerGB is the longest time that fetching a gigabyte may take, in seconds.
+func (u *UrgencyIndex) urgencyOf(job *cluster.Job, slowestFetchSPerGB float64) urgency {
 	if known, ok := u.byJob[job.ID]; ok {
 		return known
 	}
@@ -54,18 +54,18 @@
 	if dependency := u.dependencies.ByJob[job.ID]; dependency != nil {
 		for _, dependent := range dependency.Dependents {
 			if dependent.Cancelled || dependent.Terminal {
-				continue // what was inherited from it goes with it
+				continue // its urgency no longer counts
 			}
-			inherited := u.urgencyOf(dependent, slowestFetch)
-			inherited.deadline.DownstreamS += dependent.Spec.EstimateS + dependent.Spec.ImageGB*slowestFetch
-			result = result.mostUrgent(inherited)
+			inherited := u.urgencyOf(dependent, slowestFetchSPerGB)
+			inherited.deadline.DownstreamS += dependent.Spec.EstimateS + dependent.Spec.ImageGB*slowestFetchSPerGB
+			result = result.merge(inherited)
 		}
 	}
 	u.byJob[job.ID] = result
 	return result
 }
 
-// ownUrgency is a job's urgency without what it inherits.
+// ownUrgency returns the urgency of a job without what it inherits.
 func ownUrgency(job *cluster.Job) urgency {
 	own := urgency{tier: job.Spec.Priority.Tier()}
 	if job.Spec.DeadlineS > 0 {
@@ -78,9 +78,9 @@
 	return own
 }
 
-// mostUrgent gives the higher tier and the earlier deadline of two urgencies; WithinS is 0
-// where there is no deadline.
-func (u urgency) mostUrgent(other urgency) urgency {
+// merge returns the higher tier and the earlier deadline of two urgencies. A deadline
+// whose WithinS is 0 stands for none.
+func (u urgency) merge(other urgency) urgency {
 	result := urgency{tier: max(u.tier, other.tier), deadline: u.deadline}
 	if other.deadline.WithinS == 0 {
 		return result
@@ -91,8 +91,8 @@
 	return result
 }
 
-// effectiveTier is the tier that a job is treated as having: its own, or a higher one that
-// it inherits.
+// effectiveTier returns the tier that a job is treated as having: its own, or a higher
+// one that it inherits.
 func (u *UrgencyIndex) effectiveTier(job *cluster.Job) int {
 	if known, ok := u.byJob[job.ID]; ok {
 		return known.tier
