--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -83,7 +83,7 @@
 func (s *State) AddJob(id string, spec api.Job) *Job {
 	job := &Job{
 		ID:             id,
-		Request:        scheduler.ResourcesOf(spec.CPUs, spec.GPUs, spec.MemoryGB),
+		Request:        scheduler.NewResources(spec.CPUs, spec.GPUs, spec.MemoryGB),
 		Partition:      s.Settings.TeamPartition[spec.Team],
 		Chunks:         map[int][]Task{},
 		TasksPerZone:   map[string]int{},
--- a/internal/cluster/task_accounting.go
+++ b/internal/cluster/task_accounting.go
@@ -72,7 +72,7 @@
 	case records.TaskPlaced:
 		job.PlacedTasks += delta
 		if usage := s.TeamUsage[job.Spec.Team]; usage != nil {
-			*usage = usage.Add(job.Request, int64(delta))
+			*usage = usage.AddScaled(job.Request, int64(delta))
 		}
 		if machine := s.Machines[task.Machine]; machine != nil {
 			s.countOnMachine(job, index, machine, delta)
@@ -82,7 +82,7 @@
 
 // countOnMachine adds a task to what is on a machine (delta 1) or takes it off (-1).
 func (s *State) countOnMachine(job *Job, index int, machine *Machine, delta int) {
-	machine.Allocated = machine.Allocated.Add(job.Request, int64(delta))
+	machine.Allocated = machine.Allocated.AddScaled(job.Request, int64(delta))
 	job.TasksPerZone[machine.Record.Zone] += delta
 	id := TaskID{Job: job.ID, Index: index}
 	at, found := slices.BinarySearchFunc(machine.TaskIDs, id, TaskID.compare)
--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -94,7 +94,7 @@
 	if _, ok := a.Settings.TeamPartition[spec.Team]; !ok {
 		return refusalUnknownTeam, false
 	}
-	task := scheduler.ResourcesOf(spec.CPUs, spec.GPUs, spec.MemoryGB)
+	task := scheduler.NewResources(spec.CPUs, spec.GPUs, spec.MemoryGB)
 	if !a.fitsSomeMachineType(spec, task) {
 		return refusalFitsNoMachine, false
 	}
@@ -107,9 +107,9 @@
 // fitsSomeMachineType tells whether one task fits an on-demand machine that the job allows.
 func (a *admissionControl) fitsSomeMachineType(spec *api.Job, task scheduler.Resources) bool {
 	return slices.ContainsFunc(a.catalog.MachineTypes, func(machineType api.MachineType) bool {
-		capacity := scheduler.ResourcesOf(machineType.CPUs, machineType.GPUs, machineType.MemoryGB)
+		capacity := scheduler.NewResources(machineType.CPUs, machineType.GPUs, machineType.MemoryGB)
 		return capacity.Fits(task) && slices.ContainsFunc(machineType.Zones, func(zone string) bool {
-			return scheduler.Allowed(spec, machineType.Name, zone, false)
+			return scheduler.ConstraintsAllow(spec, machineType.Name, zone, false)
 		})
 	})
 }
@@ -125,8 +125,8 @@
 		if team.Name != spec.Team {
 			continue
 		}
-		limit := scheduler.ResourcesOf(team.MaxCPUs, team.MaxGPUs, 0)
-		if limit.CPU > 0 && task.CPU*together > limit.CPU || limit.GPU > 0 && task.GPU*together > limit.GPU {
+		limit := scheduler.NewResources(team.MaxCPUs, team.MaxGPUs, 0)
+		if limit.MilliCPU > 0 && task.MilliCPU*together > limit.MilliCPU || limit.MilliGPU > 0 && task.MilliGPU*together > limit.MilliGPU {
 			return true
 		}
 	}
--- a/internal/planning/fixture_test.go
+++ b/internal/planning/fixture_test.go
@@ -94,7 +94,7 @@
 	spec.Tasks = 1
 	job := f.state.AddJob(id, spec)
 	job.Spec = spec
-	job.Request = scheduler.ResourcesOf(0, 4, 0)
+	job.Request = scheduler.NewResources(0, 4, 0)
 	job.Partition = 1
 	task := job.EnsureTask(0)
 	task.PlacedAt = f.env.Now - 300*micros.Second
--- a/internal/planning/lending_test.go
+++ b/internal/planning/lending_test.go
@@ -146,7 +146,7 @@
 			if tc.recent {
 				task.PlacedAt = fix.env.Now - recentStartWindow + 1
 			}
-			*fix.state.TeamUsage["team"] = scheduler.ResourcesOf(0, tc.used, 0)
+			*fix.state.TeamUsage["team"] = scheduler.NewResources(0, tc.used, 0)
 			if got := fix.lender.mayPreemptAll(machine, tc.request); got != tc.want {
 				t.Errorf("mayPreemptAll: got %t, want %t", got, tc.want)
 			}
--- a/internal/planning/machine_requests.go
+++ b/internal/planning/machine_requests.go
@@ -83,7 +83,7 @@
 			return false // stopping a task of the same tier that started recently costs more than it gains
 		}
 		team := job.Spec.Team
-		preempted[team] = preempted[team].Add(job.Request, 1)
+		preempted[team] = preempted[team].AddScaled(job.Request, 1)
 		if !l.view.teamQuota(team).KeepsGuaranteeWithout(preempted[team]) {
 			return false
 		}
--- a/internal/planning/plan_execution.go
+++ b/internal/planning/plan_execution.go
@@ -89,15 +89,15 @@
 func (c *SchedulingCycle) preemptTasks(preemptions []scheduler.Preemption) {
 	for _, preemption := range preemptions {
 		machine := c.cluster.Machines[preemption.Machine.Name]
-		claimedBefore := machine.ClaimedBy == preemption.For.ID
-		machine.ClaimedBy = preemption.For.ID
+		claimedBefore := machine.ClaimedBy == preemption.ForJob.ID
+		machine.ClaimedBy = preemption.ForJob.ID
 		machine.ClaimExpiresAt = c.Now + claimDuration
 		machine.ClaimGuaranteed = preemption.WithinGuarantee
 		switch {
 		case claimedBefore:
 		case preemption.Machine.HeldByOtherPartition:
 			c.LogInfo("machine requested",
-				logkey.ForJob, preemption.For.ID,
+				logkey.ForJob, preemption.ForJob.ID,
 				logkey.Machine, machine.Name,
 				logkey.Partition, machine.Record.Partition,
 				logkey.Tasks, len(preemption.Victims))
@@ -110,12 +110,12 @@
 // stopVictims requests the stop of the tasks that a plan preempts on one machine.
 func (c *SchedulingCycle) stopVictims(preemption scheduler.Preemption) {
 	c.LogInfo("tasks preempted",
-		logkey.ForJob, preemption.For.ID,
+		logkey.ForJob, preemption.ForJob.ID,
 		logkey.Machine, preemption.Machine.Name,
 		logkey.Tasks, len(preemption.Victims))
 	for _, victim := range preemption.Victims {
 		job := c.cluster.Jobs[victim.Job.ID]
-		c.tasks.RequestTaskStop(job, job.Task(victim.TaskIndex), "preempted for "+preemption.For.ID)
+		c.tasks.RequestTaskStop(job, job.Task(victim.TaskIndex), "preempted for "+preemption.ForJob.ID)
 	}
 }
 
--- a/internal/planning/scheduler_view.go
+++ b/internal/planning/scheduler_view.go
@@ -78,14 +78,14 @@
 		Zone:      machine.Record.Zone,
 		Spot:      machine.Record.Spot,
 		Total:     total,
-		Free:      total.Add(machine.Allocated, -1),
+		Free:      total.AddScaled(machine.Allocated, -1),
 		ClaimedBy: machine.ClaimedBy,
 	}
 }
 
 // totalResources returns the resources of an empty machine of a type.
 func totalResources(machineType *api.MachineType) scheduler.Resources {
-	return scheduler.ResourcesOf(machineType.CPUs, machineType.GPUs, machineType.MemoryGB)
+	return scheduler.NewResources(machineType.CPUs, machineType.GPUs, machineType.MemoryGB)
 }
 
 // addAllocations adds the tasks on a machine to its converted form. jobs holds the jobs
@@ -164,8 +164,8 @@
 		if team.Name == name {
 			return &scheduler.Quota{
 				Used:       *v.cluster.TeamUsage[name],
-				Guaranteed: scheduler.ResourcesOf(team.GuaranteedCPUs, team.GuaranteedGPUs, 0),
-				Limit:      scheduler.ResourcesOf(team.MaxCPUs, team.MaxGPUs, 0),
+				Guaranteed: scheduler.NewResources(team.GuaranteedCPUs, team.GuaranteedGPUs, 0),
+				Limit:      scheduler.NewResources(team.MaxCPUs, team.MaxGPUs, 0),
 			}
 		}
 	}
--- a/internal/planning/spare_machine.go
+++ b/internal/planning/spare_machine.go
@@ -111,5 +111,5 @@
 	if machine.ClaimedBy != "" || job.FailedMachines[machine.Name] || c.reservations.isReserved(machine) {
 		return false
 	}
-	return scheduler.Allowed(&job.Spec, machine.Record.Type, machine.Record.Zone, machine.Record.Spot)
+	return scheduler.ConstraintsAllow(&job.Spec, machine.Record.Type, machine.Record.Zone, machine.Record.Spot)
 }
--- a/internal/planning/urgency.go
+++ b/internal/planning/urgency.go
@@ -85,7 +85,7 @@
 	if other.deadline.WithinS == 0 {
 		return result
 	}
-	if u.deadline.WithinS == 0 || other.deadline.Latest() < u.deadline.Latest() {
+	if u.deadline.WithinS == 0 || other.deadline.LatestEnd() < u.deadline.LatestEnd() {
 		result.deadline = other.deadline
 	}
 	return result
--- a/internal/scheduler/advance_reservation.go
+++ b/internal/scheduler/advance_reservation.go
@@ -8,78 +8,80 @@
 	"spurmoor/internal/micros"
 )
 
-// PreemptionTime is about how long it takes to preempt what runs on a machine.
+// PreemptionTime is the approximate time to preempt the tasks on a machine.
 const PreemptionTime = 12 * micros.Second
 
-// headStartPerTask is by how much earlier a gang is treated as eligible for each of its
-// tasks: the larger a gang, the longer its machines take to empty.
-const headStartPerTask = 5 * micros.Second
+// eligibilityCreditPerTask is how much earlier, per task, a gang is treated as eligible. The
+// machines of a larger gang take longer to become empty.
+const eligibilityCreditPerTask = 5 * micros.Second
 
-// AdvanceReservation says for which job a machine is kept until it is empty, and when
-// the last of that job's machines should be.
+// AdvanceReservation reserves a machine for Job before the machine is empty. ReadyAt is when
+// the last of the job's machines is expected to be empty.
 type AdvanceReservation struct {
 	Job     *Job
 	ReadyAt micros.Micros
 }
 
-// ReserveInAdvance reserves machines of all partitions for the gangs that are due, oldest
-// first: for each the machines that empty soonest, of one zone where it must be in one. It
-// returns the reservations by the machines' names.
+// ReserveInAdvance reserves machines of all partitions for the given gangs, in the order in
+// which they became eligible, with an earlier place for larger gangs. Each gang gets the
+// machines that become empty first, all in one zone if it must stay in one. The result is
+// keyed by machine name.
 //
-// It is needed because a partition seldom holds eight machines of a zone and nothing may
-// be preempted for work of the same tier: the largest gangs waited until the rest was done.
-// Every controller works the reservations out for itself from its replica and honours them
-// with its own machines; none has to ask. When they asked for machines one by one, several
-// gangs of eight each held some, waited for the rest, and none began.
+// Without advance reservations, the largest gangs wait until all other work is done, because
+// a partition seldom has eight machines in one zone and no task may be preempted for a job
+// of the same tier. Every controller computes the reservations from its own replica and
+// applies them to its own machines, so that none has to request a machine. If machines are
+// requested one by one, several gangs of eight each hold some of them and wait for the
+// others, and none starts.
 //
-// A gang that became eligible after recentSince gets no reservation for machines that it
-// can have at once or by preempting what is of a lower tier, nor for a single machine: it
-// gets those sooner by itself.
+// A gang that became eligible after recentSince gets no reservation for a single machine, or
+// for machines that it can have at once or by preempting tasks of lower tiers. It gets those
+// sooner through the normal plan.
 func ReserveInAdvance(now, recentSince micros.Micros, machines []*Machine, dueGangs []*Job) map[string]AdvanceReservation {
 	reserved := map[string]AdvanceReservation{}
 	for _, job := range inReservationOrder(dueGangs) {
-		set := soonestEmpty(job, now, machines, reserved)
+		set := earliestEmpty(job, now, machines, reserved)
 		if set == nil {
 			continue
 		}
 		readyAt := set[len(set)-1].at
-		hasItSoonAnyway := len(set) == 1 || readyAt <= now+PreemptionTime
-		if job.EligibleAt > recentSince && hasItSoonAnyway {
+		availableSoonAnyway := len(set) == 1 || readyAt <= now+PreemptionTime
+		if job.EligibleAt > recentSince && availableSoonAnyway {
 			continue
 		}
-		for _, emptied := range set {
-			reserved[emptied.machine.Name] = AdvanceReservation{job, readyAt}
+		for _, available := range set {
+			reserved[available.machine.Name] = AdvanceReservation{job, readyAt}
 		}
 	}
 	return reserved
 }
 
-// inReservationOrder sorts the gangs by the order in which they get reservations.
+// inReservationOrder returns the gangs in the order in which they get reservations.
 func inReservationOrder(gangs []*Job) []*Job {
 	gangs = slices.Clone(gangs)
 	slices.SortFunc(gangs, func(a, b *Job) int {
 		return cmp.Or(
-			cmp.Compare(eligibleWithHeadStart(a), eligibleWithHeadStart(b)),
+			cmp.Compare(adjustedEligibleAt(a), adjustedEligibleAt(b)),
 			cmp.Compare(a.ID, b.ID),
 		)
 	})
 	return gangs
 }
 
-func eligibleWithHeadStart(gang *Job) micros.Micros {
-	return gang.EligibleAt - micros.Micros(gang.Spec.Tasks)*headStartPerTask
+func adjustedEligibleAt(gang *Job) micros.Micros {
+	return gang.EligibleAt - micros.Micros(gang.Spec.Tasks)*eligibilityCreditPerTask
 }
 
-// soonestEmpty gives the machines that empty soonest for all of a gang, in one zone
-// where it must be in one, without those reserved already; nil where there are not
-// enough.
-func soonestEmpty(job *Job, now micros.Micros, machines []*Machine, reserved map[string]AdvanceReservation) []availability {
+// earliestEmpty returns the machines not reserved yet that are the first to be empty for all
+// tasks of the gang, or nil if there are not enough. They are in one zone if the gang must
+// stay in one.
+func earliestEmpty(job *Job, now micros.Micros, machines []*Machine, reserved map[string]AdvanceReservation) []availability {
 	byZone := map[string][]availability{}
 	for _, machine := range machines {
 		if _, taken := reserved[machine.Name]; taken {
 			continue
 		}
-		if !machine.Total.Fits(job.Request) || !job.permits(machine) {
+		if !machine.Total.Fits(job.Request) || !job.allowsMachine(machine) {
 			continue
 		}
 		if at := machine.emptyAt(job, now); at < never {
@@ -87,11 +89,12 @@
 			byZone[zone] = append(byZone[zone], availability{machine, at})
 		}
 	}
-	return soonestSet(job, byZone)
+	return earliestSet(job, byZone)
 }
 
-// emptyAt is when the machine is expected to run nothing that a job must wait for: what is
-// of a lower tier can be preempted for it; a service does not end.
+// emptyAt returns when the machine is expected to run nothing that the job must wait for.
+// Tasks of lower tiers can be preempted within PreemptionTime. For a service that cannot be
+// preempted it returns never.
 func (m *Machine) emptyAt(job *Job, now micros.Micros) micros.Micros {
 	at := m.schedulableAt(now)
 	for _, allocation := range m.Allocations {
--- a/internal/scheduler/availability.go
+++ b/internal/scheduler/availability.go
@@ -8,17 +8,17 @@
 	"spurmoor/internal/micros"
 )
 
-// availability is a machine and when a job may have it.
+// availability is a machine and the time at which it is available to a job.
 type availability struct {
 	machine *Machine
 	at      micros.Micros
 }
 
-// soonestRoom returns the eligible machines that free soonest for all of a job's tasks, in
-// one zone where the job must stay in one, and when the last of them has room. Where
-// there are too few for the whole job it returns all of them, or, if the job must stay in
-// one zone, none and never.
-func (s *planState) soonestRoom(job *Job, eligible func(machine *Machine) bool) ([]availability, micros.Micros) {
+// earliestRoom returns the eligible machines that are the first to have room for all of the
+// job's tasks, and the time at which the last of them has it. They are in one zone if the
+// job must stay in one. If there are too few machines for the whole job, it returns all of
+// them; for a job that must stay in one zone it returns none and never.
+func (s *planState) earliestRoom(job *Job, eligible func(machine *Machine) bool) ([]availability, micros.Micros) {
 	byZone := map[string][]availability{}
 	for _, machine := range s.Machines {
 		if !eligible(machine) || !job.couldRunOn(machine) {
@@ -29,7 +29,7 @@
 			byZone[zone] = append(byZone[zone], availability{machine, at})
 		}
 	}
-	best := soonestSet(job, byZone)
+	best := earliestSet(job, byZone)
 	if best == nil && !job.Spec.OneZone {
 		best = byZone[anyZone]
 	}
@@ -39,12 +39,12 @@
 	return best, best[len(best)-1].at
 }
 
-// soonestSet returns the machines of the group that is the first to hold all of a job's
-// tasks; nil where no group has enough. It sorts each group by time.
-func soonestSet(job *Job, groups map[string][]availability) []availability {
+// earliestSet returns the machines of the group that is the first to have room for all of
+// the job's tasks, or nil if no group has enough. It sorts each group by time.
+func earliestSet(job *Job, groups map[string][]availability) []availability {
 	var best []availability
 	for _, name := range slices.Sorted(maps.Keys(groups)) {
-		set := firstForAllTasks(job, groups[name])
+		set := earliestForAllTasks(job, groups[name])
 		if set == nil {
 			continue
 		}
@@ -55,14 +55,14 @@
 	return best
 }
 
-// firstForAllTasks sorts a list by time and returns the first of its machines that hold
-// all of a job's tasks once they are empty; nil where there are not enough.
-func firstForAllTasks(job *Job, list []availability) []availability {
+// earliestForAllTasks sorts the list by time and returns the shortest prefix whose machines
+// hold all of the job's tasks when they are empty, or nil if the whole list does not.
+func earliestForAllTasks(job *Job, list []availability) []availability {
 	slices.SortStableFunc(list, func(a, b availability) int { return cmp.Compare(a.at, b.at) })
-	missing := job.PendingTasks
+	remaining := job.PendingTasks
 	for i, candidate := range list {
-		missing -= candidate.machine.Total.Multiples(job.Request)
-		if missing <= 0 {
+		remaining -= candidate.machine.Total.FitCount(job.Request)
+		if remaining <= 0 {
 			return list[:i+1]
 		}
 	}
--- a/internal/scheduler/demand.go
+++ b/internal/scheduler/demand.go
@@ -7,28 +7,29 @@
 	"spurmoor/internal/micros"
 )
 
-// horizonBoots is how many times the longest boot time room is allotted ahead for a job
-// that nothing can be launched for. The expected end of tasks that find no room by then is
+// horizonBootTimes is how far ahead, in multiples of the longest boot time, room is assigned
+// to a job for which nothing can be launched. The end of tasks that find no room by then is
 // estimated from the length of the queue.
-const horizonBoots = 2
+const horizonBootTimes = 2
 
-// latestStartMargin is how many times its estimate a job that has a deadline is given to
-// run, so that one that overruns the estimate by a fifth is still in time.
-const latestStartMargin = 1.2
+// deadlineEstimateFactor is the factor on the estimate of a job with a deadline, so that a task
+// that exceeds its estimate by a fifth still meets the deadline.
+const deadlineEstimateFactor = 1.2
 
-// demandPlanner works out which machines to borrow or launch for blocked jobs.
+// demandPlanner determines which machines to borrow or launch for blocked jobs. It assigns
+// them the room that they can expect, so that each machine is counted on only once.
 type demandPlanner struct {
 	*planState
-	machines     []*Machine    // of the snapshot, and those to be launched
-	ownResources Resources     // of the partition's machines
-	horizon      micros.Micros // until when room is allotted where nothing can be launched
-	queueTime    micros.Micros // how long the tasks without room keep the partition busy
+	machines     []*Machine    // of the snapshot, and those to launch
+	ownResources Resources     // of the machines not held by other partitions
+	horizon      micros.Micros // room is assigned up to this time if nothing can be launched
+	queueTime    micros.Micros // how long the tasks without room occupy the partition
 	borrowed     map[*Machine]bool
 
-	machinesOfKind map[InstanceKind]int // machines of the snapshot
-	launches       map[InstanceKind]int // machines to launch
-	launchOrder    []InstanceKind       // of the kinds to launch
-	launchCount    int                  // machines to launch in all
+	machinesOfKind map[InstanceKind]int // number of machines in the snapshot
+	launches       map[InstanceKind]int // number of machines to launch
+	launchOrder    []InstanceKind       // kinds to launch, in the order they were chosen
+	launchCount    int                  // total number of machines to launch
 }
 
 func newDemandPlanner(state *planState) *demandPlanner {
@@ -40,25 +41,26 @@
 		launches:       map[InstanceKind]int{},
 	}
 	for i := range state.MachineTypes {
-		boot := micros.FromSeconds(horizonBoots * state.MachineTypes[i].BootS)
+		boot := micros.FromSeconds(horizonBootTimes * state.MachineTypes[i].BootS)
 		planner.horizon = max(planner.horizon, state.Now+boot)
 	}
 	for _, machine := range state.Machines {
 		planner.machinesOfKind[machine.kind()]++
 		if !machine.HeldByOtherPartition {
-			planner.ownResources = planner.ownResources.Add(machine.Total, 1)
+			planner.ownResources = planner.ownResources.AddScaled(machine.Total, 1)
 		}
 	}
 	return planner
 }
 
-// serveJobs borrows or launches machines for the tasks that neither run nor fit soon. Room
-// is allotted in rank order: first what is free or on a booting machine, then what frees
-// before a launched machine would be up, or early enough for the job's deadline.
-func (d *demandPlanner) serveJobs(blocked []*Job) {
+// provisionFor borrows or launches machines for the blocked tasks that will not have room
+// soon. It assigns room to the jobs in rank order. A job first gets room that is free or on
+// a booting machine, then room that becomes free before a launched machine would be up, or
+// early enough for the job's deadline.
+func (d *demandPlanner) provisionFor(blocked []*Job) {
 	for _, job := range blocked {
 		if !job.Deprioritized {
-			d.serveJob(job)
+			d.provisionForJob(job)
 		}
 	}
 	for _, kind := range d.launchOrder {
@@ -66,98 +68,99 @@
 	}
 }
 
-// serveJob finds room for the blocked tasks of a job, now or soon, or launches machines
-// for them.
-func (d *demandPlanner) serveJob(job *Job) {
+// provisionForJob assigns room to the blocked tasks of the job, or launches machines for
+// them.
+func (d *demandPlanner) provisionForJob(job *Job) {
 	if job.Spec.OneZone && job.blockedTasks > 1 {
 		job.launchZone = d.chooseLaunchZone(job)
 	}
 	tasks := job.blockedTasks
-	if job.Spec.Kind == api.Array { // a gang or service needs room for all
-		tasks = min(tasks, d.limit(tasksToFindRoomFor))
+	if job.Spec.Kind == api.Array { // a gang or service needs room for all its tasks
+		tasks = min(tasks, d.limit(maxTasksPerArray))
 	}
 	option := d.cheapestLaunch(job, tasks)
-	tasks -= d.allotRoom(job, tasks, roomNow, option)
-	tasks -= d.allotRoom(job, tasks, roomSoon, option)
-	for tasks > 0 && option != nil && d.launchCount < d.limit(machinesToLaunch) {
+	tasks -= d.assignRoom(job, tasks, roomNow, option)
+	tasks -= d.assignRoom(job, tasks, roomSoon, option)
+	for tasks > 0 && option != nil && d.launchCount < d.limit(maxLaunchedMachines) {
 		tasks -= d.launchFor(job, tasks, option)
 		option = d.cheapestLaunch(job, tasks)
 	}
 	if tasks > 0 {
-		d.enqueue(job, tasks)
+		d.estimateQueuedEnd(job, tasks)
 	}
 }
 
-// roomPass is which room is allotted.
+// roomPass selects the room that a pass over the machines assigns.
 type roomPass int
 
 const (
-	roomNow  roomPass = iota // free, or on a booting machine
-	roomSoon                 // where a task must end first
+	roomNow  roomPass = iota // free now, or on a booting machine
+	roomSoon                 // free when other tasks have ended
 )
 
-// allotRoom allots room on the machines to up to so many tasks of a job, and returns how
-// many tasks got some. option is what would be launched for the job; nil: nothing can be.
-func (d *demandPlanner) allotRoom(job *Job, tasks int, pass roomPass, option *launchOption) int {
-	allotted := 0
+// assignRoom assigns room on the machines to at most the given number of the job's tasks
+// and returns how many got room. option is what would be launched for the job, or nil if
+// nothing can be launched.
+func (d *demandPlanner) assignRoom(job *Job, tasks int, pass roomPass, option *launchOption) int {
+	assigned := 0
 	for _, machine := range d.machines {
-		if allotted == tasks {
+		if assigned == tasks {
 			break
 		}
-		latest := d.latestStart(job, machine, option)
-		allotted += d.allotMachine(job, machine, tasks-allotted, pass, latest)
+		latestStart := d.latestStart(job, machine, option)
+		assigned += d.assignMachineRoom(job, machine, tasks-assigned, pass, latestStart)
 	}
-	return allotted
+	return assigned
 }
 
-// latestStart is until when a job may wait for room on a machine: until a launched machine
-// would be up, or longer where its deadline permits.
+// latestStart returns the time until which the job may wait for room on the machine. It is
+// when a launched machine would be up, or later if the job's deadline permits.
 func (d *demandPlanner) latestStart(job *Job, machine *Machine, option *launchOption) micros.Micros {
 	if option == nil {
 		return d.horizon
 	}
-	booted := d.Now + micros.FromSeconds(option.machineType.BootS)
-	return max(booted, latestStartInTime(job, machine.Type))
+	bootedAt := d.Now + micros.FromSeconds(option.machineType.BootS)
+	return max(bootedAt, latestStartForDeadline(job, machine.Type))
 }
 
-// latestStartInTime is when a task must start on a machine of a type at the latest to meet
-// the job's deadline; 0 where it has none.
-func latestStartInTime(job *Job, machineType *api.MachineType) micros.Micros {
+// latestStartForDeadline returns the latest time to start a task on a machine of the type so
+// that it meets the job's deadline, or 0 if the job has no deadline.
+func latestStartForDeadline(job *Job, machineType *api.MachineType) micros.Micros {
 	if job.Deadline.WithinS <= 0 {
 		return 0
 	}
-	run := micros.FromSeconds(latestStartMargin * job.Spec.EstimateS)
-	return job.Deadline.Latest() - run - job.fetchTime(machineType)
+	runtime := micros.FromSeconds(deadlineEstimateFactor * job.Spec.EstimateS)
+	return job.Deadline.LatestEnd() - runtime - job.imageFetchTime(machineType)
 }
 
-// allotMachine allots room on one machine to up to so many tasks of a job, as long as they
-// start by latest, and returns how many tasks got some.
-func (d *demandPlanner) allotMachine(job *Job, machine *Machine, tasks int, pass roomPass, latest micros.Micros) int {
-	if pass == roomSoon && machine.freeSoonAt > latest || !d.mayCountOn(job, machine) {
+// assignMachineRoom assigns room on one machine to at most the given number of the job's
+// tasks, as long as they can start by latestStart. It returns how many got room.
+func (d *demandPlanner) assignMachineRoom(job *Job, machine *Machine, tasks int, pass roomPass, latestStart micros.Micros) int {
+	if pass == roomSoon && machine.lastRejectedStart > latestStart || !d.mayAssign(job, machine) {
 		return 0
 	}
-	allotted := 0
-	for allotted < tasks && job.zoneCapacity(machine.Zone) > 0 {
+	assigned := 0
+	for assigned < tasks && job.tasksAllowedIn(machine.Zone) > 0 {
 		if pass == roomNow && !machine.Free.Fits(job.Request) {
 			break
 		}
 		start := machine.availableAt(job.Request, d.Now)
-		if start > latest || start == never {
+		if start > latestStart || start == never {
 			if pass == roomSoon {
-				machine.freeSoonAt = start
+				machine.lastRejectedStart = start
 			}
 			break
 		}
 		d.borrowIfNeeded(machine)
-		end := start + job.estimate() + job.fetchTime(machine.Type)
+		end := start + job.estimatedRuntime() + job.imageFetchTime(machine.Type)
 		machine.allocate(job, end)
 		d.extendExpectedEnd(job, end)
-		allotted++
+		assigned++
 	}
-	return allotted
+	return assigned
 }
 
-// borrowIfNeeded asks, once, for a machine that another partition has.
+// borrowIfNeeded adds the machine to MachinesToBorrow, once, if another partition has it.
 func (d *demandPlanner) borrowIfNeeded(machine *Machine) {
 	if (machine.Borrowable || machine.LentOut) && !d.borrowed[machine] {
 		d.borrowed[machine] = true
@@ -165,11 +168,12 @@
 	}
 }
 
-// mayCountOn tells whether a machine may be counted on for a job's later tasks.
-func (d *demandPlanner) mayCountOn(job *Job, machine *Machine) bool {
-	// A machine that is lent out is reclaimed only into a guarantee or from a borrower
-	// over its share; else it comes back as its tasks end. Where all partitions were
-	// overloaded, reclaiming only moved machines, and their work, in circles.
+// mayAssign reports whether room on the machine, now or later, may be assigned to the job.
+func (d *demandPlanner) mayAssign(job *Job, machine *Machine) bool {
+	// A lent machine is reclaimed only for a job within its team's guarantee, or from a
+	// borrower that uses far more than this partition. Otherwise it returns when its tasks
+	// end. Under overload of all partitions, unrestricted reclaiming only moves machines
+	// and their work in circles.
 	if machine.LentOut && !machine.BorrowerOverShare && !d.withinGuarantee(job) {
 		return false
 	}
@@ -179,30 +183,31 @@
 	if machine.HeldByOtherPartition && !machine.LentOut && machine.ClaimedBy != job.ID || !job.couldRunOn(machine) {
 		return false
 	}
-	// A gang does not wait for room that its own tasks have.
+	// A gang must not wait for room that its own tasks occupy.
 	return job.Spec.Kind != api.Gang || machine.Free.Fits(job.Request) || !runsTaskOf(machine, job)
 }
 
-// runsTaskOf tells whether a task of a job is on a machine already.
+// runsTaskOf reports whether a task of the job is already on the machine. Tasks that this
+// plan adds do not count.
 func runsTaskOf(machine *Machine, job *Job) bool {
 	return slices.ContainsFunc(machine.Allocations, func(allocation Allocation) bool {
 		return allocation.Job == job && allocation.TaskIndex >= 0
 	})
 }
 
-// enqueue estimates the end of tasks of a job that got no room: they run after all that
-// was queued before them.
-func (d *demandPlanner) enqueue(job *Job, tasks int) {
-	work := micros.Micros(tasks) * job.estimate()
+// estimateQueuedEnd estimates the end of the given number of the job's tasks that got no
+// room. They run after all tasks that were queued before them.
+func (d *demandPlanner) estimateQueuedEnd(job *Job, tasks int) {
+	work := micros.Micros(tasks) * job.estimatedRuntime()
 	d.queueTime += max(
-		drainTime(work, job.Request.GPU, d.ownResources.GPU),
-		drainTime(work, job.Request.CPU, d.ownResources.CPU),
+		drainTime(work, job.Request.MilliGPU, d.ownResources.MilliGPU),
+		drainTime(work, job.Request.MilliCPU, d.ownResources.MilliCPU),
 	)
-	d.extendExpectedEnd(job, d.Now+d.queueTime+job.estimate())
+	d.extendExpectedEnd(job, d.Now+d.queueTime+job.estimatedRuntime())
 	d.plan.BlockedReasons[job.ID] = ReasonNothingToLaunch
 }
 
-// drainTime is how long work that takes request of a resource keeps total of it busy.
+// drainTime returns how long work that takes request of a resource occupies total of it.
 func drainTime(work micros.Micros, request, total int64) micros.Micros {
 	return work * micros.Micros(request) / micros.Micros(max(1, total))
 }
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -6,28 +6,28 @@
 	"slices"
 )
 
-// gangZone is the room that a zone has for a gang.
+// gangZone holds the machines of a zone that have room for tasks of a gang.
 type gangZone struct {
-	name     string
-	machines []*Machine // that may take its tasks, in the order they are to be used
-	room     int        // tasks that fit; not more than the zone may take
-	span     int        // machines that the whole gang would take
+	name           string
+	machines       []*Machine // in the order in which the gang uses them
+	taskCapacity   int        // tasks that fit, limited to those allowed in the zone
+	machinesNeeded int        // machines that the whole gang would use here
 }
 
-// placeGang binds a whole gang to the smallest set of machines in the fewest
-// zones, or nothing.
+// placeGang binds all pending tasks of the gang, using the fewest zones and the fewest
+// machines in them. If they do not all fit, it binds none and returns false.
 func (p *placer) placeGang(job *Job) bool {
 	var machines []*Machine
-	missing := job.PendingTasks
+	remaining := job.PendingTasks
 	for _, zone := range p.gangZones(job) {
-		tasks := min(missing, zone.room)
-		missing -= tasks
+		tasks := min(remaining, zone.taskCapacity)
+		remaining -= tasks
 		machines = append(machines, zone.machinesFor(job, tasks)...)
-		if missing == 0 || job.Spec.OneZone {
+		if remaining == 0 || job.Spec.OneZone {
 			break
 		}
 	}
-	if missing > 0 {
+	if remaining > 0 {
 		return false
 	}
 	for _, machine := range machines {
@@ -36,13 +36,14 @@
 	return true
 }
 
-// gangZones gives the zones that may take tasks of a gang. The zone with the most room
-// is first: fewest zones; among those that hold it all, the fewest machines.
+// gangZones returns the zones with room for tasks of the gang. The zone with the most room
+// is first, so that the gang uses the fewest zones. Among zones that hold the whole gang,
+// the one that needs the fewest machines is first.
 func (p *placer) gangZones(job *Job) []*gangZone {
 	byName := map[string]*gangZone{}
 	var zones []*gangZone
 	for _, machine := range p.Machines {
-		if !p.canTake(job, machine) {
+		if !p.canPlace(job, machine) {
 			continue
 		}
 		zone := byName[machine.Zone]
@@ -54,36 +55,37 @@
 		zone.machines = append(zone.machines, machine)
 	}
 	for _, zone := range zones {
-		zone.measure(job)
+		zone.measureCapacity(job)
 	}
 	slices.SortFunc(zones, func(a, b *gangZone) int {
 		return cmp.Or(
-			cmp.Compare(min(b.room, job.PendingTasks), min(a.room, job.PendingTasks)),
-			cmp.Compare(a.span, b.span),
+			cmp.Compare(min(b.taskCapacity, job.PendingTasks), min(a.taskCapacity, job.PendingTasks)),
+			cmp.Compare(a.machinesNeeded, b.machinesNeeded),
 			cmp.Compare(a.name, b.name),
 		)
 	})
 	return zones
 }
 
-// measure orders the zone's machines for a gang and works out how much of it they hold.
-func (z *gangZone) measure(job *Job) {
+// measureCapacity sorts the zone's machines for the gang and sets taskCapacity and
+// machinesNeeded.
+func (z *gangZone) measureCapacity(job *Job) {
 	slices.SortStableFunc(z.machines, func(a, b *Machine) int {
 		return cmp.Or(
-			cmp.Compare(b.Free.Multiples(job.Request), a.Free.Multiples(job.Request)),
-			compareCached(a, b, job.Spec.Image),
+			cmp.Compare(b.Free.FitCount(job.Request), a.Free.FitCount(job.Request)),
+			compareImageCached(a, b, job.Spec.Image),
 			cmp.Compare(a.Type.Price, b.Type.Price),
 		)
 	})
 	for _, machine := range z.machines {
-		z.room += machine.Free.Multiples(job.Request)
+		z.taskCapacity += machine.Free.FitCount(job.Request)
 	}
-	z.room = min(z.room, job.zoneCapacity(z.name))
-	z.span = spanOf(z.machines, job)
+	z.taskCapacity = min(z.taskCapacity, job.tasksAllowedIn(z.name))
+	z.machinesNeeded = countMachinesNeeded(z.machines, job)
 }
 
-// compareCached puts a machine that has an image before one that must fetch it.
-func compareCached(a, b *Machine, image string) int {
+// compareImageCached orders a machine that has the image before one that must fetch it.
+func compareImageCached(a, b *Machine, image string) int {
 	aHasImage, bHasImage := a.HasImage(image), b.HasImage(image)
 	switch {
 	case aHasImage == bHasImage:
@@ -95,25 +97,25 @@
 	}
 }
 
-// spanOf is how many of the machines, in order, the gang takes; more than there can be
-// where it does not fit.
-func spanOf(machines []*Machine, job *Job) int {
-	missing := job.PendingTasks
+// countMachinesNeeded returns how many of the machines, taken in order, hold all pending
+// tasks of the gang. If the gang does not fit, it returns more than there can be.
+func countMachinesNeeded(machines []*Machine, job *Job) int {
+	remaining := job.PendingTasks
 	for i, machine := range machines {
-		missing -= machine.Free.Multiples(job.Request)
-		if missing <= 0 {
+		remaining -= machine.Free.FitCount(job.Request)
+		if remaining <= 0 {
 			return i + 1
 		}
 	}
 	return math.MaxInt32
 }
 
-// machinesFor gives the machines for so many tasks: each machine once for every task that
-// it takes.
+// machinesFor returns the machine of each of the given number of tasks. A machine that gets
+// several tasks is in the list several times.
 func (z *gangZone) machinesFor(job *Job, tasks int) []*Machine {
 	var machines []*Machine
 	for _, machine := range z.machines {
-		for room := machine.Free.Multiples(job.Request); room > 0 && tasks > 0; room-- {
+		for slots := machine.Free.FitCount(job.Request); slots > 0 && tasks > 0; slots-- {
 			machines = append(machines, machine)
 			tasks--
 		}
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -7,52 +7,55 @@
 	"spurmoor/internal/micros"
 )
 
-// lowestTier is the tier of the lowest priority: a job of it can preempt nothing by its
-// tier.
+// lowestTier is the tier of the lowest priority. A job of this tier cannot preempt other
+// jobs by tier.
 var lowestTier = api.PriorityBestEffort.Tier()
 
-// spreadZones is how many zones a job that asks to be spread must use at least.
-const spreadZones = 2
+// minSpreadZones is the minimum number of zones for a job with Spread.
+const minSpreadZones = 2
 
-// anyZone is the one group of machines for a job that need not stay in one zone.
+// anyZone is the group of all machines for a job that need not stay in one zone.
 const anyZone = ""
 
-// Job is an unfinished job of the partition.
+// Job is an unfinished job. A job that is known only through an Allocation, such as one of
+// another partition, has just ID, Spec, Request and Tier.
 type Job struct {
 	ID             string
 	Spec           *api.Job
-	Request        Resources       // of one task
-	Tier           int             // that it is ranked with: its own, or a higher one lent by a job that needs it
-	EligibleAt     micros.Micros   // accepted, and all its dependencies done
-	Deadline       Deadline        // its own, or that of a job that needs it
-	PendingTasks   int             // tasks to place, those held back by a back-off not counted
-	TasksPerZone   map[string]int  // placed already
-	FailedMachines map[string]bool // by name: a task of the job failed there
-	Started        bool            // some of its tasks were started
-	Deprioritized  bool            // failing everywhere: it must not take room first
-
-	// What the steps of a plan note for the later ones.
-	score        float64 // its rank
+	Request        Resources       // of each task
+	Tier           int             // effective tier: its own, or a higher one inherited from a job that depends on it
+	EligibleAt     micros.Micros   // when it was accepted and all its dependencies were done
+	Deadline       Deadline        // its own, or inherited from a job that depends on it
+	PendingTasks   int             // tasks to place, without those in back-off
+	TasksPerZone   map[string]int  // tasks already placed
+	FailedMachines map[string]bool // by name: machines where a task of the job failed
+	Started        bool            // some of its tasks have started
+	Deprioritized  bool            // fails on every machine, so it must not get room before other jobs
+
+	// Results of the planning steps, for the later ones.
+	score        float64 // jobs are ranked by descending score
 	blockedTasks int     // tasks that found no room
-	launchZone   string  // where its machines are to be launched, if all in one zone
+	launchZone   string  // the only zone to launch machines in; "" for no such restriction
 }
 
-// Deadline is the deadline of a job itself, or of the last of those that need it, before
-// which it must be done so much earlier. WithinS is 0 where there is none.
+// Deadline is a job's own deadline, or one that it inherits from a job that depends on it.
+// An inherited one must be met DownstreamS earlier, so that the dependent jobs have time
+// to run. WithinS is 0 if there is no deadline.
 type Deadline struct {
-	SubmittedAt micros.Micros // when the job that has it was submitted
-	WithinS     float64       // seconds from then
-	Class       string        // of that job
-	DownstreamS float64       // seconds that the jobs behind this one take, by the estimates
+	SubmittedAt micros.Micros // when the job that states the deadline was submitted
+	WithinS     float64       // seconds after SubmittedAt
+	Class       string        // of the job that states the deadline
+	DownstreamS float64       // estimated seconds that the dependent jobs take after this one
 }
 
-// Latest is when a job must be done.
-func (d Deadline) Latest() micros.Micros {
+// LatestEnd returns the time by which the job must be done. WithinS must not be 0.
+func (d Deadline) LatestEnd() micros.Micros {
 	return d.SubmittedAt + micros.FromSeconds(d.WithinS-d.DownstreamS)
 }
 
-// Allowed tells whether a job may run on machines of a type, zone and kind at all.
-func Allowed(spec *api.Job, machineType, zone string, spot bool) bool {
+// ConstraintsAllow reports whether the constraints of a job permit a machine type and zone,
+// and spot machines if spot is set.
+func ConstraintsAllow(spec *api.Job, machineType, zone string, spot bool) bool {
 	if spec.Types != nil && !slices.Contains(spec.Types, machineType) {
 		return false
 	}
@@ -62,15 +65,15 @@
 	return spec.Spot || !spot
 }
 
-// ownTier is the job's tier without what was lent to it.
+// ownTier returns the tier of the job's own priority, without an inherited tier.
 func (j *Job) ownTier() int { return j.Spec.Priority.Tier() }
 
-// estimate is how long a task runs, by the owner's estimate.
-func (j *Job) estimate() micros.Micros { return micros.FromSeconds(j.Spec.EstimateS) }
+// estimatedRuntime returns the owner's estimate of how long a task runs.
+func (j *Job) estimatedRuntime() micros.Micros { return micros.FromSeconds(j.Spec.EstimateS) }
 
-// zoneCapacity is how many more of the job's tasks a zone may take; it may be negative
-// where a zone has more than its share already.
-func (j *Job) zoneCapacity(zone string) int {
+// tasksAllowedIn returns how many more tasks of the job may be placed in the zone. It is
+// negative if a spread job already has more than its share of tasks there.
+func (j *Job) tasksAllowedIn(zone string) int {
 	if j.launchZone != "" && zone != j.launchZone {
 		return 0
 	}
@@ -78,12 +81,12 @@
 		return 0
 	}
 	if j.Spec.Spread {
-		return (j.Spec.Tasks+spreadZones-1)/spreadZones - j.TasksPerZone[zone]
+		return (j.Spec.Tasks+minSpreadZones-1)/minSpreadZones - j.TasksPerZone[zone]
 	}
 	return j.Spec.Tasks
 }
 
-// hasTasksOutside tells whether a task of the job is in another zone.
+// hasTasksOutside reports whether a task of the job is in another zone.
 func (j *Job) hasTasksOutside(zone string) bool {
 	for other, tasks := range j.TasksPerZone {
 		if tasks > 0 && other != zone {
@@ -93,8 +96,8 @@
 	return false
 }
 
-// zoneGroup is the key to group machines by when a set of them is sought for the whole
-// job: the zone for a job that must stay in one, else one group for all.
+// zoneGroup returns the key by which machines are grouped when a set of machines is
+// searched for the whole job. It is the zone if the job must stay in one, else anyZone.
 func (j *Job) zoneGroup(machine *Machine) string {
 	if j.Spec.OneZone {
 		return machine.Zone
@@ -102,37 +105,39 @@
 	return anyZone
 }
 
-// permits tells whether the job's terms let its next task run on a machine.
-func (j *Job) permits(machine *Machine) bool {
-	return !j.FailedMachines[machine.Name] && j.zoneCapacity(machine.Zone) > 0 &&
-		Allowed(j.Spec, machine.Type.Name, machine.Zone, machine.Spot)
+// allowsMachine reports whether the next task of the job may run on the machine, by the
+// job's constraints, its tasks per zone and its earlier failures.
+func (j *Job) allowsMachine(machine *Machine) bool {
+	return !j.FailedMachines[machine.Name] && j.tasksAllowedIn(machine.Zone) > 0 &&
+		ConstraintsAllow(j.Spec, machine.Type.Name, machine.Zone, machine.Spot)
 }
 
-// isClaimedByOther tells whether a machine is being emptied for another job.
-func (j *Job) isClaimedByOther(machine *Machine) bool {
+// otherJobClaims reports whether tasks are being preempted on the machine for another job.
+func (j *Job) otherJobClaims(machine *Machine) bool {
 	return machine.ClaimedBy != "" && machine.ClaimedBy != j.ID
 }
 
-// couldRunOn tells whether the job's next task may be on a machine at all: the job's
-// terms permit it and no other job has a claim to it.
+// couldRunOn reports whether the job allows the machine and no other job claims it. The
+// machine need not have room.
 func (j *Job) couldRunOn(machine *Machine) bool {
-	return !j.isClaimedByOther(machine) && j.permits(machine)
+	return !j.otherJobClaims(machine) && j.allowsMachine(machine)
 }
 
-// fetchTime is how long a machine of a type takes to fetch the job's image.
-func (j *Job) fetchTime(machineType *api.MachineType) micros.Micros {
+// imageFetchTime returns how long a machine of the type takes to fetch the job's image. It
+// is 0 if the type or its rate is unknown.
+func (j *Job) imageFetchTime(machineType *api.MachineType) micros.Micros {
 	if machineType == nil || machineType.FetchGBPerS <= 0 {
 		return 0
 	}
 	return micros.FromSeconds(j.Spec.ImageGB / machineType.FetchGBPerS)
 }
 
-// expectedEnd is when a task that starts on a machine now should end: by the owner's
-// estimate, after the image is fetched.
+// expectedEnd returns the estimated end of a task that is placed on the machine now,
+// including the time to fetch the image.
 func (j *Job) expectedEnd(machine *Machine, now micros.Micros) micros.Micros {
-	end := now + j.estimate()
+	end := now + j.estimatedRuntime()
 	if !machine.HasImage(j.Spec.Image) {
-		end += j.fetchTime(machine.Type)
+		end += j.imageFetchTime(machine.Type)
 	}
 	return end
 }
--- a/internal/scheduler/launch.go
+++ b/internal/scheduler/launch.go
@@ -7,61 +7,62 @@
 	"spurmoor/internal/micros"
 )
 
-// spotSurcharge is the factor on the price of spot machines: some of the work on them is
-// lost when they are interrupted.
-const spotSurcharge = 1.1
+// spotPriceFactor is applied to the price of spot machines, because some of the work on them
+// is lost when they are interrupted.
+const spotPriceFactor = 1.1
 
-// Amounts that decide between launch options of the same cost, small beside any price.
+// Amounts that decide between launch options of equal cost. They are small compared with any
+// price.
 const (
-	// sameKindDiscount favours a kind that the plan launches already: fewer requests.
+	// sameKindDiscount prefers a kind that the plan already launches, to send fewer requests.
 	sameKindDiscount = 1e-3
-	// perMachineSurcharge favours the kind of which there are fewer machines.
-	perMachineSurcharge = 1e-6
+	// perMachineCost prefers the kind with fewer machines.
+	perMachineCost = 1e-6
 )
 
-// launchBatch is how many machines one request asks for: a job's launches stop at a full
-// request, after which the cheapest option is chosen anew.
-const launchBatch = 50
+// maxMachinesPerRequest is how many machines one request to the cloud asks for. When a request
+// is full, the cheapest option is chosen again.
+const maxMachinesPerRequest = 50
 
-// launchOption is what may be launched for a job.
+// launchOption is a kind of machine that may be launched for a job, with its type.
 type launchOption struct {
 	kind        InstanceKind
 	machineType *api.MachineType
 }
 
-// capacity is what a machine of a type has.
+// capacity returns the resources of an empty machine of the type.
 func capacity(machineType *api.MachineType) Resources {
-	return ResourcesOf(machineType.CPUs, machineType.GPUs, machineType.MemoryGB)
+	return NewResources(machineType.CPUs, machineType.GPUs, machineType.MemoryGB)
 }
 
-// launchFor launches machines for up to so many tasks of a job, and returns how many tasks
-// they hold.
+// launchFor adds launches of the option for at most the given number of the job's tasks and
+// returns how many tasks the new machines hold.
 func (d *demandPlanner) launchFor(job *Job, tasks int, option *launchOption) int {
 	machineType := option.machineType
-	tasksEach := capacity(machineType).Multiples(job.Request)
+	tasksPerMachine := capacity(machineType).FitCount(job.Request)
 	count := min(
-		(tasks+tasksEach-1)/tasksEach,
-		d.limit(machinesToLaunch)-d.launchCount,
-		launchBatch-d.launches[option.kind]%launchBatch,
+		(tasks+tasksPerMachine-1)/tasksPerMachine,
+		d.limit(maxLaunchedMachines)-d.launchCount,
+		maxMachinesPerRequest-d.launches[option.kind]%maxMachinesPerRequest,
 	)
 	d.addLaunches(option.kind, count)
-	booted := d.Now + micros.FromSeconds(machineType.BootS)
-	end := booted + job.estimate() + job.fetchTime(machineType)
+	bootedAt := d.Now + micros.FromSeconds(machineType.BootS)
+	end := bootedAt + job.estimatedRuntime() + job.imageFetchTime(machineType)
 	d.extendExpectedEnd(job, end)
-	served := 0
+	assigned := 0
 	for range count {
-		machine := option.machine(booted)
-		for range min(tasks-served, tasksEach) {
+		machine := option.newMachine(bootedAt)
+		for range min(tasks-assigned, tasksPerMachine) {
 			machine.allocate(job, end)
-			served++
+			assigned++
 		}
 		d.machines = append(d.machines, machine)
 	}
 	d.plan.BlockedReasons[job.ID] = reasonLaunching
-	return served
+	return assigned
 }
 
-// addLaunches adds to the machines of a kind that the plan launches.
+// addLaunches adds count machines of the kind to the launches of the plan.
 func (d *demandPlanner) addLaunches(kind InstanceKind, count int) {
 	if d.launches[kind] == 0 {
 		d.launchOrder = append(d.launchOrder, kind)
@@ -70,8 +71,8 @@
 	d.launchCount += count
 }
 
-// machine is an empty machine of the option that is ready at an instant.
-func (o *launchOption) machine(readyAt micros.Micros) *Machine {
+// newMachine returns an empty machine of the option that accepts tasks from readyAt on.
+func (o *launchOption) newMachine(readyAt micros.Micros) *Machine {
 	total := capacity(o.machineType)
 	return &Machine{
 		Type: o.machineType, Zone: o.kind.Zone, Spot: o.kind.Spot,
@@ -79,73 +80,75 @@
 	}
 }
 
-// chooseLaunchZone chooses the one zone that all of a job's machines are to be in: the one
-// where most of its tasks fit already and the rest can be launched; "" for none. Launching
-// each machine where it was cheapest left gangs with half their machines in each of two
-// zones, returned as idle and launched again without end.
+// chooseLaunchZone returns the zone for all machines of a job that must stay in one zone, or
+// "" if there is none. It is the zone where most of the job's tasks already fit and machines
+// for the rest can be launched. If each machine is launched where it is cheapest, a gang can
+// get half of its machines in each of two zones. They are then returned as idle and launched
+// again without end.
 func (d *demandPlanner) chooseLaunchZone(job *Job) string {
-	room := d.roomByZone(job)
-	best, mostRoom := "", -1
+	fittingTasks := d.fittingTasksByZone(job)
+	best, mostTasks := "", -1
 	for i := range d.MachineTypes {
 		machineType := &d.MachineTypes[i]
 		if !capacity(machineType).Fits(job.Request) {
 			continue
 		}
 		for _, zone := range machineType.Zones {
-			tasks := min(room[zone], job.blockedTasks)
-			if tasks < job.blockedTasks && !d.isLaunchable(job, machineType.Name, zone) || job.zoneCapacity(zone) <= 0 {
+			tasks := min(fittingTasks[zone], job.blockedTasks)
+			if tasks < job.blockedTasks && !d.isLaunchable(job, machineType.Name, zone) || job.tasksAllowedIn(zone) <= 0 {
 				continue
 			}
-			if tasks > mostRoom || tasks == mostRoom && zone < best {
-				best, mostRoom = zone, tasks
+			if tasks > mostTasks || tasks == mostTasks && zone < best {
+				best, mostTasks = zone, tasks
 			}
 		}
 	}
 	return best
 }
 
-// roomByZone is how many tasks of a job fit into what is free of the partition's
-// machines, booting ones included.
-func (d *demandPlanner) roomByZone(job *Job) map[string]int {
-	room := map[string]int{}
+// fittingTasksByZone returns how many tasks of the job fit into the free resources of the
+// machines in each zone, booting ones included. Machines held by other partitions do not
+// count.
+func (d *demandPlanner) fittingTasksByZone(job *Job) map[string]int {
+	fittingTasks := map[string]int{}
 	for _, machine := range d.Machines {
-		if !machine.HeldByOtherPartition && job.permits(machine) {
-			room[machine.Zone] += machine.Free.Multiples(job.Request)
+		if !machine.HeldByOtherPartition && job.allowsMachine(machine) {
+			fittingTasks[machine.Zone] += machine.Free.FitCount(job.Request)
 		}
 	}
-	return room
+	return fittingTasks
 }
 
-// isLaunchable tells whether machines of a type can be launched in a zone for a job.
+// isLaunchable reports whether machines of the type can be launched in the zone for the job.
 func (d *demandPlanner) isLaunchable(job *Job, machineType, zone string) bool {
 	for _, spot := range []bool{true, false} {
-		if Allowed(job.Spec, machineType, zone, spot) && !d.UnavailableKinds[InstanceKind{machineType, zone, spot}] {
+		if ConstraintsAllow(job.Spec, machineType, zone, spot) && !d.UnavailableKinds[InstanceKind{machineType, zone, spot}] {
 			return true
 		}
 	}
 	return false
 }
 
-// cheapestLaunch chooses what to launch for so many tasks of a job: the option of the
-// least cost per task that the machine would hold. It returns nil where nothing can be
-// launched, or only at a price above the job's ceiling.
+// cheapestLaunch returns the launch option with the lowest cost per task for the given
+// number of the job's tasks. It returns nil if nothing can be launched, or only at a price
+// above the job's ceiling.
 func (d *demandPlanner) cheapestLaunch(job *Job, tasks int) *launchOption {
 	var best *launchOption
 	leastCost, lowestPrice, bestPrice := math.Inf(1), math.Inf(1), 0.0
 	for i := range d.MachineTypes {
 		machineType := &d.MachineTypes[i]
-		tasksEach := capacity(machineType).Multiples(job.Request)
-		if tasksEach == 0 {
+		tasksPerMachine := capacity(machineType).FitCount(job.Request)
+		if tasksPerMachine == 0 {
 			continue
 		}
 		for _, kind := range allowedKinds(job, machineType) {
-			price := kindPrice(kind, machineType)
-			pricePerTask := price / float64(tasksEach)
+			price := effectivePrice(kind, machineType)
+			pricePerTask := price / float64(tasksPerMachine)
 			lowestPrice = min(lowestPrice, pricePerTask)
 			if d.UnavailableKinds[kind] {
 				continue
 			}
-			cost := d.launchCost(job, launchOption{kind, machineType}, price, min(tasksEach, tasks))
+			cost := d.launchCostPerTask(job, launchOption{kind, machineType}, price, min(tasksPerMachine, tasks))
 			if cost < leastCost {
 				best = &launchOption{kind, machineType}
 				leastCost, bestPrice = cost, pricePerTask
@@ -158,12 +161,13 @@
 	return best
 }
 
-// allowedKinds lists the kinds of a type that a job may use, spot first in each zone.
+// allowedKinds returns the kinds of a machine type that the job may use, spot first in each
+// zone.
 func allowedKinds(job *Job, machineType *api.MachineType) []InstanceKind {
 	var kinds []InstanceKind
 	for _, zone := range machineType.Zones {
 		for _, spot := range []bool{true, false} {
-			if Allowed(job.Spec, machineType.Name, zone, spot) && job.zoneCapacity(zone) > 0 {
+			if ConstraintsAllow(job.Spec, machineType.Name, zone, spot) && job.tasksAllowedIn(zone) > 0 {
 				kinds = append(kinds, InstanceKind{machineType.Name, zone, spot})
 			}
 		}
@@ -171,41 +175,43 @@
 	return kinds
 }
 
-// kindPrice is the price of a machine of a kind, with the surcharge if it is spot.
-func kindPrice(kind InstanceKind, machineType *api.MachineType) float64 {
+// effectivePrice returns the price of a machine of the kind, with spotPriceFactor if it is a
+// spot machine.
+func effectivePrice(kind InstanceKind, machineType *api.MachineType) float64 {
 	if kind.Spot {
-		return machineType.SpotPrice * spotSurcharge
+		return machineType.SpotPrice * spotPriceFactor
 	}
 	return machineType.Price
 }
 
-// launchCost is what a machine of an option costs per task if it holds so many; the time
-// to boot and to fetch the image is paid for too.
-func (d *demandPlanner) launchCost(job *Job, option launchOption, price float64, tasks int) float64 {
-	fetch := job.fetchTime(option.machineType).Seconds()
-	overhead := (option.machineType.BootS + fetch + job.Spec.EstimateS) / max(1, job.Spec.EstimateS)
-	cost := price*overhead/float64(tasks) + float64(d.machinesOfKind[option.kind])*perMachineSurcharge
+// launchCostPerTask returns the cost per task of a machine of the option that holds the given
+// number of tasks. It includes the time to boot and to fetch the image, which is paid for
+// too.
+func (d *demandPlanner) launchCostPerTask(job *Job, option launchOption, price float64, tasks int) float64 {
+	fetchS := job.imageFetchTime(option.machineType).Seconds()
+	overhead := (option.machineType.BootS + fetchS + job.Spec.EstimateS) / max(1, job.Spec.EstimateS)
+	cost := price*overhead/float64(tasks) + float64(d.machinesOfKind[option.kind])*perMachineCost
 	if d.launches[option.kind] > 0 {
 		cost -= sameKindDiscount
 	}
 	return cost
 }
 
-// priceCeiling is the highest price that is paid for a job, as a multiple of the price of
-// the cheapest kind that it may use. It grows with the wait: expensive kinds are for jobs
-// that have waited long.
+// priceCeiling returns the highest price to pay for the job, as a multiple of the price of
+// the cheapest kind that it may use. It grows with the wait, so that expensive kinds are
+// launched only for jobs that have waited long.
 func (d *demandPlanner) priceCeiling(job *Job) float64 {
 	base := d.Operators.PriceCeiling
 	if d.isIdleTimeWork(job) {
 		base = math.Min(base, d.Operators.IdlePriceCeiling)
 	}
-	waited := (d.Now - job.EligibleAt).Seconds()
-	return base * (1 + waited/d.Operators.CeilingGrowthS)
+	waitedS := (d.Now - job.EligibleAt).Seconds()
+	return base * (1 + waitedS/d.Operators.CeilingGrowthS)
 }
 
-// isIdleTimeWork tells whether a job is of the lowest priority, without a deadline, and
-// of a class for which the settings state no objective. Such a job runs where there is
-// room, or on cheap machines launched for it.
+// isIdleTimeWork reports whether the job has the lowest priority, no deadline, and a class
+// without objectives in the settings. Such a job runs where there is room, or on cheap
+// machines launched for it.
 func (d *demandPlanner) isIdleTimeWork(job *Job) bool {
 	return job.Tier <= lowestTier && job.Deadline.WithinS == 0 && len(d.Objectives[job.Spec.Class]) == 0
 }
--- a/internal/scheduler/launch_test.go
+++ b/internal/scheduler/launch_test.go
@@ -8,10 +8,10 @@
 	"spurmoor/internal/settings"
 )
 
-// TestIdleTimeCeiling guards against dear machines launched for work of which
-// nobody expects when it is done: 55 on-demand machines at five times the price
-// of spot were once launched for it in the last half minute of a scenario.
-func TestIdleTimeCeiling(t *testing.T) {
+// TestIdlePriceCeiling guards against launching expensive machines for idle-time work.
+// Without the lower ceiling, 55 on-demand machines at five times the spot price were
+// launched for such work in the last half minute of a scenario.
+func TestIdlePriceCeiling(t *testing.T) {
 	t.Parallel()
 	const waited = 700 * micros.Second
 	spotUnavailable := map[InstanceKind]bool{{Type: "small", Zone: "a", Spot: true}: true}
@@ -22,11 +22,11 @@
 		deadline    Deadline
 		waited      micros.Micros
 		unavailable map[InstanceKind]bool
-		launches    bool
+		wantLaunch  bool
 	}{
-		{"idle-time work, spot to be had", "idle", api.PriorityBestEffort, Deadline{}, waited, nil, true},
+		{"idle-time work, spot available", "idle", api.PriorityBestEffort, Deadline{}, waited, nil, true},
 		{"idle-time work, only on-demand machines", "idle", api.PriorityBestEffort, Deadline{}, waited, spotUnavailable, false},
-		{"idle-time work that waited for very long", "idle", api.PriorityBestEffort, Deadline{}, 3 * waited, spotUnavailable, true},
+		{"idle-time work that has waited very long", "idle", api.PriorityBestEffort, Deadline{}, 3 * waited, spotUnavailable, true},
 		{"with an objective for its class", "billed", api.PriorityBestEffort, Deadline{}, waited, spotUnavailable, true},
 		{"with a deadline", "idle", api.PriorityBestEffort, Deadline{WithinS: 900}, waited, spotUnavailable, true},
 		{"of a higher priority", "idle", "standard", Deadline{}, waited, spotUnavailable, true},
@@ -39,18 +39,19 @@
 				Spec: &api.Job{
 					Class: tc.class, Kind: api.Array, Priority: tc.priority, Spot: true, Tasks: 10, GPUs: 1, EstimateS: 300,
 				},
-				Request: ResourcesOf(1, 1, 1), Tier: tc.priority.Tier(),
+				Request: NewResources(1, 1, 1), Tier: tc.priority.Tier(),
 				EligibleAt: snapshot.Now - tc.waited, Deadline: tc.deadline,
 			}
 			option := newDemandPlanner(newPlanState(snapshot)).cheapestLaunch(job, 10)
-			if (option != nil) != tc.launches {
-				t.Errorf("launches: %t", option != nil)
+			if (option != nil) != tc.wantLaunch {
+				t.Errorf("launches: got %t, want %t", option != nil, tc.wantLaunch)
 			}
 		})
 	}
 }
 
-// launchSnapshot has no machines and one machine type, spot at a third of its price.
+// launchSnapshot returns a snapshot without machines and with one machine type, whose spot
+// price is a third of its on-demand price.
 func launchSnapshot() *Snapshot {
 	operators := settings.Defaults()
 	return &Snapshot{
--- a/internal/scheduler/machine.go
+++ b/internal/scheduler/machine.go
@@ -10,38 +10,38 @@
 	"spurmoor/internal/micros"
 )
 
-// never is the instant of what is not expected to happen at all.
+// never is the time of an event that is not expected to happen.
 const never micros.Micros = math.MaxInt64
 
-// plannedTask is the index of an allocation that this plan made itself: which of the
-// job's tasks it is for is settled when the plan is carried out.
-const plannedTask = -1
+// plannedTaskIndex is the task index of an allocation that this plan adds. The actual task of
+// the job is chosen when the plan is executed.
+const plannedTaskIndex = -1
 
-// Allocation is a task on a machine.
+// Allocation holds the resources that one task uses on a machine.
 type Allocation struct {
-	Job             *Job
+	Job             *Job // nil for a task of a cancelled job
 	TaskIndex       int
 	Request         Resources
-	ExpectedEnd     micros.Micros // by the owner's estimate
-	LostWork        micros.Micros // work lost if it is preempted now
-	Stopping        bool          // its stop was requested already
-	StartedRecently bool          // started so lately that preempting it undoes the start
+	ExpectedEnd     micros.Micros // according to the owner's estimate
+	LostWork        micros.Micros // work lost if the task is preempted now
+	Stopping        bool          // a stop of the task was already requested
+	StartedRecently bool          // so recently that a preemption would undo the start
 }
 
-// InstanceKind is what a machine is requested as from the cloud.
+// InstanceKind identifies the machines that one request to the cloud can ask for.
 type InstanceKind struct {
 	Type string
 	Zone string
 	Spot bool
 }
 
-// String names a kind in the log.
+// String returns the kind as it is written to the log.
 func (k InstanceKind) String() string {
 	return fmt.Sprintf("%s/%s/spot=%t", k.Type, k.Zone, k.Spot)
 }
 
-// Machine is a machine that a plan may use: one of the partition, or one of another
-// partition that may be asked for.
+// Machine is a machine that a plan may use. It belongs to the partition, or it belongs to
+// another partition and may be requested from it.
 type Machine struct {
 	Name                 string
 	Type                 *api.MachineType
@@ -49,42 +49,43 @@
 	Spot                 bool
 	Total                Resources
 	Free                 Resources
-	Schedulable          bool                // may be given tasks now
-	ReadyAt              micros.Micros       // of a booting machine: when it is expected
-	Borrowable           bool                // another partition's idle machine: may be asked for
-	HeldByOtherPartition bool                // at work there: may be asked for if all its tasks may be preempted
-	LentOut              bool                // its home is this partition, at work for another
-	BorrowerOverShare    bool                // of one lent out: its borrower uses far more than this partition
-	ClaimedBy            string              // id of the job that it is being emptied for
-	Reservation          *AdvanceReservation // for a gang that is due, of whatever partition
-	CachedImages         []string            // in its cache, or being fetched
+	Schedulable          bool                // accepts tasks now
+	ReadyAt              micros.Micros       // when a machine that is not schedulable is expected to accept tasks
+	Borrowable           bool                // idle machine of another partition, may be requested
+	HeldByOtherPartition bool                // in use there, may be requested if all its tasks may be preempted
+	LentOut              bool                // in use by another partition, but this one is its home
+	BorrowerOverShare    bool                // the borrower of a lent machine uses far more than this partition
+	ClaimedBy            string              // ID of the job for which tasks are being preempted on it
+	Reservation          *AdvanceReservation // for a gang of any partition that has waited long
+	CachedImages         []string            // cached or being fetched
 	Allocations          []Allocation
 
-	// sortedByEnd: Allocations are in the order of their ends, and the plan's own copy.
+	// sortedByEnd is set once Allocations is a copy owned by the plan, sorted by
+	// expected end.
 	sortedByEnd bool
-	// freeSoonAt is when the job that last found no room here in time would have had some.
-	// Jobs that cannot wait that long skip the machine.
-	freeSoonAt micros.Micros
+	// lastRejectedStart is when the last job that could not wait for room on this machine
+	// would have had it. Jobs that must start before that time skip the machine.
+	lastRejectedStart micros.Micros
 }
 
-// HasImage tells whether the machine need not fetch an image.
+// HasImage reports whether the image is in the machine's cache or already being fetched.
 func (m *Machine) HasImage(image string) bool { return slices.Contains(m.CachedImages, image) }
 
 func (m *Machine) kind() InstanceKind { return InstanceKind{m.Type.Name, m.Zone, m.Spot} }
 
-// allocate takes room for one more task of a job, and keeps the allocations in the order
-// of their ends.
+// allocate adds a task of the job that is expected to end at end. It keeps the allocations
+// sorted by expected end.
 func (m *Machine) allocate(job *Job, end micros.Micros) {
-	m.Free = m.Free.Add(job.Request, -1)
+	m.Free = m.Free.AddScaled(job.Request, -1)
 	m.sortAllocations()
 	at, _ := slices.BinarySearchFunc(m.Allocations, end, func(other Allocation, end micros.Micros) int {
 		return cmp.Compare(other.ExpectedEnd, end)
 	})
-	allocation := Allocation{Job: job, TaskIndex: plannedTask, Request: job.Request, ExpectedEnd: end}
+	allocation := Allocation{Job: job, TaskIndex: plannedTaskIndex, Request: job.Request, ExpectedEnd: end}
 	m.Allocations = slices.Insert(m.Allocations, at, allocation)
 }
 
-// sortAllocations puts the allocations in the order of their ends, once a plan.
+// sortAllocations sorts the allocations by expected end, once per plan.
 func (m *Machine) sortAllocations() {
 	if m.sortedByEnd {
 		return
@@ -96,7 +97,7 @@
 	})
 }
 
-// schedulableAt is when the machine is expected to accept tasks.
+// schedulableAt returns when the machine is expected to accept tasks.
 func (m *Machine) schedulableAt(now micros.Micros) micros.Micros {
 	if m.Schedulable {
 		return now
@@ -104,8 +105,8 @@
 	return max(now, m.ReadyAt)
 }
 
-// freeAt is when the machine is expected to have room for a request; services do not
-// end, so their room does not count.
+// freeAt returns when the machine is expected to have room for the request, or never.
+// Services do not end, so the resources that they use are not counted on.
 func (m *Machine) freeAt(request Resources, now micros.Micros) micros.Micros {
 	if !m.Total.Fits(request) {
 		return never
@@ -120,7 +121,7 @@
 		if allocation.Job != nil && allocation.Job.Spec.Kind == api.Service {
 			continue
 		}
-		free = free.Add(allocation.Request, 1)
+		free = free.AddScaled(allocation.Request, 1)
 		if free.Fits(request) {
 			return max(at, allocation.ExpectedEnd)
 		}
@@ -128,8 +129,8 @@
 	return never
 }
 
-// availableAt is when the machine is expected to have room, and to be back if it is
-// lent out.
+// availableAt returns when the machine is expected to have room for the request and, if it
+// is lent out, to be back.
 func (m *Machine) availableAt(request Resources, now micros.Micros) micros.Micros {
 	at := m.freeAt(request, now)
 	if m.LentOut && at < never {
--- a/internal/scheduler/objectives.go
+++ b/internal/scheduler/objectives.go
@@ -6,21 +6,21 @@
 	"spurmoor/internal/settings"
 )
 
-// objectiveCount counts the objectives that apply to a job and those of them that it can
-// no longer meet.
-type objectiveCount struct{ stated, missed int }
+// objectiveCount counts the objectives that apply to a job, and those among them that the
+// job can no longer meet.
+type objectiveCount struct{ applicable, missed int }
 
 func (c *objectiveCount) add(missed bool) {
-	c.stated++
+	c.applicable++
 	if missed {
 		c.missed++
 	}
 }
 
-// missedObjectives is the share of the stated objectives of a job's class that it can no
-// longer meet. In an overload, the wait term alone would rank first the jobs that are late
-// already, and so make all late.
-func (r *ranker) missedObjectives(job *Job) float64 {
+// missedObjectiveShare returns the share of the objectives applying to the job that it can
+// no longer meet. Under overload, the wait term alone would rank the jobs first that are
+// late already, and thereby make all jobs late.
+func (r *ranker) missedObjectiveShare(job *Job) float64 {
 	if job.Spec.EstimateS <= 0 {
 		return 0
 	}
@@ -28,25 +28,26 @@
 	for _, objective := range r.Objectives[job.Spec.Class] {
 		r.countObjective(&count, job, objective)
 	}
-	// Objectives for the deadline are those of the class of the job that has it.
+	// Deadline objectives are those of the class of the job that states the deadline.
 	for _, objective := range r.Objectives[job.Deadline.Class] {
 		if objective.Kind == settings.ObjectiveDeadline {
-			sinceSubmitted := (r.Now - job.Deadline.SubmittedAt).Seconds()
-			untilDone := sinceSubmitted + job.Spec.EstimateS + job.Deadline.DownstreamS
-			count.add(untilDone > objective.DeadlineFactor*job.Deadline.WithinS)
+			sinceSubmittedS := (r.Now - job.Deadline.SubmittedAt).Seconds()
+			untilDoneS := sinceSubmittedS + job.Spec.EstimateS + job.Deadline.DownstreamS
+			count.add(untilDoneS > objective.DeadlineFactor*job.Deadline.WithinS)
 		}
 	}
-	return float64(count.missed) / math.Max(1, float64(count.stated))
+	return float64(count.missed) / math.Max(1, float64(count.applicable))
 }
 
-// countObjective counts an objective of the job's own class.
+// countObjective counts an objective of the job's own class. A deadline objective counts as
+// met for a job without a deadline; for the others see missedObjectiveShare.
 func (r *ranker) countObjective(count *objectiveCount, job *Job, objective settings.Objective) {
-	age := (r.Now - job.EligibleAt).Seconds()
+	ageS := (r.Now - job.EligibleAt).Seconds()
 	switch objective.Kind {
 	case settings.ObjectiveWait:
-		count.add(!job.Started && age > objective.WithinS)
+		count.add(!job.Started && ageS > objective.WithinS)
 	case settings.ObjectiveFinished:
-		count.add(age+job.Spec.EstimateS > objective.WithinS)
+		count.add(ageS+job.Spec.EstimateS > objective.WithinS)
 	case settings.ObjectiveDeadline:
 		if job.Deadline.WithinS == 0 {
 			count.add(false)
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -6,25 +6,25 @@
 	"spurmoor/internal/api"
 )
 
-// placer binds tasks to machines in the order of the jobs' ranks.
+// placer binds tasks to machines in rank order of the jobs.
 type placer struct {
 	*planState
-	blocked          []*Job // what found no room, best first
-	gangsReserving   int
-	cachedImagesOnly bool // place only where the image need not be fetched
+	blocked          []*Job // jobs with tasks that found no room, best rank first
+	gangsReserving   int    // gangs that have reserved machines, see maxReservingGangs
+	cachedImagesOnly bool   // place only on machines that have the image
 }
 
 func newPlacer(state *planState) *placer { return &placer{planState: state} }
 
-// placeJobs places what fits and gives the jobs that are blocked, best first.
+// placeJobs binds the tasks that fit and returns the blocked jobs, best rank first.
 func (p *placer) placeJobs() []*Job {
 	p.placeOverdueArrays()
 	p.placeRanked()
 	return p.blocked
 }
 
-// placeOverdueArrays places one task of each array that is overdue, before all else: an
-// array must not miss the time within which it should begin because of its rank.
+// placeOverdueArrays binds one task of each overdue array before any other job is placed.
+// Otherwise an array with a low rank could fail to start within BeginWithinS.
 func (p *placer) placeOverdueArrays() {
 	for _, job := range p.Jobs {
 		if job.Spec.Kind != api.Array || !p.isOverdue(job) {
@@ -36,9 +36,9 @@
 	}
 }
 
-// placeRanked places jobs in the order of their rank. Of the arrays, only the first in
-// rank takes room where its image must be fetched first; the others do so after all jobs
-// had their turn. Where more waited than fitted, a fifth of the room was lost to fetching.
+// placeRanked places the jobs in rank order. Only the first array in rank uses machines that
+// must fetch its image. The other arrays use such machines after all jobs have had their turn.
+// Otherwise a fifth of the room is lost to fetching images when more jobs wait than fit.
 func (p *placer) placeRanked() {
 	isFirstArray := true
 	var otherArrays []*Job
@@ -61,14 +61,15 @@
 	}
 }
 
-// placeWhereCached places what fits of a job on machines that have its image.
+// placeWhereCached binds the tasks of the job that fit on machines that have its image.
 func (p *placer) placeWhereCached(job *Job) {
 	p.cachedImagesOnly = true
 	p.placeJob(job)
 	p.cachedImagesOnly = false
 }
 
-// placeOrBlock places a job; what finds no room blocks it.
+// placeOrBlock places the job. If some of its tasks find no room, the job is added to the
+// blocked jobs, and machines are reserved for it if it may reserve.
 func (p *placer) placeOrBlock(job *Job) {
 	job.blockedTasks = p.placeJob(job)
 	if job.blockedTasks == 0 {
@@ -80,7 +81,8 @@
 	p.blocked = append(p.blocked, job)
 }
 
-// placeJob starts what fits of a job and tells how many tasks lack room.
+// placeJob binds the tasks of the job that fit and returns how many find no room. Tasks
+// beyond the team's limit are not among them.
 func (p *placer) placeJob(job *Job) int {
 	tasks := min(job.PendingTasks, p.tasksWithinLimit(job))
 	if tasks == 0 || job.Spec.Kind == api.Gang && tasks < job.PendingTasks {
@@ -92,12 +94,12 @@
 		if p.placeGang(job) {
 			return 0
 		}
-		p.plan.BlockedReasons[job.ID] = reasonGang
+		p.plan.BlockedReasons[job.ID] = reasonNoRoomForGang
 		return job.PendingTasks
 	case api.Array:
 		tasks = p.packArray(job, tasks)
 	default:
-		tasks = p.placeSingly(job, tasks)
+		tasks = p.placeOneByOne(job, tasks)
 	}
 	if tasks > 0 {
 		p.plan.BlockedReasons[job.ID] = reasonNoMachine
@@ -105,23 +107,23 @@
 	return tasks
 }
 
-// blockByQuota notes that the team's limit makes a job wait. What a team's limit leaves is
-// reserved, as machines are, for the first of its gangs: single tasks of the team took each
-// piece as it came, and its gangs waited for minutes, or for ever.
+// blockByQuota records that the team's limit makes the job wait. For the first such gang of
+// a team it reserves the gang's resources within the limit. Otherwise single tasks of the
+// team use whatever becomes free under the limit, and its gangs wait for minutes or forever.
 func (p *placer) blockByQuota(job *Job) {
-	p.plan.BlockedReasons[job.ID] = reasonQuota
+	p.plan.BlockedReasons[job.ID] = reasonTeamLimit
 	quota := p.Quotas[job.Spec.Team]
 	if quota == nil || job.Spec.Kind != api.Gang || job.Deprioritized {
 		return
 	}
-	if quota.reserved == (Resources{}) {
-		quota.reserved = quota.reserved.Add(job.Request, int64(job.PendingTasks))
+	if quota.reservedForGangs == (Resources{}) {
+		quota.reservedForGangs = quota.reservedForGangs.AddScaled(job.Request, int64(job.PendingTasks))
 	}
 }
 
-// placeSingly binds so many tasks, each to the best machine for it once those before it
-// are bound, and tells how many found none.
-func (p *placer) placeSingly(job *Job, tasks int) int {
+// placeOneByOne binds up to the given number of tasks, one after the other, and chooses the
+// best machine anew for each. It returns how many find no machine.
+func (p *placer) placeOneByOne(job *Job, tasks int) int {
 	for ; tasks > 0; tasks-- {
 		machine := p.chooseMachine(job)
 		if machine == nil {
@@ -132,22 +134,22 @@
 	return tasks
 }
 
-// packArray binds so many of an array's tasks to machines with free room, filling one
-// after the other in the order of chooseMachine, and tells how many found none.
+// packArray binds up to the given number of an array's tasks. It fills one machine after the
+// other, in the order of their sort keys, and returns how many tasks find no machine.
 func (p *placer) packArray(job *Job, tasks int) int {
 	type candidate struct {
 		machine *Machine
-		order   machineOrder
+		sortKey machineSortKey
 	}
 	var candidates []candidate
 	for _, machine := range p.Machines {
-		if p.canTake(job, machine) && job.zoneCapacity(machine.Zone) > 0 {
-			candidates = append(candidates, candidate{machine, newMachineOrder(job, machine)})
+		if p.canPlace(job, machine) && job.tasksAllowedIn(machine.Zone) > 0 {
+			candidates = append(candidates, candidate{machine, newMachineSortKey(job, machine)})
 		}
 	}
-	slices.SortStableFunc(candidates, func(a, b candidate) int { return a.order.compare(&b.order) })
+	slices.SortStableFunc(candidates, func(a, b candidate) int { return a.sortKey.compare(&b.sortKey) })
 	for _, c := range candidates {
-		for tasks > 0 && c.machine.Free.Fits(job.Request) && job.zoneCapacity(c.machine.Zone) > 0 {
+		for tasks > 0 && c.machine.Free.Fits(job.Request) && job.tasksAllowedIn(c.machine.Zone) > 0 {
 			p.bindTask(job, c.machine)
 			tasks--
 		}
@@ -155,38 +157,38 @@
 	return tasks
 }
 
-// chooseMachine gives the best machine for one task; nil where none has room.
+// chooseMachine returns the best machine for one task, or nil if none has room.
 func (p *placer) chooseMachine(job *Job) *Machine {
 	var best *Machine
-	var bestOrder machineOrder
+	var bestKey machineSortKey
 	for _, machine := range p.Machines {
-		if !p.canTake(job, machine) || job.zoneCapacity(machine.Zone) <= 0 {
+		if !p.canPlace(job, machine) || job.tasksAllowedIn(machine.Zone) <= 0 {
 			continue
 		}
-		order := newMachineOrder(job, machine)
-		if best == nil || order.compare(&bestOrder) < 0 {
-			best, bestOrder = machine, order
+		sortKey := newMachineSortKey(job, machine)
+		if best == nil || sortKey.compare(&bestKey) < 0 {
+			best, bestKey = machine, sortKey
 		}
 	}
 	return best
 }
 
-// canTake tells whether the machine may take a task of the job now.
-func (p *placer) canTake(job *Job, machine *Machine) bool {
+// canPlace reports whether a task of the job can be bound to the machine now.
+func (p *placer) canPlace(job *Job, machine *Machine) bool {
 	if !machine.Schedulable || !machine.Free.Fits(job.Request) || machine.Borrowable || machine.HeldByOtherPartition {
 		return false
 	}
-	if job.FailedMachines[machine.Name] || !Allowed(job.Spec, machine.Type.Name, machine.Zone, machine.Spot) {
+	if job.FailedMachines[machine.Name] || !ConstraintsAllow(job.Spec, machine.Type.Name, machine.Zone, machine.Spot) {
 		return false
 	}
-	if job.isClaimedByOther(machine) || p.cachedImagesOnly && !machine.HasImage(job.Spec.Image) {
+	if job.otherJobClaims(machine) || p.cachedImagesOnly && !machine.HasImage(job.Spec.Image) {
 		return false
 	}
 	return p.canBackfill(job, machine)
 }
 
-// canBackfill tells whether a task that starts on a machine now ends before the job begins
-// that the machine is reserved for. A service does not end.
+// canBackfill reports whether the machine is not reserved for another job, or a task placed
+// on it now ends before that job can start. A service does not end.
 func (p *placer) canBackfill(job *Job, machine *Machine) bool {
 	reserved, ok := p.reservations[machine]
 	if !ok || reserved.job == job {
@@ -195,20 +197,20 @@
 	return job.Spec.Kind != api.Service && job.expectedEnd(machine, p.Now) <= reserved.readyAt
 }
 
-// bindTask binds the next task of a job to a machine.
+// bindTask binds the next task of the job to the machine.
 func (p *placer) bindTask(job *Job, machine *Machine) {
 	if machine.ClaimedBy == job.ID {
-		machine.ClaimedBy = "" // the job has what it was emptied for: the rest of the room is for all
+		machine.ClaimedBy = "" // the claim is used, so other jobs may have the remaining room
 	}
 	job.TasksPerZone[machine.Zone]++
 	job.PendingTasks--
 	if quota := p.Quotas[job.Spec.Team]; quota != nil {
-		quota.Used = quota.Used.Add(job.Request, 1)
+		quota.Used = quota.Used.AddScaled(job.Request, 1)
 	}
 	end := job.expectedEnd(machine, p.Now)
 	machine.allocate(job, end)
 	if !machine.HasImage(job.Spec.Image) {
-		machine.CachedImages = append(slices.Clip(machine.CachedImages), job.Spec.Image) // fetched once for all
+		machine.CachedImages = append(slices.Clip(machine.CachedImages), job.Spec.Image) // later tasks use the same copy
 	}
 	p.extendExpectedEnd(job, end)
 	p.plan.Bindings = append(p.plan.Bindings, Binding{job, machine})
--- a/internal/scheduler/plan_state.go
+++ b/internal/scheduler/plan_state.go
@@ -2,8 +2,8 @@
 
 import "spurmoor/internal/micros"
 
-// planState is what the steps of a cycle share: the snapshot, the plan so far, and the
-// machines that are reserved.
+// planState is shared by the steps of a cycle. It holds the snapshot, the plan so far and
+// the reserved machines.
 type planState struct {
 	*Snapshot
 	plan         Plan
@@ -27,20 +27,21 @@
 	return state
 }
 
-// extendExpectedEnd notes that a task of a job is expected to end at an instant.
+// extendExpectedEnd records that a task of the job is expected to end at end. The latest
+// such time is the expected end of the job.
 func (s *planState) extendExpectedEnd(job *Job, end micros.Micros) {
 	s.plan.ExpectedEnds[job.ID] = max(s.plan.ExpectedEnds[job.ID], end)
 }
 
-// withinGuarantee tells whether the guarantee of a job's team covers the blocked tasks of
-// the job.
+// withinGuarantee reports whether the guarantee of the job's team covers the blocked tasks
+// of the job.
 func (s *planState) withinGuarantee(job *Job) bool {
 	quota := s.Quotas[job.Spec.Team]
-	return quota != nil && quota.guaranteesTasks(job.Request, job.blockedTasks)
+	return quota != nil && quota.guaranteeCovers(job.Request, job.blockedTasks)
 }
 
-// tasksWithinLimit is how many of a job's pending tasks the limit of its team permits; a
-// job whose team has no quota may start none.
+// tasksWithinLimit returns how many of the job's pending tasks the limit of its team
+// permits. A job whose team has no quota may start none.
 func (s *planState) tasksWithinLimit(job *Job) int {
 	quota := s.Quotas[job.Spec.Team]
 	if quota == nil {
@@ -49,37 +50,39 @@
 	return quota.tasksWithinLimit(job.Request, job.PendingTasks)
 }
 
-// overdueShare is the share of BeginWithinS after which a job that has not begun is
-// overdue; the rest of that time is left for it to find room.
-const overdueShare = 0.5
+// overdueFraction is the fraction of BeginWithinS after which a job that has not started is
+// overdue. The rest of that time remains for it to find room.
+const overdueFraction = 0.5
 
-// isOverdue tells whether a job has not begun though half of the time within which every
-// job should have is over.
+// isOverdue reports whether the job has not started although overdueFraction of
+// BeginWithinS has passed since it became eligible. A deprioritized job is never overdue.
 func (s *planState) isOverdue(job *Job) bool {
-	limit := s.Operators.BeginWithinS * overdueShare * float64(micros.Second)
+	limit := s.Operators.BeginWithinS * overdueFraction * float64(micros.Second)
 	return !job.Started && !job.Deprioritized && float64(s.Now-job.EligibleAt) > limit
 }
 
-// passLimit bounds how many of something one pass deals with, so that a cycle's work is
-// bounded by the size of the partition: one for every machinesEach machines, but no fewer
-// than atLeast. The next cycle goes on where this one ended.
-type passLimit struct{ atLeast, machinesEach int }
+// cycleLimit limits how many items of some kind one cycle handles, so that the work of a
+// cycle is bounded by the size of the partition. It allows one item for every
+// machinesPerUnit machines, and at least minimum. Later cycles handle the remaining items.
+type cycleLimit struct{ minimum, machinesPerUnit int }
 
-// Limits of one pass.
+// Limits of one cycle.
 var (
-	// gangsToReserveFor limits the blocked gangs that reserve machines, best first.
-	gangsToReserveFor = passLimit{32, 64}
-	// jobsToPreemptFor limits the blocked jobs that others are preempted for.
-	jobsToPreemptFor = passLimit{16, 128}
-	// machinesToPreempt limits the machines that are emptied, or asked for.
-	machinesToPreempt = passLimit{32, 64}
-	// machinesToLaunch limits the machines that are launched.
-	machinesToLaunch = passLimit{150, 16}
-	// tasksToFindRoomFor limits the tasks of one array that room is found or launched for.
-	tasksToFindRoomFor = passLimit{400, 4}
+	// maxReservingGangs limits the blocked gangs that reserve machines, best rank first.
+	maxReservingGangs = cycleLimit{32, 64}
+	// maxPreemptingJobs limits the blocked jobs for which victims are searched.
+	maxPreemptingJobs = cycleLimit{16, 128}
+	// maxPreemptedMachines limits the machines on which tasks are preempted, or which are
+	// requested from another partition.
+	maxPreemptedMachines = cycleLimit{32, 64}
+	// maxLaunchedMachines limits the machines to launch.
+	maxLaunchedMachines = cycleLimit{150, 16}
+	// maxTasksPerArray limits the tasks of one array for which the demand planner finds
+	// room or launches machines.
+	maxTasksPerArray = cycleLimit{400, 4}
 )
 
-// limit evaluates a pass limit for the machines of the snapshot.
-func (s *planState) limit(pass passLimit) int {
-	return max(pass.atLeast, len(s.Machines)/pass.machinesEach)
+// limit evaluates a limit for the number of machines in the snapshot.
+func (s *planState) limit(limit cycleLimit) int {
+	return max(limit.minimum, len(s.Machines)/limit.machinesPerUnit)
 }
--- a/internal/scheduler/preemption_test.go
+++ b/internal/scheduler/preemption_test.go
@@ -7,48 +7,49 @@
 	"spurmoor/internal/micros"
 )
 
-// jobOfTier is a job of a kind and priority that is ranked with a tier.
-func jobOfTier(kind api.JobKind, priority api.Priority, tier int) *Job {
+// jobWithTier returns a job with the given effective tier, which may be higher than that of
+// its priority.
+func jobWithTier(kind api.JobKind, priority api.Priority, tier int) *Job {
 	return &Job{Spec: &api.Job{Kind: kind, Priority: priority}, Tier: tier}
 }
 
-// TestLentTierPreempts guards against gangs that a pipeline needs preempting others of
-// their own class, one of them ten times in a row: a lent tier preempts tasks of
-// arrays only, and not those that have just begun.
-func TestLentTierPreempts(t *testing.T) {
+// TestInheritedTierPreemption guards against gangs preempting other gangs of their own class
+// by a tier that they inherit from a pipeline; one gang was preempted ten times in a row. By
+// an inherited tier a job may preempt only tasks of arrays that did not start recently.
+func TestInheritedTierPreemption(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
 		name   string
 		victim Allocation
-		may    bool
+		want   bool
 	}{
-		{"a gang of its own class", Allocation{Job: jobOfTier(api.Gang, "standard", 4)}, false},
-		{"a gang of a lower tier, as ever", Allocation{Job: jobOfTier(api.Gang, "best_effort", 1)}, true},
-		{"an array of its own tier", Allocation{Job: jobOfTier(api.Array, "standard", 4)}, true},
-		{"such an array just begun", Allocation{Job: jobOfTier(api.Array, "standard", 4), StartedRecently: true}, false},
-		{"an array that was lent as much", Allocation{Job: jobOfTier(api.Array, "best_effort", 7)}, false},
+		{"a gang of its own class", Allocation{Job: jobWithTier(api.Gang, "standard", 4)}, false},
+		{"a gang of a lower tier than the job's own", Allocation{Job: jobWithTier(api.Gang, "best_effort", 1)}, true},
+		{"an array of its own tier", Allocation{Job: jobWithTier(api.Array, "standard", 4)}, true},
+		{"an array that started recently", Allocation{Job: jobWithTier(api.Array, "standard", 4), StartedRecently: true}, false},
+		{"an array with an equal inherited tier", Allocation{Job: jobWithTier(api.Array, "best_effort", 7)}, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			withLentTier := jobOfTier(api.Gang, "standard", 7)
+			withInheritedTier := jobWithTier(api.Gang, "standard", 7)
 			preemptor := newPreemptor(newPlanState(&Snapshot{}))
-			if got := preemptor.mayPreempt(withLentTier, tc.victim); got != tc.may {
-				t.Errorf("may be preempted: %t", got)
+			if got := preemptor.mayPreempt(withInheritedTier, tc.victim); got != tc.want {
+				t.Errorf("may be preempted: got %t, want %t", got, tc.want)
 			}
 		})
 	}
 }
 
-// TestCheapestVictims checks which machine is emptied for a job: the one on which the
-// least work is lost.
-func TestCheapestVictims(t *testing.T) {
+// TestCheapestVictimSets checks that tasks are preempted on the machine where the least work
+// is lost, with a preference for the partition's own machines.
+func TestCheapestVictimSets(t *testing.T) {
 	t.Parallel()
 	machineType := &api.MachineType{Name: "g4"}
 	machine := func(name string, lostWork micros.Micros) *Machine {
-		low := jobOfTier(api.Array, api.PriorityBestEffort, 1)
+		lowTierJob := jobWithTier(api.Array, api.PriorityBestEffort, 1)
 		return &Machine{
-			Name: name, Type: machineType, Schedulable: true, Total: ResourcesOf(4, 4, 0),
-			Allocations: []Allocation{{Job: low, Request: ResourcesOf(4, 4, 0), LostWork: lostWork}},
+			Name: name, Type: machineType, Schedulable: true, Total: NewResources(4, 4, 0),
+			Allocations: []Allocation{{Job: lowTierJob, Request: NewResources(4, 4, 0), LostWork: lostWork}},
 		}
 	}
 	fromOtherPartition := func(m *Machine) *Machine {
@@ -61,17 +62,17 @@
 		want     string
 	}{
 		{
-			"the least work lost",
+			"the machine with the least lost work",
 			[]*Machine{machine("m-0", 9*micros.Second), machine("m-1", 3*micros.Second)},
 			"m-1",
 		},
 		{
-			"a little more of it rather than another partition's machine",
+			"slightly more lost work rather than another partition's machine",
 			[]*Machine{fromOtherPartition(machine("m-0", 3*micros.Second)), machine("m-1", 7*micros.Second)},
 			"m-1",
 		},
 		{
-			"another partition's machine rather than much more of it",
+			"another partition's machine rather than much more lost work",
 			[]*Machine{fromOtherPartition(machine("m-0", 3*micros.Second)), machine("m-1", 9*micros.Second)},
 			"m-0",
 		},
@@ -81,11 +82,11 @@
 			preemptor := newPreemptor(newPlanState(&Snapshot{Machines: tc.machines}))
 			job := &Job{
 				ID: "urgent", Spec: &api.Job{Kind: api.Array, Priority: "urgent", Tasks: 1}, Tier: 7,
-				Request: ResourcesOf(4, 4, 0), PendingTasks: 1, TasksPerZone: map[string]int{},
+				Request: NewResources(4, 4, 0), PendingTasks: 1, TasksPerZone: map[string]int{},
 			}
 			sets := preemptor.cheapestVictimSets(job)
 			if len(sets) != 1 || sets[0].machine.Name != tc.want || len(sets[0].victims) != 1 {
-				t.Errorf("chosen: %+v, not what is on %s", sets, tc.want)
+				t.Errorf("victim sets: got %+v, want one victim on %s", sets, tc.want)
 			}
 		})
 	}
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -1,45 +1,48 @@
 package scheduler
 
-// Quota is a team's share of the partition. A zero amount in Guaranteed or Limit is none.
+// Quota is what a team uses and may use. A zero CPU or GPU amount in Guaranteed means no
+// guarantee for that resource; in Limit it means no limit. Memory is not restricted.
 type Quota struct {
 	Used, Guaranteed, Limit Resources
 
-	reserved Resources // of the limit, for gangs that it makes wait
+	reservedForGangs Resources // part of Limit that is kept for a gang waiting because of it
 }
 
-// tasksWithinLimit is how many of so many tasks the team's limit lets start.
+// tasksWithinLimit returns how many of the given number of tasks may start within the
+// team's limit.
 func (q *Quota) tasksWithinLimit(request Resources, tasks int) int {
-	left := q.Limit.Add(q.Used, -1).Add(q.reserved, -1)
-	if q.Limit.CPU > 0 && request.CPU > 0 {
-		tasks = min(tasks, int(max(0, left.CPU)/request.CPU))
+	left := q.Limit.AddScaled(q.Used, -1).AddScaled(q.reservedForGangs, -1)
+	if q.Limit.MilliCPU > 0 && request.MilliCPU > 0 {
+		tasks = min(tasks, int(max(0, left.MilliCPU)/request.MilliCPU))
 	}
-	if q.Limit.GPU > 0 && request.GPU > 0 {
-		tasks = min(tasks, int(max(0, left.GPU)/request.GPU))
+	if q.Limit.MilliGPU > 0 && request.MilliGPU > 0 {
+		tasks = min(tasks, int(max(0, left.MilliGPU)/request.MilliGPU))
 	}
 	return tasks
 }
 
-// hasGuarantee tells whether the team is guaranteed anything.
+// hasGuarantee reports whether the team has a guarantee for any resource.
 func (q *Quota) hasGuarantee() bool {
-	return q.Guaranteed.CPU != 0 || q.Guaranteed.GPU != 0
+	return q.Guaranteed.MilliCPU != 0 || q.Guaranteed.MilliGPU != 0
 }
 
-// guaranteesTasks tells whether so many more tasks stay within the team's guarantee.
-func (q *Quota) guaranteesTasks(request Resources, tasks int) bool {
+// guaranteeCovers reports whether the team stays within its guarantee with the given number
+// of additional tasks. It is false for a team without a guarantee.
+func (q *Quota) guaranteeCovers(request Resources, tasks int) bool {
 	if !q.hasGuarantee() {
 		return false
 	}
-	used := q.Used.Add(request, int64(tasks))
-	return (q.Guaranteed.CPU == 0 || used.CPU <= q.Guaranteed.CPU) &&
-		(q.Guaranteed.GPU == 0 || used.GPU <= q.Guaranteed.GPU)
+	used := q.Used.AddScaled(request, int64(tasks))
+	return (q.Guaranteed.MilliCPU == 0 || used.MilliCPU <= q.Guaranteed.MilliCPU) &&
+		(q.Guaranteed.MilliGPU == 0 || used.MilliGPU <= q.Guaranteed.MilliGPU)
 }
 
-// KeepsGuaranteeWithout tells whether the team has its whole guarantee even without what
-// is given.
-func (q *Quota) KeepsGuaranteeWithout(given Resources) bool {
+// KeepsGuaranteeWithout reports whether the team still uses at least its guarantee after it
+// releases the given resources. It is false for a team without a guarantee.
+func (q *Quota) KeepsGuaranteeWithout(released Resources) bool {
 	if !q.hasGuarantee() {
 		return false
 	}
-	return (q.Guaranteed.CPU == 0 || q.Used.CPU-given.CPU >= q.Guaranteed.CPU) &&
-		(q.Guaranteed.GPU == 0 || q.Used.GPU-given.GPU >= q.Guaranteed.GPU)
+	return (q.Guaranteed.MilliCPU == 0 || q.Used.MilliCPU-released.MilliCPU >= q.Guaranteed.MilliCPU) &&
+		(q.Guaranteed.MilliGPU == 0 || q.Used.MilliGPU-released.MilliGPU >= q.Guaranteed.MilliGPU)
 }
--- a/internal/scheduler/ranking.go
+++ b/internal/scheduler/ranking.go
@@ -9,50 +9,52 @@
 	"spurmoor/internal/micros"
 )
 
-// Amounts that put a job before or behind all others, whatever the terms of its score.
+// Amounts that rank a job before or after all others, whatever the other terms of its
+// score are.
 const (
 	overdueBonus         = 2
 	deprioritizedPenalty = 100
 )
 
-// Terms of the penalty of large arrays.
+// Factors of the penalty for large arrays.
 const (
-	// fullPenaltyMultiple is how many times the work of the average array that waits an
-	// array must ask for to get the whole penalty.
+	// fullPenaltyMultiple is how many times the drain time of the average waiting array an
+	// array must have to get the full penalty.
 	fullPenaltyMultiple = 2.5
-	// penaltyFadeMultiple is how many times BeginWithinS an array waits until its penalty
-	// is gone, so that a large one is not put off without end.
+	// penaltyFadeMultiple is the wait, in multiples of BeginWithinS, after which an array has no
+	// penalty any more. Without it, large arrays are postponed forever.
 	penaltyFadeMultiple = 4
 )
 
-// zoneFitUnknown is the zone term of a partition without machines: neither the best nor
-// the worst.
+// zoneFitUnknown is the zone term in a partition without machines. It is neither the best
+// nor the worst value.
 const zoneFitUnknown = 0.5
 
-// ranker scores the jobs of a plan. Its fields are what all scores have in common.
+// ranker scores the jobs of a plan. Its fields are shared by all scores.
 type ranker struct {
 	*planState
-	total              Resources // of the partition's machines
-	zones              int
-	backlog            float64                         // ratio of pending to running work, at most 1
-	typicalDrain       float64                         // of the average array that waits, in seconds
-	schedulable        map[InstanceKind]int            // machines, those with room if there are any
-	schedulableByImage map[string]map[InstanceKind]int // those of them that have an image
+	totalResources  Resources // of all machines in the snapshot
+	zones           int
+	backlog         float64                         // ratio of waiting to running work, at most 1
+	averageDrainS   float64                         // drain time of the average waiting array
+	machinesByKind  map[InstanceKind]int            // schedulable machines, or only those with room if there are any
+	machinesByImage map[string]map[InstanceKind]int // of these, the machines that have an image
 }
 
 func newRanker(state *planState) *ranker {
 	jobRanker := &ranker{
-		planState:          state,
-		schedulable:        map[InstanceKind]int{},
-		schedulableByImage: map[string]map[InstanceKind]int{},
+		planState:       state,
+		machinesByKind:  map[InstanceKind]int{},
+		machinesByImage: map[string]map[InstanceKind]int{},
 	}
 	jobRanker.countMachines()
 	jobRanker.backlog = jobRanker.measureBacklog()
-	jobRanker.typicalDrain = jobRanker.measureTypicalDrain()
+	jobRanker.averageDrainS = jobRanker.measureAverageDrainS()
 	return jobRanker
 }
 
-// rankJobs sorts the jobs by their scores, best first.
+// rankJobs sorts the jobs by score, best first. Of equal scores, the job that was eligible
+// first comes first.
 func (r *ranker) rankJobs() {
 	for _, job := range r.Jobs {
 		job.score = r.score(job)
@@ -66,110 +68,113 @@
 	})
 }
 
-// countMachines takes in the partition's resources and zones, and where images are.
+// countMachines adds up the resources and zones of the machines and counts where images are
+// cached.
 func (r *ranker) countMachines() {
-	// Readiness is the share of machines with the image among those that have
-	// room now, of any if none has.
+	// Readiness is the share of machines with the image among those that have room now, or
+	// among all schedulable machines if none has room.
 	anyRoom := slices.ContainsFunc(r.Machines, hasRoom)
 	zones := map[string]bool{}
 	for _, machine := range r.Machines {
 		if machine.Schedulable && !anyRoom || hasRoom(machine) {
-			r.countImages(machine)
+			r.countSchedulable(machine)
 		}
 		zones[machine.Zone] = true
-		r.total = r.total.Add(machine.Total, 1)
+		r.totalResources = r.totalResources.AddScaled(machine.Total, 1)
 	}
 	r.zones = len(zones)
 }
 
-// hasRoom tells whether a machine may be given tasks now and has anything free.
+// hasRoom reports whether the machine accepts tasks now and has free GPUs and cores.
 func hasRoom(machine *Machine) bool {
-	return machine.Schedulable && machine.Free.GPU > 0 && machine.Free.CPU > 0
+	return machine.Schedulable && machine.Free.MilliGPU > 0 && machine.Free.MilliCPU > 0
 }
 
-// countImages counts a schedulable machine and the images that it has.
-func (r *ranker) countImages(machine *Machine) {
+// countSchedulable counts a schedulable machine and its images.
+func (r *ranker) countSchedulable(machine *Machine) {
 	kind := machine.kind()
-	r.schedulable[kind]++
+	r.machinesByKind[kind]++
 	for _, image := range machine.CachedImages {
-		if r.schedulableByImage[image] == nil {
-			r.schedulableByImage[image] = map[InstanceKind]int{}
+		if r.machinesByImage[image] == nil {
+			r.machinesByImage[image] = map[InstanceKind]int{}
 		}
-		r.schedulableByImage[image][kind]++
+		r.machinesByImage[image][kind]++
 	}
 }
 
-// measureBacklog is the ratio of the work that is pending to the work that runs, at most 1.
+// measureBacklog returns the ratio of the waiting work to the remaining work of running
+// tasks. It is at most 1, and 1 if nothing runs.
 func (r *ranker) measureBacklog() float64 {
-	running, queued := 0.0, 0.0
+	running, waiting := 0.0, 0.0
 	for _, machine := range r.Machines {
 		for _, allocation := range machine.Allocations {
 			running += float64(max(0, allocation.ExpectedEnd-r.Now))
 		}
 	}
 	for _, job := range r.Jobs {
-		queued += float64(job.PendingTasks) * job.Spec.EstimateS * float64(micros.Second)
+		waiting += float64(job.PendingTasks) * job.Spec.EstimateS * float64(micros.Second)
 	}
 	if running > 0 {
-		return math.Min(1, queued/running)
+		return math.Min(1, waiting/running)
 	}
 	return 1
 }
 
-// measureTypicalDrain is the drain time of the average array that waits.
-func (r *ranker) measureTypicalDrain() float64 {
-	sum, arrays := 0.0, 0.0
+// measureAverageDrainS returns the average drain time of the waiting arrays, in seconds.
+func (r *ranker) measureAverageDrainS() float64 {
+	sumS, arrays := 0.0, 0.0
 	for _, job := range r.Jobs {
 		if job.Spec.Kind == api.Array && job.PendingTasks > 0 {
-			sum += r.drainTime(job)
+			sumS += r.drainTimeS(job)
 			arrays++
 		}
 	}
-	return sum / math.Max(1, arrays)
+	return sumS / math.Max(1, arrays)
 }
 
-// drainTime is how long the whole partition would be busy with what waits of a job, in
-// seconds.
-func (r *ranker) drainTime(job *Job) float64 {
-	return job.Request.largestShare(job.PendingTasks, r.total) * job.Spec.EstimateS
+// drainTimeS returns how many seconds the pending tasks of the job would occupy the whole
+// partition.
+func (r *ranker) drainTimeS(job *Job) float64 {
+	return job.Request.dominantShare(job.PendingTasks, r.totalResources) * job.Spec.EstimateS
 }
 
-// score is a job's weighted sum, less the penalties.
+// score returns the weighted sum of the job's terms minus its penalties.
 func (r *ranker) score(job *Job) float64 {
 	weights := r.Operators.Weights
 	score := weights.Priority*float64(job.Tier) + weights.Wait*r.waitTerm(job) + weights.Deficit*r.deficit(job) +
 		weights.ZoneFit*r.zoneFit(job) + weights.Readiness*r.readiness(job) + weights.Backlog*r.backlog
-	score -= r.Operators.LatePenalty * r.missedObjectives(job)
-	score -= r.Operators.LargePenalty * r.backlog * r.largeness(job)
+	score -= r.Operators.LatePenalty * r.missedObjectiveShare(job)
+	score -= r.Operators.LargePenalty * r.backlog * r.largePenaltyFactor(job)
 	if job.Spec.Kind != api.Array && r.isOverdue(job) {
 		score += overdueBonus
 	}
 	if job.Deprioritized {
-		// A high-tier job that fails on every machine would be first in each cycle
-		// and take room before all others.
+		// Without the penalty, a high-tier job that fails on every machine is first in
+		// each cycle and gets room before all others.
 		score -= deprioritizedPenalty
 	}
 	return score
 }
 
-// waitTerm grows with the logarithm of the time that a job has waited.
+// waitTerm returns the logarithm of one plus the job's wait in units of ReferenceWaitS.
 func (r *ranker) waitTerm(job *Job) float64 {
 	return math.Log(1 + max(0, r.Now-job.EligibleAt).Seconds()/r.Operators.ReferenceWaitS)
 }
 
-// deficit is how much of its target share a job's team lacks. The target is its
-// guarantee; without one, an equal share of the partition.
+// deficit returns the fraction of its target that the job's team does not use. The target
+// is the team's guarantee of GPUs, or else of cores. Without a guarantee it is an equal
+// share of the cores of the machines.
 func (r *ranker) deficit(job *Job) float64 {
 	quota := r.Quotas[job.Spec.Team]
 	if quota == nil {
 		return 0
 	}
-	target, used := float64(quota.Guaranteed.GPU), float64(quota.Used.GPU)
+	target, used := float64(quota.Guaranteed.MilliGPU), float64(quota.Used.MilliGPU)
 	if target == 0 {
-		target, used = float64(quota.Guaranteed.CPU), float64(quota.Used.CPU)
+		target, used = float64(quota.Guaranteed.MilliCPU), float64(quota.Used.MilliCPU)
 	}
 	if target == 0 {
-		target, used = float64(r.total.CPU)/float64(max(1, len(r.Quotas))), float64(quota.Used.CPU)
+		target, used = float64(r.totalResources.MilliCPU)/float64(max(1, len(r.Quotas))), float64(quota.Used.MilliCPU)
 	}
 	if target <= 0 {
 		return 0
@@ -177,25 +182,26 @@
 	return math.Max(0, target-used) / target
 }
 
-// zoneFit is 1 less the share of the zones that a job needs.
+// zoneFit returns 1 minus the fraction of the zones that the job needs.
 func (r *ranker) zoneFit(job *Job) float64 {
 	if r.zones == 0 {
 		return zoneFitUnknown
 	}
 	needed := 1
 	if job.Spec.Spread && job.Spec.Tasks > 1 {
-		needed = spreadZones
+		needed = minSpreadZones
 	}
 	return math.Max(0, 1-float64(needed)/float64(r.zones))
 }
 
-// readiness is the share of the machines a job may use that have its image.
+// readiness returns the fraction of the counted machines that have the job's image, among
+// those that its constraints allow.
 func (r *ranker) readiness(job *Job) float64 {
 	ready, allowed := 0, 0
-	for kind, machines := range r.schedulable {
-		if Allowed(job.Spec, kind.Type, kind.Zone, kind.Spot) {
+	for kind, machines := range r.machinesByKind {
+		if ConstraintsAllow(job.Spec, kind.Type, kind.Zone, kind.Spot) {
 			allowed += machines
-			ready += r.schedulableByImage[job.Spec.Image][kind]
+			ready += r.machinesByImage[job.Spec.Image][kind]
 		}
 	}
 	if allowed == 0 {
@@ -204,14 +210,15 @@
 	return float64(ready) / float64(allowed)
 }
 
-// largeness is how much an array asks for, from 0 to 1 for fullPenaltyMultiple times the
-// average of those that wait; it fades with the job's own wait. Where more waits than
-// fits, serving in the order of arrival makes all late; where the smallest go first, most
-// are in time.
-func (r *ranker) largeness(job *Job) float64 {
-	if job.Spec.Kind != api.Array || r.typicalDrain <= 0 {
+// largePenaltyFactor returns the fraction of LargePenalty that applies to a job; it is 0
+// for all but arrays. It grows with the drain time of the array up to fullPenaltyMultiple
+// times the average of the waiting arrays, and fades with the array's own wait. When more
+// jobs wait than fit, serving them in order of arrival makes all of them late. With the
+// smallest first, most are in time.
+func (r *ranker) largePenaltyFactor(job *Job) float64 {
+	if job.Spec.Kind != api.Array || r.averageDrainS <= 0 {
 		return 0
 	}
-	waited := (r.Now - job.EligibleAt).Seconds() / (penaltyFadeMultiple * r.Operators.BeginWithinS)
-	return math.Min(1, r.drainTime(job)/(fullPenaltyMultiple*r.typicalDrain)) * math.Max(0, 1-waited)
+	fade := (r.Now - job.EligibleAt).Seconds() / (penaltyFadeMultiple * r.Operators.BeginWithinS)
+	return math.Min(1, r.drainTimeS(job)/(fullPenaltyMultiple*r.averageDrainS)) * math.Max(0, 1-fade)
 }
--- a/internal/scheduler/ranking_test.go
+++ b/internal/scheduler/ranking_test.go
@@ -15,7 +15,7 @@
 	standard := func(kind api.JobKind) *Job {
 		return &Job{
 			Spec: &api.Job{Kind: kind, Priority: "standard", Tasks: 1, EstimateS: 60}, Tier: 4,
-			EligibleAt: now - 10*micros.Second, PendingTasks: 1, Request: ResourcesOf(1, 0, 0),
+			EligibleAt: now - 10*micros.Second, PendingTasks: 1, Request: NewResources(1, 0, 0),
 		}
 	}
 	for _, tc := range []struct {
@@ -27,8 +27,8 @@
 		{"the longer wait", standard(api.Array), standard(api.Array), func(better, _ *Job) {
 			better.EligibleAt -= 100 * micros.Second
 		}},
-		{"of equals the lower id", standard(api.Array), standard(api.Array), func(_, _ *Job) {}},
-		{"not what fails everywhere, whatever its tier", standard(api.Array), standard(api.Array), func(_, worse *Job) {
+		{"of equal scores, the lower ID", standard(api.Array), standard(api.Array), func(_, _ *Job) {}},
+		{"not a job that fails everywhere, whatever its tier", standard(api.Array), standard(api.Array), func(_, worse *Job) {
 			worse.Tier, worse.Deprioritized = 10, true
 		}},
 		{"an overdue gang before a longer wait", standard(api.Gang), standard(api.Gang), func(better, worse *Job) {
@@ -46,19 +46,19 @@
 			tc.change(tc.better, tc.worse)
 			state := newPlanState(&Snapshot{
 				Now: now, Operators: &operators, Jobs: []*Job{tc.worse, tc.better},
-				Machines: []*Machine{{Type: &api.MachineType{}, Total: ResourcesOf(100, 0, 0)}},
+				Machines: []*Machine{{Type: &api.MachineType{}, Total: NewResources(100, 0, 0)}},
 			})
 			newRanker(state).rankJobs()
 			if state.Jobs[0] != tc.better {
-				t.Errorf("scores: %v, %v for the one expected first", tc.worse.score, tc.better.score)
+				t.Errorf("first job: got the one with score %v, want the one with score %v", tc.worse.score, tc.better.score)
 			}
 		})
 	}
 }
 
-// TestMissedObjectives checks the share of its class's objectives that a job can no longer
-// meet.
-func TestMissedObjectives(t *testing.T) {
+// TestMissedObjectiveShare checks the share of its class's objectives that a job can no
+// longer meet.
+func TestMissedObjectiveShare(t *testing.T) {
 	t.Parallel()
 	objectives := map[string][]settings.Objective{
 		"batch": {
@@ -70,27 +70,27 @@
 	for _, tc := range []struct {
 		name     string
 		class    string
-		age      float64 // seconds since it was eligible, and since its deadline's job was submitted
+		ageS     float64 // seconds since the job was eligible and the job with the deadline was submitted
 		started  bool
 		deadline Deadline
 		want     float64
 	}{
 		{"all can be met", "batch", 50, false, Deadline{}, 0},
-		{"waited too long", "batch", 150, false, Deadline{}, 0.5},
+		{"has waited too long", "batch", 150, false, Deadline{}, 0.5},
 		{"started in time", "batch", 150, true, Deadline{}, 0},
-		{"can't finish in time either", "batch", 450, false, Deadline{}, 1},
+		{"cannot finish in time either", "batch", 450, false, Deadline{}, 1},
 		{"in time for its deadline", "urgent", 450, false, Deadline{WithinS: 600, Class: "urgent"}, 0},
 		{"late for its deadline", "urgent", 550, false, Deadline{WithinS: 600, Class: "urgent"}, 1},
-		{"late for those behind it", "urgent", 450, false, Deadline{WithinS: 600, Class: "urgent", DownstreamS: 100}, 1},
+		{"late for the jobs that depend on it", "urgent", 450, false, Deadline{WithinS: 600, Class: "urgent", DownstreamS: 100}, 1},
 		{"without a deadline", "urgent", 550, false, Deadline{}, 0},
 		{"in a class without objectives", "other", 1e6, false, Deadline{}, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			scorer := &ranker{planState: newPlanState(&Snapshot{Now: micros.FromSeconds(tc.age), Objectives: objectives})}
+			jobRanker := &ranker{planState: newPlanState(&Snapshot{Now: micros.FromSeconds(tc.ageS), Objectives: objectives})}
 			job := &Job{Spec: &api.Job{Class: tc.class, EstimateS: 100}, Started: tc.started, Deadline: tc.deadline}
-			if got := scorer.missedObjectives(job); got != tc.want {
-				t.Errorf("missed: %v, not %v", got, tc.want)
+			if got := jobRanker.missedObjectiveShare(job); got != tc.want {
+				t.Errorf("missed objective share: got %v, want %v", got, tc.want)
 			}
 		})
 	}
--- a/internal/scheduler/resources.go
+++ b/internal/scheduler/resources.go
@@ -2,67 +2,69 @@
 
 import "math"
 
-// unitsPerWhole is how many units a core, a GPU or a gigabyte is counted as: integer
-// amounts add and subtract exactly, decimal ones do not.
-const unitsPerWhole = 1000
+// thousandthsPerUnit scales decimal amounts of cores, GPUs and gigabytes to integers.
+// Integers add and subtract exactly, floating-point numbers do not.
+const thousandthsPerUnit = 1000
 
-// unlimitedMultiples is how often a request for nothing fits.
-const unlimitedMultiples = 1 << 30
+// unlimitedFitCount is the FitCount of an empty request.
+const unlimitedFitCount = 1 << 30
 
-// Resources is an amount of resources, in thousandths of a core, a GPU and a gigabyte.
-type Resources struct{ CPU, GPU, Memory int64 }
+// Resources is an amount of resources in thousandths of a core, a GPU and a gigabyte.
+type Resources struct{ MilliCPU, MilliGPU, MilliGB int64 }
 
-// ResourcesOf turns decimal amounts into thousandths, rounded to the nearest.
-func ResourcesOf(cpus, gpus, memoryGB float64) Resources {
+// NewResources converts decimal amounts, rounded to the nearest thousandth.
+func NewResources(cpus, gpus, memoryGB float64) Resources {
 	return Resources{toThousandths(cpus), toThousandths(gpus), toThousandths(memoryGB)}
 }
 
 func toThousandths(amount float64) int64 {
-	return int64(math.Round(amount * unitsPerWhole))
+	return int64(math.Round(amount * thousandthsPerUnit))
 }
 
-// Add gives r + times·other; times may be negative.
-func (r Resources) Add(other Resources, times int64) Resources {
+// AddScaled returns r + times·other. times may be negative.
+func (r Resources) AddScaled(other Resources, times int64) Resources {
 	return Resources{
-		CPU:    r.CPU + times*other.CPU,
-		GPU:    r.GPU + times*other.GPU,
-		Memory: r.Memory + times*other.Memory,
+		MilliCPU: r.MilliCPU + times*other.MilliCPU,
+		MilliGPU: r.MilliGPU + times*other.MilliGPU,
+		MilliGB:  r.MilliGB + times*other.MilliGB,
 	}
 }
 
-// Fits tells whether other fits into r.
+// Fits reports whether other fits into r.
 func (r Resources) Fits(other Resources) bool {
-	return other.CPU <= r.CPU && other.GPU <= r.GPU && other.Memory <= r.Memory
+	return other.MilliCPU <= r.MilliCPU && other.MilliGPU <= r.MilliGPU && other.MilliGB <= r.MilliGB
 }
 
-// Multiples tells how often other fits into r.
-func (r Resources) Multiples(other Resources) int {
-	multiples := int64(unlimitedMultiples)
-	multiples = min(multiples, multiplesOf(r.CPU, other.CPU))
-	multiples = min(multiples, multiplesOf(r.GPU, other.GPU))
-	multiples = min(multiples, multiplesOf(r.Memory, other.Memory))
-	return int(multiples)
+// FitCount returns how many times other fits into r. For an other that requests nothing it
+// is a large number.
+func (r Resources) FitCount(other Resources) int {
+	count := int64(unlimitedFitCount)
+	count = min(count, fitCount(r.MilliCPU, other.MilliCPU))
+	count = min(count, fitCount(r.MilliGPU, other.MilliGPU))
+	count = min(count, fitCount(r.MilliGB, other.MilliGB))
+	return int(count)
 }
 
-// multiplesOf tells how often an amount fits into what is available.
-func multiplesOf(available, amount int64) int64 {
+// fitCount returns how many times an amount of one resource fits into what is available.
+func fitCount(available, amount int64) int64 {
 	if amount <= 0 {
-		return unlimitedMultiples
+		return unlimitedFitCount
 	}
 	return max(0, available) / amount
 }
 
-// largestShare is the largest share of total that so many tasks of the request r take
-// of any one resource.
-func (r Resources) largestShare(tasks int, total Resources) float64 {
+// dominantShare returns the largest share of any one resource in total that the given
+// number of tasks with request r takes.
+func (r Resources) dominantShare(tasks int, total Resources) float64 {
 	share := 0.0
-	share = math.Max(share, shareOf(tasks, r.CPU, total.CPU))
-	share = math.Max(share, shareOf(tasks, r.GPU, total.GPU))
-	share = math.Max(share, shareOf(tasks, r.Memory, total.Memory))
+	share = math.Max(share, shareOf(tasks, r.MilliCPU, total.MilliCPU))
+	share = math.Max(share, shareOf(tasks, r.MilliGPU, total.MilliGPU))
+	share = math.Max(share, shareOf(tasks, r.MilliGB, total.MilliGB))
 	return share
 }
 
-// shareOf is the share of total that so many requests take; 0 where there is none.
+// shareOf returns the share of total that the given number of tasks takes. It is 0 if total
+// is not positive.
 func shareOf(tasks int, request, total int64) float64 {
 	if total <= 0 {
 		return 0
--- a/internal/scheduler/victims.go
+++ b/internal/scheduler/victims.go
@@ -9,25 +9,25 @@
 	"spurmoor/internal/micros"
 )
 
-// transferCost is added to the work lost on another partition's machine, so that the
-// partition's own machines are emptied first where they cost about as much.
+// transferCost is added to the lost work on a machine of another partition, so that the
+// partition's own machines are preferred if about as much work is lost on them.
 const transferCost = 5 * micros.Second
 
-// victimSet is the tasks to preempt on one machine for a job.
+// victimSet holds the tasks to preempt on one machine for a job.
 type victimSet struct {
-	machine  *Machine
-	victims  []Allocation
-	lostWork micros.Micros
-	fits     int // tasks of the job that the machine holds afterwards
+	machine      *Machine
+	victims      []Allocation
+	lostWork     micros.Micros
+	taskCapacity int // tasks of the job that fit on the machine afterwards
 }
 
-// hasVictimOfTier tells whether a victim is of this tier or a higher one.
-func (v *victimSet) hasVictimOfTier(tier int) bool {
+// hasVictimAtOrAbove reports whether a victim has this tier or a higher one.
+func (v *victimSet) hasVictimAtOrAbove(tier int) bool {
 	return slices.ContainsFunc(v.victims, func(victim Allocation) bool { return victim.Job.Tier >= tier })
 }
 
-// cheapestVictimSets returns the victims that lose the least work so that a whole gang
-// fits, or one task of another job; nil where there are not enough.
+// cheapestVictimSets returns the victims with the least lost work that make room for a whole
+// gang, or for one task of another job. It returns nil if there are not enough.
 func (p *preemptor) cheapestVictimSets(job *Job) []victimSet {
 	tasks := 1
 	if job.Spec.Kind == api.Gang {
@@ -35,10 +35,10 @@
 	}
 	byZone := map[string][]victimSet{}
 	for _, machine := range p.Machines {
-		if p.taken[machine] || !p.mayEmpty(job, machine) {
+		if p.takenMachines[machine] || !p.mayPreemptOn(job, machine) {
 			continue
 		}
-		if set, ok := p.victimsOn(machine, job, tasks); ok && set.fits > 0 {
+		if set, ok := p.victimsOn(machine, job, tasks); ok && set.taskCapacity > 0 {
 			zone := job.zoneGroup(machine)
 			byZone[zone] = append(byZone[zone], set)
 		}
@@ -46,7 +46,7 @@
 	var best []victimSet
 	leastLost := never
 	for _, zone := range slices.Sorted(maps.Keys(byZone)) {
-		sets, lostWork := cheapestSets(byZone[zone], tasks)
+		sets, lostWork := cheapestSubset(byZone[zone], tasks)
 		if sets != nil && lostWork < leastLost {
 			best, leastLost = sets, lostWork
 		}
@@ -54,8 +54,8 @@
 	return best
 }
 
-// mayEmpty tells whether a machine may be emptied for a job.
-func (p *preemptor) mayEmpty(job *Job, machine *Machine) bool {
+// mayPreemptOn reports whether tasks on the machine may be preempted for the job.
+func (p *preemptor) mayPreemptOn(job *Job, machine *Machine) bool {
 	inUse := machine.Schedulable || machine.HeldByOtherPartition || machine.ClaimedBy == job.ID
 	if !inUse || machine.Borrowable || !machine.Total.Fits(job.Request) || !job.couldRunOn(machine) {
 		return false
@@ -64,49 +64,51 @@
 	return !ok || reserved.job == job
 }
 
-// victimsOn chooses the victims on a machine for up to so many tasks of a job, those that
-// lose the least work first. It returns false if the machine can't be emptied.
+// victimsOn chooses victims on the machine, those with the least lost work first, until the
+// given number of the job's tasks fits. It returns false for a machine of another partition
+// that cannot be emptied.
 func (p *preemptor) victimsOn(machine *Machine, job *Job, tasks int) (victimSet, bool) {
 	if machine.ClaimedBy == job.ID {
-		return victimSet{machine: machine, fits: machine.Total.Multiples(job.Request)}, true
+		return victimSet{machine: machine, taskCapacity: machine.Total.FitCount(job.Request)}, true
 	}
 	set := victimSet{machine: machine}
 	free := machine.Free
 	allocations := slices.Clone(machine.Allocations)
 	slices.SortStableFunc(allocations, func(a, b Allocation) int { return cmp.Compare(a.LostWork, b.LostWork) })
 	for _, allocation := range allocations {
-		if free.Multiples(job.Request) >= tasks && !machine.HeldByOtherPartition {
+		if free.FitCount(job.Request) >= tasks && !machine.HeldByOtherPartition {
 			break
 		}
 		if allocation.Stopping || p.mayPreempt(job, allocation) {
-			free = free.Add(allocation.Request, 1)
+			free = free.AddScaled(allocation.Request, 1)
 			set.lostWork += allocation.LostWork
 			set.victims = append(set.victims, allocation)
 		}
 	}
 	if machine.HeldByOtherPartition {
 		if len(set.victims) < len(allocations) || len(allocations) == 0 {
-			// A machine moves between partitions only when it is empty; and one that is
-			// empty but not offered is being kept for another job: two partitions took
-			// such a machine from each other, stopping what it ran each time.
+			// A machine is transferred between partitions only when it is empty. An empty
+			// one that is not offered is kept for another job. If it could be requested,
+			// two partitions would take it from each other and stop its tasks each time.
 			return victimSet{}, false
 		}
 		set.lostWork += transferCost
 	}
-	set.fits = free.Multiples(job.Request)
+	set.taskCapacity = free.FitCount(job.Request)
 	return set, true
 }
 
-// cheapestSets returns the sets of a list that lose the least work per task until so many
-// tasks fit, and the work that they lose; nil where there are not enough.
-func cheapestSets(list []victimSet, tasks int) ([]victimSet, micros.Micros) {
+// cheapestSubset sorts the sets by lost work per task and returns the first of them that hold
+// the given number of tasks, and the work that they lose. It returns nil if all of them do
+// not hold that many.
+func cheapestSubset(list []victimSet, tasks int) ([]victimSet, micros.Micros) {
 	slices.SortStableFunc(list, func(a, b victimSet) int {
-		return cmp.Compare(a.lostWork/micros.Micros(a.fits), b.lostWork/micros.Micros(b.fits))
+		return cmp.Compare(a.lostWork/micros.Micros(a.taskCapacity), b.lostWork/micros.Micros(b.taskCapacity))
 	})
 	lostWork := micros.Micros(0)
 	for i, set := range list {
 		lostWork += set.lostWork
-		tasks -= set.fits
+		tasks -= set.taskCapacity
 		if tasks <= 0 {
 			return list[:i+1], lostWork
 		}
