--- a/internal/cluster/boot_statistics.go
+++ b/internal/cluster/boot_statistics.go
@@ -6,51 +6,53 @@
 )
 
 const (
-	// bootObservedWithin is how soon after a machine's launch we must have begun to wait
-	// for it, to know how long it took to come up.
+	// bootObservedWithin is how soon after a machine's launch this controller must have begun
+	// to wait for it, for its boot time to be known.
 	bootObservedWithin = 5 * micros.Second
-	// bootTimeSmoothing is one over the weight of a slower boot in the typical duration.
-	bootTimeSmoothing = 4
-	// untypedBootTimeout is how long a machine of a type that the catalog does not have
-	// may take to come up.
+	// slowBootWeightDivisor is the reciprocal of the weight that a slower boot has in the
+	// typical duration.
+	slowBootWeightDivisor = 4
+	// untypedBootTimeout is how long a machine may take to boot if the catalog does not have
+	// its type.
 	untypedBootTimeout = 180 * micros.Second
-	// sameLaunchWithin is by how much two machines' launches may differ for one that is up
-	// to speak for the other.
+	// sameLaunchWithin is how much earlier than a machine another one may have been launched
+	// and still count as launched together with it.
 	sameLaunchWithin = 5 * micros.Second
-	// overdueBoots is how many times its type's boot time a machine may take to come up,
-	// unobservedOverdueBoots where none launched as late is up.
-	overdueBoots           = 2
-	unobservedOverdueBoots = 3
-	// A machine may also take two and a half times what its type typically took of late.
+	// overdueFactor is how many times the boot time of its type a machine may take to boot.
+	// unobservedOverdueFactor applies while no machine launched as late is up.
+	overdueFactor           = 2
+	unobservedOverdueFactor = 3
+	// A machine may also take two and a half times the typical duration of recent boots.
 	overdueTypicalNumerator   = 5
 	overdueTypicalDenominator = 2
 )
 
-// BootStatistics is how long machines of each type took to come up of late.
+// BootStatistics holds how long recent boots took, by machine type.
 type BootStatistics struct {
 	*coordination.Environment
 
 	bootTimes map[string]bootTime // by type
 }
 
-// NewBootStatistics returns statistics of no boots.
+// NewBootStatistics returns statistics without any boots.
 func NewBootStatistics(env *coordination.Environment) *BootStatistics {
 	return &BootStatistics{Environment: env, bootTimes: map[string]bootTime{}}
 }
 
-// bootTime is what was observed of how long machines of a type take to come up.
+// bootTime holds the observed boots of one machine type.
 type bootTime struct {
-	youngestLaunchedAt micros.Micros // when the youngest that is up was launched
-	// typicalDuration is what quick boots of late took: it falls at once and rises slowly.
-	// 0: not known.
+	latestLaunchAt micros.Micros // latest launch of a machine that is up
+	// typicalDuration is how long recent quick boots took. It falls at once and rises slowly.
+	// 0 means that it is not known.
 	typicalDuration micros.Micros
 }
 
-// RecordBoot records that a machine came up.
-func (b *BootStatistics) RecordBoot(machine *Machine) {
+// Record records that a machine has booted.
+func (b *BootStatistics) Record(machine *Machine) {
 	boot := b.bootTimes[machine.Record.Type]
-	boot.youngestLaunchedAt = max(boot.youngestLaunchedAt, machine.LaunchedAt)
-	// Not if another controller waited for it, and perhaps saw it come up, before us.
+	boot.latestLaunchAt = max(boot.latestLaunchAt, machine.LaunchedAt)
+	// The duration is unknown if another controller waited for the machine first: it may have
+	// been up before this controller noticed.
 	if machine.AwaitingHeartbeatSince < machine.LaunchedAt+bootObservedWithin {
 		boot.addDuration(b.Now - machine.LaunchedAt)
 	}
@@ -62,14 +64,15 @@
 		t.typicalDuration = duration
 		return
 	}
-	t.typicalDuration += (duration - t.typicalDuration) / bootTimeSmoothing
+	t.typicalDuration += (duration - t.typicalDuration) / slowBootWeightDivisor
 }
 
-// BootOverdue reports whether a machine that is not up no longer counts as capacity to
-// come: it takes twice as long as its type should, and far longer than others of its type
-// took of late, one of which was launched no earlier. Where none is up, all are late, and
-// launching as many again would bring nothing sooner.
-func (b *BootStatistics) BootOverdue(machine *Machine) bool {
+// IsOverdue reports whether a booting machine no longer counts as future capacity. It is
+// overdue once it takes more than twice the boot time of its type and far longer than recent
+// boots of that type. If no machine of the type that was launched as late is up, all of them
+// are slow and launching replacements would not provide capacity sooner. The limit is then
+// three times the boot time of the type.
+func (b *BootStatistics) IsOverdue(machine *Machine) bool {
 	if machine.FirstHeartbeatAt > 0 {
 		return false
 	}
@@ -79,8 +82,8 @@
 	}
 	nominal := micros.FromSeconds(machine.MachineType.BootS)
 	boot := b.bootTimes[machine.Record.Type]
-	if boot.typicalDuration > 0 && boot.youngestLaunchedAt >= machine.LaunchedAt-sameLaunchWithin {
-		return age > max(overdueBoots*nominal, boot.typicalDuration*overdueTypicalNumerator/overdueTypicalDenominator)
+	if boot.typicalDuration > 0 && boot.latestLaunchAt >= machine.LaunchedAt-sameLaunchWithin {
+		return age > max(overdueFactor*nominal, boot.typicalDuration*overdueTypicalNumerator/overdueTypicalDenominator)
 	}
-	return age > unobservedOverdueBoots*nominal
+	return age > unobservedOverdueFactor*nominal
 }
--- a/internal/cluster/boot_statistics_test.go
+++ b/internal/cluster/boot_statistics_test.go
@@ -7,19 +7,20 @@
 	"spurmoor/internal/micros"
 )
 
-// TestBootOverdue has machines of a type that should boot in 60 s come up, or not.
-func TestBootOverdue(t *testing.T) {
+// TestBootStatisticsIsOverdue checks the age at which booting machines become overdue. The
+// nominal boot time of their type is 60 s.
+func TestBootStatisticsIsOverdue(t *testing.T) {
 	t.Parallel()
 	const launchedAt = 1000 * micros.Second
 	machineType := &api.MachineType{Name: "g4", BootS: 60}
 	booted := func(duration micros.Micros) bootTime {
-		return bootTime{youngestLaunchedAt: launchedAt, typicalDuration: duration}
+		return bootTime{latestLaunchAt: launchedAt, typicalDuration: duration}
 	}
 	for _, tc := range []struct {
 		name        string
 		machineType *api.MachineType
 		boot        bootTime
-		overdueAt   micros.Micros // last age at which it is not
+		overdueAt   micros.Micros // last age at which the machine is not overdue
 	}{
 		{"type not in the catalog", nil, bootTime{}, untypedBootTimeout},
 		{"none is up", machineType, bootTime{}, 180 * micros.Second},
@@ -27,7 +28,7 @@
 		{"others were quick", machineType, booted(20 * micros.Second), 120 * micros.Second},
 		{
 			"those that are up were launched much earlier", machineType,
-			bootTime{youngestLaunchedAt: launchedAt - sameLaunchWithin - 1, typicalDuration: 20 * micros.Second},
+			bootTime{latestLaunchAt: launchedAt - sameLaunchWithin - 1, typicalDuration: 20 * micros.Second},
 			180 * micros.Second,
 		},
 	} {
@@ -39,24 +40,24 @@
 			machine := addTestMachine(t, newState(t, env), "n-1", "g4")
 			machine.MachineType, machine.LaunchedAt = tc.machineType, launchedAt
 			env.Now = launchedAt + tc.overdueAt
-			if statistics.BootOverdue(machine) {
-				t.Errorf("overdue at an age of %v s", tc.overdueAt.Seconds())
+			if statistics.IsOverdue(machine) {
+				t.Errorf("IsOverdue at an age of %v s: got true, want false", tc.overdueAt.Seconds())
 			}
 			env.Now++
-			if !statistics.BootOverdue(machine) {
-				t.Errorf("not overdue past an age of %v s", tc.overdueAt.Seconds())
+			if !statistics.IsOverdue(machine) {
+				t.Errorf("IsOverdue after an age of %v s: got false, want true", tc.overdueAt.Seconds())
 			}
 			machine.FirstHeartbeatAt = env.Now
-			if statistics.BootOverdue(machine) {
-				t.Error("overdue though it is up")
+			if statistics.IsOverdue(machine) {
+				t.Error("IsOverdue of a machine that is up: got true, want false")
 			}
 		})
 	}
 }
 
-// TestRecordBoot makes sure that the typical duration falls at once and rises slowly, and
-// counts only machines that we waited for from the start.
-func TestRecordBoot(t *testing.T) {
+// TestBootStatisticsRecord checks that the typical duration falls at once and rises slowly, and
+// that only machines count that this controller awaited from their launch.
+func TestBootStatisticsRecord(t *testing.T) {
 	t.Parallel()
 	env := newEnvironment(t)
 	statistics := NewBootStatistics(env)
@@ -75,10 +76,13 @@
 		machine := addTestMachine(t, state, tc.name, "g4")
 		machine.LaunchedAt, machine.AwaitingHeartbeatSince = env.Now, env.Now+tc.awaitedAfter
 		env.Now += tc.duration
-		statistics.RecordBoot(machine)
+		statistics.Record(machine)
 		boot := statistics.bootTimes["g4"]
-		if boot.typicalDuration != tc.want || boot.youngestLaunchedAt != machine.LaunchedAt {
-			t.Errorf("%s: typically %v s, want %v s; %+v", tc.name, boot.typicalDuration.Seconds(), tc.want.Seconds(), boot)
+		if boot.typicalDuration != tc.want || boot.latestLaunchAt != machine.LaunchedAt {
+			t.Errorf(
+				"%s: got a typical duration of %v s, want %v s; got %+v, want this launch as the latest",
+				tc.name, boot.typicalDuration.Seconds(), tc.want.Seconds(), boot,
+			)
 		}
 	}
 }
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -12,13 +12,13 @@
 	"spurmoor/internal/settings"
 )
 
-// newEnvironment returns an environment with no settings, at time 0.
+// newEnvironment returns an environment with empty settings, at time 0.
 func newEnvironment(t *testing.T) *coordination.Environment {
 	t.Helper()
 	return coordination.NewEnvironment(&settings.Settings{}, 1, rand.New(rand.NewPCG(1, 2)))
 }
 
-// newState returns a replica with one partition, which nobody leads, and no jobs or
+// newState returns a replica with one partition, which has no leader, and without jobs and
 // machines.
 func newState(t *testing.T, env *coordination.Environment) *State {
 	t.Helper()
@@ -31,13 +31,13 @@
 	}
 }
 
-// addTestMachine adds a machine of a type.
+// addTestMachine adds a machine of that type.
 func addTestMachine(t *testing.T, state *State, name, machineType string) *Machine {
 	t.Helper()
-	return state.addMachine(records.MachineRecord{Name: name, Type: machineType, Zone: "alta", MinToken: 1})
+	return state.addMachine(records.Machine{Name: name, Type: machineType, Zone: "alta", MinToken: 1})
 }
 
-// addTestJob adds an array of so many tasks.
+// addTestJob adds an array with that many tasks.
 func addTestJob(t *testing.T, state *State, id string, tasks int) *Job {
 	t.Helper()
 	spec := api.Job{ID: id, Kind: api.Array, Tasks: tasks}
--- a/internal/cluster/commit.go
+++ b/internal/cluster/commit.go
@@ -12,71 +12,74 @@
 )
 
 const (
-	// terminalStateWrites is how many writes a job's end takes: its terminal state, and the
-	// deletion of its key. An entry takes one.
+	// terminalStateWrites is how many writes the end of a job takes: its terminal state and the
+	// deletion of its key. A log entry takes one.
 	terminalStateWrites = 2
 	entryWrites         = 1
-	// minCommitWrites is how many writes a commit may always have: a job's end and an entry.
+	// minCommitWrites is how many writes a commit may always have: the end of one job and one
+	// log entry.
 	minCommitWrites = terminalStateWrites + entryWrites
-	// terminalStateCompares is how many compares must be left for a job's end: its own, and
-	// that of an entry's slot.
+	// terminalStateCompares is how many compares must be left for the end of a job: its own and
+	// that of the slot of the first entry.
 	terminalStateCompares = 2
-	// terminalComparesShare is one over the share of the compares of a transaction that
-	// jobs' ends may take: the rest is for starts of tasks.
-	terminalComparesShare = 2
-	// spareBudgetShare is the share of its capacity that the write budget must hold for the
-	// ends of cancelled jobs to go with others.
-	spareBudgetShare = 0.7
+	// terminalComparesDivisor is the reciprocal of the share of a transaction's compares that
+	// the ends of jobs may take. The rest is left for starts of tasks.
+	terminalComparesDivisor = 2
+	// cancelledBudgetShare is the share of its capacity that the write budget must hold for
+	// a commit to include the ends of cancelled jobs at once.
+	cancelledBudgetShare = 0.7
 )
 
-// LogCommit is a transaction that commits what was decided of a partition, as far as it
-// fits. It compares the key of the partition's leadership and the version of the slot that
-// its first entry goes to, which never comes back: of several copies at most one is ever
-// carried out. A partition has at most one commit in flight.
+// LogCommit is a transaction that commits changes of a partition, as many as fit. It compares
+// the leadership key of the partition and the version of the slot of its first entry. That
+// version never recurs, so of several copies of the transaction at most one is carried out. A
+// partition has at most one commit in flight.
 type LogCommit struct {
 	*coordination.Transaction
 
-	PreviousSlotVersion api.Revision // of the slot that the first entry goes to
+	PreviousSlotVersion api.Revision // of the slot of the first entry
 	Entries             []LogEntry
-	lastEntrySize       int // bytes of the last entry
+	lastEntryBytes      int // encoded size of the last entry
 
-	// What it commits.
+	// The changes to commit.
 	tasks           []taskChange
 	TerminalJobs    []*Job
-	terminalRecords []records.TerminalRecord // of TerminalJobs
+	terminalRecords []records.TerminalJob // parallel to TerminalJobs
 	recordChanges   []recordChange
 	machineBatches  []*MachineBatch
 }
 
-// recordChange is a change of a machine's record.
+// recordChange is a change of a machine's record in a commit.
 type recordChange struct {
 	machine *Machine
 	kind    RecordChangeKind
 }
 
-// MachineBatch are machines that a partition is to record.
+// MachineBatch is a set of machines whose first records are committed together.
 type MachineBatch struct {
-	Records []records.MachineRecord
-	// Adopt says that these are orphaned instances, which another controller might adopt
-	// or have launched at the same time.
+	Records []records.Machine
+	// Adopt reports whether these are orphaned instances, which another controller may adopt or
+	// record as launched at the same time.
 	Adopt bool
-	// OnRecorded is called once the batch is recorded, or given up if it is an adoption.
+	// OnRecorded is called after the batch is committed. For an adoption it is also called when
+	// the commit is refused and the batch is dropped.
 	OnRecorded func()
 }
 
-// compare has a commit fail unless a key still has a version.
+// compare makes the commit fail unless a key still has the given version.
 func (c *LogCommit) compare(key string, version api.Revision) {
 	c.Request.Compares = append(c.Request.Compares, api.Compare{Key: key, Version: version})
 }
 
-// isEmpty reports whether a commit would change nothing.
+// isEmpty reports whether the commit has no changes.
 func (c *LogCommit) isEmpty() bool {
 	return len(c.TerminalJobs) == 0 && len(c.recordChanges) == 0 && len(c.machineBatches) == 0 && len(c.tasks) == 0
 }
 
-// BuildCommit gathers a partition's commit in at most so many writes: terminal states
-// first, for their users wait, then machines, then tasks, of which a commit may hold
-// thousands. It returns nil if there is nothing to commit or it waits for more budget.
+// BuildCommit builds the next commit of a partition, with at most maxWrites writes. Terminal
+// states come first, since users wait for them, then machines, then tasks, of which a commit
+// may hold thousands. It returns nil if there is nothing to commit or if the commit waits for
+// more budget.
 func (l *PartitionLog) BuildCommit(partition *Partition, maxWrites int) *LogCommit {
 	maxWrites = max(minCommitWrites, maxWrites>>partition.sizeReductions)
 	jobIDs := slices.Sorted(maps.Keys(partition.ChangedJobs))
@@ -93,7 +96,7 @@
 	}
 	for _, entry := range commit.Entries {
 		commit.Request.Writes = append(commit.Request.Writes, api.Write{
-			Put: records.SlotKey(partition.Index, entry.Slot), Value: entry.value(),
+			Put: records.SlotKey(partition.Index, entry.Slot), Value: entry.encode(),
 		})
 	}
 	return commit
@@ -103,13 +106,15 @@
 func (l *PartitionLog) newCommit(partition *Partition) *LogCommit {
 	return &LogCommit{Transaction: &coordination.Transaction{
 		Grant:       func() leadership.Grant { return l.storeLease.Grant(partition.RoleState, leadership.Write) },
-		OnCommitted: func(revision api.Revision) { l.CommitSucceeded(partition, revision) },
-		OnRefused:   func() { l.commitRefused(partition) },
+		OnCommitted: func(revision api.Revision) { l.HandleCommitted(partition, revision) },
+		OnRefused:   func() { l.handleRefused(partition) },
 	}}
 }
 
-// awaitsBudget reports whether a commit waits for its budget to hold more: all terminal
-// states that are due, and an entry, or as much as a transaction or the budget can hold.
+// awaitsBudget reports whether a commit waits for more write budget. It waits until the
+// budget covers all terminal states that are due and two entries, or as much as one
+// transaction or a full budget can hold, but at most coordination.CommitBatchWait after the
+// last commit.
 func (l *PartitionLog) awaitsBudget(partition *Partition, ended, maxWrites int) bool {
 	wanted := min(terminalStateWrites*ended+2*entryWrites, l.Settings.Deployment.Store.MaxTransactionOps)
 	if maxWrites >= min(wanted, int(l.budget.Capacity)) {
@@ -118,8 +123,8 @@
 	return l.Now < partition.lastCommitAt+coordination.CommitBatchWait
 }
 
-// terminalJobsDue lists the jobs among these whose terminal states are to be committed, in
-// the order to do so. Jobs that have nothing to commit are no longer marked as changed.
+// terminalJobsDue returns the jobs among jobIDs whose terminal states are due, in the order to
+// commit them. It removes jobs without changes to commit from the partition's changed jobs.
 func (l *PartitionLog) terminalJobsDue(partition *Partition, jobIDs []string) []*Job {
 	var ended []*Job
 	for _, id := range jobIDs {
@@ -132,7 +137,7 @@
 				job.endedAt = l.Now
 			}
 			ended = append(ended, job)
-		case job.ChangedTasks == 0:
+		case job.UncommittedTasks == 0:
 			delete(partition.ChangedJobs, id)
 		}
 	}
@@ -140,8 +145,8 @@
 	return ended
 }
 
-// compareTerminalJobs orders jobs whose terminal states are due by priority, then by when
-// they ended. In the order of their names the last once waited for a hundred seconds.
+// compareTerminalJobs orders jobs whose terminal states are due by priority, then by the time
+// they ended. Ordered by id, the last job can wait for a hundred seconds.
 func (l *PartitionLog) compareTerminalJobs(a, b *Job) int {
 	return cmp.Or(
 		cmp.Compare(l.terminalPriorityOf(a), l.terminalPriorityOf(b)),
@@ -149,28 +154,29 @@
 	)
 }
 
-// terminalPriority orders terminal states that are due; the lowest goes first.
+// terminalPriority is the priority of a terminal state that is due. The lowest value is
+// committed first.
 type terminalPriority int
 
 const (
-	dependedOnFirst terminalPriority = iota // other jobs wait for it
-	doneNext
-	cancelledLast // its user was notified without it
+	priorityDependedOn terminalPriority = iota // other jobs depend on the job
+	priorityDone
+	priorityCancelled // its user was notified without the commit
 )
 
 func (l *PartitionLog) terminalPriorityOf(job *Job) terminalPriority {
 	switch {
 	case job.Cancelled:
-		return cancelledLast
+		return priorityCancelled
 	case l.dependencies.ByJob[job.ID] != nil:
-		return dependedOnFirst
+		return priorityDependedOn
 	}
-	return doneNext
+	return priorityDone
 }
 
-// addTerminalStates adds terminal states, as many as leave room for an entry.
+// addTerminalStates adds as many terminal states as leave space for a log entry.
 func (l *PartitionLog) addTerminalStates(commit *LogCommit, ended []*Job, maxWrites int) {
-	maxCompares := l.Settings.MaxCompares() / terminalComparesShare
+	maxCompares := l.Settings.MaxCompares() / terminalComparesDivisor
 	for _, job := range ended {
 		if len(commit.Request.Writes)+minCommitWrites > maxWrites {
 			continue
@@ -186,16 +192,17 @@
 }
 
 // mayCommitCancelled reports whether the terminal state of a cancelled job may be committed
-// now. Its user was notified without it, so others' ends have the budget first.
+// now. Other jobs get the budget first, since the user of a cancelled job was notified without
+// the commit.
 func (l *PartitionLog) mayCommitCancelled(job *Job, maxWrites int) bool {
-	return float64(maxWrites) >= l.budget.Capacity*spareBudgetShare ||
+	return float64(maxWrites) >= l.budget.Capacity*cancelledBudgetShare ||
 		l.Now >= job.endedAt+coordination.CancelledTerminalWait
 }
 
-// addTerminalState adds a job's terminal state. It compares the job's key, so that the end
-// and a cancellation cannot both win.
+// addTerminalState adds a job's terminal state. It compares the version of the job's key, so
+// that of the job's end and a concurrent cancellation only one succeeds.
 func (c *LogCommit) addTerminalState(job *Job) {
-	record := records.TerminalRecord{State: api.JobDone, DoneTasks: job.DoneTasks, EndedAt: job.endedAt}
+	record := records.TerminalJob{State: api.JobDone, DoneTasks: job.DoneTasks, EndedAt: job.endedAt}
 	if job.Cancelled {
 		record.State = api.JobCancelled
 	}
@@ -209,16 +216,16 @@
 	c.terminalRecords = append(c.terminalRecords, record)
 }
 
-// addLogEntries adds entries of the log with what became of machines and tasks.
+// addLogEntries adds log entries with the changes of machines and tasks.
 func (l *PartitionLog) addLogEntries(commit *LogCommit, partition *Partition, jobIDs []string, maxWrites int) {
-	entryLimit := min(MaxTransactionBytes/minEntriesPerTransaction, l.Settings.MaxValueBytes()-entryOverheadBytes)
-	entryLimit >>= partition.sizeReductions
+	maxEntryBytes := min(MaxTransactionBytes/minEntriesPerTransaction, l.Settings.MaxValueBytes()-maxEntryOverheadBytes)
+	maxEntryBytes >>= partition.sizeReductions
 	builder := &entryBuilder{
 		log: l, partition: partition, commit: commit,
-		maxCompares: l.Settings.MaxCompares(),
-		maxEntries:  min(maxWrites-len(commit.Request.Writes), MaxTransactionBytes/entryLimit),
-		entryLimit:  entryLimit,
-		included:    map[*Task]bool{},
+		maxCompares:   l.Settings.MaxCompares(),
+		maxEntries:    min(maxWrites-len(commit.Request.Writes), MaxTransactionBytes/maxEntryBytes),
+		maxEntryBytes: maxEntryBytes,
+		included:      map[*Task]bool{},
 	}
 	if builder.openEntry() {
 		builder.addNewMachines()
--- a/internal/cluster/commit_outcome.go
+++ b/internal/cluster/commit_outcome.go
@@ -8,12 +8,12 @@
 	"spurmoor/internal/records"
 )
 
-// maxSizeReductions is how often the size of a partition's commits is halved at most.
+// maxSizeReductions is how many times the size of a partition's commits is halved at most.
 const maxSizeReductions = 3
 
-// CommitSucceeded records that a partition's commit was carried out, at a revision of the
-// store.
-func (l *PartitionLog) CommitSucceeded(partition *Partition, revision api.Revision) {
+// HandleCommitted applies the commit in flight of a partition, which was carried out at a
+// revision of the store.
+func (l *PartitionLog) HandleCommitted(partition *Partition, revision api.Revision) {
 	commit := partition.CommitInFlight
 	if commit == nil {
 		return
@@ -21,16 +21,16 @@
 	partition.CommitInFlight, commit.Settled = nil, true
 	for _, entry := range commit.Entries {
 		entry.Version = revision
-		l.cluster.RecordLogEntry(partition, entry)
+		l.cluster.AddLogEntry(partition, entry)
 	}
-	l.machinesCommitted(partition, commit, revision)
+	l.applyCommittedMachines(partition, commit, revision)
 	for _, change := range commit.tasks {
 		if l.cluster.Jobs[change.job.ID] == change.job {
-			l.taskCommitted(change)
+			l.applyCommittedTask(change)
 		}
 	}
 	for i, job := range commit.TerminalJobs {
-		l.terminalStateCommitted(partition, job, commit.terminalRecords[i])
+		l.applyCommittedTerminalState(partition, job, commit.terminalRecords[i])
 	}
 	partition.MachineBatches = slices.DeleteFunc(partition.MachineBatches, func(batch *MachineBatch) bool {
 		committed := slices.Contains(commit.machineBatches, batch)
@@ -40,13 +40,13 @@
 		return committed
 	})
 	if len(commit.TerminalJobs) > 0 {
-		// The watch cache removes the jobs once it shows that their keys are gone.
+		// The jobs are removed when the watch cache reads that their keys were deleted.
 		l.cache.ReadLatest(func(bool) {})
 	}
 }
 
-// machinesCommitted records that the machines' records of a commit are committed.
-func (l *PartitionLog) machinesCommitted(partition *Partition, commit *LogCommit, revision api.Revision) {
+// applyCommittedMachines applies the machine records of a successful commit.
+func (l *PartitionLog) applyCommittedMachines(partition *Partition, commit *LogCommit, revision api.Revision) {
 	for _, change := range commit.recordChanges {
 		if change.machine.PendingChange == change.kind {
 			change.machine.PendingChange = NoRecordChange
@@ -55,38 +55,39 @@
 	for _, entry := range commit.Entries {
 		for _, record := range entry.Machines {
 			origin := RecordOrigin{Epoch: record.Epoch, Partition: partition.Index, Sequence: entry.Sequence}
-			l.registry.ApplyMachineRecord(record, origin, revision)
+			l.registry.ApplyRecord(record, origin, revision)
 		}
 	}
 	for _, batch := range commit.machineBatches {
 		for _, record := range batch.Records {
 			if machine := l.cluster.Machines[record.Name]; machine != nil {
-				// The launch time of a record that we wrote is by our own clock.
+				// The launch time in a record that this controller wrote is by its own clock.
 				machine.LaunchedAt = min(machine.LaunchedAt, record.LaunchedAt)
 			}
 		}
 	}
 }
 
-// taskCommitted records that what a task became is committed.
-func (l *PartitionLog) taskCommitted(change taskChange) {
+// applyCommittedTask applies a task change of a successful commit. The task stays uncommitted
+// if it has changed again since.
+func (l *PartitionLog) applyCommittedTask(change taskChange) {
 	job := change.job
 	task := job.EnsureTask(change.index)
 	task.Committed, task.LogSequence = change.record, change.sequence
-	if task.changed && task.generation == change.generation {
-		task.changed = false
-		job.ChangedTasks--
+	if task.uncommitted && task.generation == change.generation {
+		task.uncommitted = false
+		job.UncommittedTasks--
 	}
-	if task.State == records.TaskPlaced && !task.changed && !task.Observed && task.DirectStartToken == 0 {
-		l.cluster.requestCommand(task.Machine) // start it without waiting for a heartbeat
+	if task.State == records.TaskPlaced && !task.uncommitted && !task.Observed && task.DirectStartToken == 0 {
+		l.cluster.requestCommand(task.Machine) // starts the task without waiting for a heartbeat
 	}
-	// Now, before any machine reports: when a machine died first, its gang was taken for one
-	// still being placed, and waited for ever.
-	job.StartUncommitted = job.StartUncommitted && job.ChangedTasks > 0
+	// The flag is cleared here, not when a machine reports. Otherwise, if a machine died before
+	// its report, its gang would count as still being placed and wait forever.
+	job.StartUncommitted = job.StartUncommitted && job.UncommittedTasks > 0
 }
 
-// terminalStateCommitted records that a job's terminal state is committed.
-func (l *PartitionLog) terminalStateCommitted(partition *Partition, job *Job, record records.TerminalRecord) {
+// applyCommittedTerminalState applies a terminal state of a successful commit.
+func (l *PartitionLog) applyCommittedTerminalState(partition *Partition, job *Job, record records.TerminalJob) {
 	job.Terminal = true
 	delete(partition.ChangedJobs, job.ID)
 	l.dependencies.RecordTerminalState(job.ID, record)
@@ -97,11 +98,11 @@
 	)
 }
 
-// commitRefused records that a partition's commit was refused for good: a job was
-// cancelled meanwhile, say. The replica is newer than the refusal, so the next commit says
-// the same in the light of it. Adoptions are given up: the orphaned instances will be
-// found again.
-func (l *PartitionLog) commitRefused(partition *Partition) {
+// handleRefused handles the final refusal of a partition's commit, for example because a job
+// was cancelled concurrently. The replica is newer than the refusal by now, so the next commit
+// includes the remaining changes on that basis. Adoptions are dropped, since the orphaned
+// instances will be found again.
+func (l *PartitionLog) handleRefused(partition *Partition) {
 	partition.MachineBatches = slices.DeleteFunc(partition.MachineBatches, func(batch *MachineBatch) bool {
 		if batch.Adopt {
 			batch.OnRecorded()
@@ -109,7 +110,8 @@
 		return batch.Adopt
 	})
 	if partition.CommitInFlight.Malformed {
-		// The store admits less than the settings say: the same is never sent again.
+		// The store admits smaller transactions than the settings say. A transaction of this
+		// size is not sent again.
 		partition.sizeReductions = min(partition.sizeReductions+1, maxSizeReductions)
 	}
 	partition.CommitInFlight = nil
--- a/internal/cluster/cycle_trigger.go
+++ b/internal/cluster/cycle_trigger.go
@@ -5,7 +5,7 @@
 	"spurmoor/internal/micros"
 )
 
-// CycleTrigger is where components request a scheduling cycle before the next is due.
+// CycleTrigger collects requests for a scheduling cycle before the next regular one.
 type CycleTrigger struct {
 	*coordination.Environment
 
@@ -17,17 +17,17 @@
 	return &CycleTrigger{Environment: env}
 }
 
-// Due reports whether a cycle that was requested is due.
+// Due reports whether a requested cycle is due.
 func (t *CycleTrigger) Due() bool {
 	return t.requestedCycleAt != 0 && t.Now >= t.requestedCycleAt
 }
 
-// Clear notes that a cycle runs now.
+// Clear drops all requests, because a cycle runs now.
 func (t *CycleTrigger) Clear() { t.requestedCycleAt = 0 }
 
-// RequestCycleWithin requests a cycle no later than delay from now. Of several requests
-// the earliest holds.
-func (t *CycleTrigger) RequestCycleWithin(delay micros.Micros) {
+// RequestWithin requests a cycle no later than delay from now. Of several requests the
+// earliest one applies.
+func (t *CycleTrigger) RequestWithin(delay micros.Micros) {
 	at := t.Now + delay
 	if t.requestedCycleAt == 0 || at < t.requestedCycleAt {
 		t.requestedCycleAt = at
--- a/internal/cluster/cycle_trigger_test.go
+++ b/internal/cluster/cycle_trigger_test.go
@@ -25,17 +25,17 @@
 			const requestedAt = 100 * micros.Second
 			env.Now = requestedAt
 			for _, delay := range tc.delays {
-				trigger.RequestCycleWithin(delay)
+				trigger.RequestWithin(delay)
 			}
 			for _, after := range []micros.Micros{0, tc.dueIn - 1, tc.dueIn, 10 * micros.Second} {
 				env.Now = requestedAt + after
 				if got, want := trigger.Due(), tc.dueIn >= 0 && after >= tc.dueIn; got != want {
-					t.Errorf("%v s after the requests: due %t, want %t", after.Seconds(), got, want)
+					t.Errorf("%v s after the requests: got due %t, want %t", after.Seconds(), got, want)
 				}
 			}
 			trigger.Clear()
 			if trigger.Due() {
-				t.Error("due after the cycle ran")
+				t.Error("after the cycle ran: got due true, want false")
 			}
 		})
 	}
--- a/internal/cluster/deletion_log.go
+++ b/internal/cluster/deletion_log.go
@@ -7,38 +7,38 @@
 	"spurmoor/internal/micros"
 )
 
-// DeletionMemory is how long the deletion of a machine is remembered.
-const DeletionMemory = 120 * micros.Second
+// DeletionRetention is how long a DeletionLog keeps the deletion of a machine.
+const DeletionRetention = 120 * micros.Second
 
-// DeletionLog remembers the machines whose records were deleted lately, so that the
-// cloud's list, which lags, does not bring them back.
+// DeletionLog holds the machines whose records were deleted recently. The cloud's list lags
+// behind and would otherwise add them again.
 type DeletionLog struct {
 	*coordination.Environment
 
-	DeletedAt map[string]micros.Micros // by name
-	ByTime    []string                 // names in the order of their deletions
+	DeletedAt map[string]micros.Micros // by machine name
+	ByTime    []string                 // machine names in the order of their deletions
 }
 
-// NewDeletionLog returns a log of no deletions.
+// NewDeletionLog returns a log without deletions.
 func NewDeletionLog(env *coordination.Environment) *DeletionLog {
 	return &DeletionLog{Environment: env, DeletedAt: map[string]micros.Micros{}}
 }
 
-// RecordDeletion remembers that a machine's record is deleted now, and forgets deletions
-// that have become older than DeletionMemory.
-func (l *DeletionLog) RecordDeletion(name string) {
+// Record adds the deletion of a machine's record now. It drops deletions that are older than
+// DeletionRetention.
+func (l *DeletionLog) Record(name string) {
 	l.DeletedAt[name] = l.Now
 	l.ByTime = append(l.ByTime, name)
 	expired := 0
-	for expired < len(l.ByTime) && l.Now > l.DeletedAt[l.ByTime[expired]]+DeletionMemory {
+	for expired < len(l.ByTime) && l.Now > l.DeletedAt[l.ByTime[expired]]+DeletionRetention {
 		delete(l.DeletedAt, l.ByTime[expired])
 		expired++
 	}
 	l.ByTime = slices.Delete(l.ByTime, 0, expired)
 }
 
-// RecentlyDeleted reports whether a machine's record was deleted within DeletionMemory.
+// RecentlyDeleted reports whether a machine's record was deleted within DeletionRetention.
 func (l *DeletionLog) RecentlyDeleted(name string) bool {
 	at, ok := l.DeletedAt[name]
-	return ok && l.Now < at+DeletionMemory
+	return ok && l.Now < at+DeletionRetention
 }
--- a/internal/cluster/deletion_log_test.go
+++ b/internal/cluster/deletion_log_test.go
@@ -12,7 +12,7 @@
 	deletions := NewDeletionLog(env)
 	const deletedAt = 1000 * micros.Second
 	env.Now = deletedAt
-	deletions.RecordDeletion("n-1")
+	deletions.Record("n-1")
 	for _, tc := range []struct {
 		name    string
 		machine string
@@ -20,33 +20,33 @@
 		want    bool
 	}{
 		{"at once", "n-1", 0, true},
-		{"just within", "n-1", DeletionMemory - 1, true},
-		{"just past", "n-1", DeletionMemory, false},
+		{"just within", "n-1", DeletionRetention - 1, true},
+		{"just past", "n-1", DeletionRetention, false},
 		{"another machine", "n-2", 0, false},
 	} {
 		env.Now = deletedAt + tc.after
 		if got := deletions.RecentlyDeleted(tc.machine); got != tc.want {
-			t.Errorf("%s: %t, want %t", tc.name, got, tc.want)
+			t.Errorf("%s: got recently deleted %t, want %t", tc.name, got, tc.want)
 		}
 	}
 }
 
-// TestDeletionLogIsBounded makes sure that deletions are forgotten, though nobody asks.
+// TestDeletionLogIsBounded checks that old deletions are dropped even if nobody queries them.
 func TestDeletionLogIsBounded(t *testing.T) {
 	t.Parallel()
 	env := newEnvironment(t)
 	deletions := NewDeletionLog(env)
 	for _, name := range []string{"n-1", "n-2"} {
-		deletions.RecordDeletion(name)
+		deletions.Record(name)
 	}
-	env.Now = DeletionMemory / 2
-	deletions.RecordDeletion("n-3")
-	env.Now = DeletionMemory + 1
-	deletions.RecordDeletion("n-4")
+	env.Now = DeletionRetention / 2
+	deletions.Record("n-3")
+	env.Now = DeletionRetention + 1
+	deletions.Record("n-4")
 	if len(deletions.ByTime) != 2 || len(deletions.DeletedAt) != 2 {
-		t.Errorf("remembers %q and %v, want n-3 and n-4 alone", deletions.ByTime, deletions.DeletedAt)
+		t.Errorf("got %q and %v, want only n-3 and n-4", deletions.ByTime, deletions.DeletedAt)
 	}
 	if deletions.RecentlyDeleted("n-1") || !deletions.RecentlyDeleted("n-3") || !deletions.RecentlyDeleted("n-4") {
-		t.Errorf("remembers %v", deletions.DeletedAt)
+		t.Errorf("got %v, want n-3 and n-4 recently deleted and n-1 not", deletions.DeletedAt)
 	}
 }
--- a/internal/cluster/dependency_check.go
+++ b/internal/cluster/dependency_check.go
@@ -5,30 +5,31 @@
 	"spurmoor/internal/message"
 )
 
-// dependencyCheck makes sure that the jobs a submission depends on were accepted.
+// dependencyCheck checks that the jobs that a submission depends on were accepted.
 type dependencyCheck struct {
 	graph *DependencyGraph
 	spec  *api.Job
-	// answer is called once, with 0 or the status and the reason of a refusal.
+	// answer is called once, with 0, or with the HTTP status and the reason of a refusal.
 	answer func(status int, reason string)
 }
 
-// VerifyDependencies makes sure that all jobs that a submission depends on were accepted,
-// and calls answer with 0, or with the HTTP status and the reason of a refusal. Jobs that
-// the replica does not show are read from the store, once the replica is known to be newer
-// than the submission.
-func (g *DependencyGraph) VerifyDependencies(spec *api.Job, answer func(status int, reason string)) {
+// Verify checks that all jobs that a submission depends on were accepted. It then calls
+// answer once, at once or later, with 0, or with the HTTP status and the reason of a refusal.
+// Jobs that the replica does not have are read from the store, after the replica is known to
+// be newer than the submission.
+func (g *DependencyGraph) Verify(spec *api.Job, answer func(status int, reason string)) {
 	check := &dependencyCheck{graph: g, spec: spec, answer: answer}
 	if len(check.unknownDependencies()) == 0 {
 		check.accept()
 		return
 	}
-	g.cache.ReadLatest(check.replicaRead)
+	g.cache.ReadLatest(check.handleReplicaRead)
 }
 
-// replicaRead goes on once the replica is newer than the submission, if ok. A dependency
-// that it does not show has ended or was never accepted.
-func (c *dependencyCheck) replicaRead(ok bool) {
+// handleReplicaRead continues once the replica is newer than the submission; ok reports
+// whether it could be read. A dependency that the replica does not have has ended or was never
+// accepted.
+func (c *dependencyCheck) handleReplicaRead(ok bool) {
 	if !ok {
 		c.answer(message.StatusServiceUnavailable, "the state service did not answer")
 		return
@@ -43,17 +44,17 @@
 		c.answer(message.StatusServiceUnavailable, "too many submissions that name others at a time")
 		return
 	}
-	// A long list is read in several tries of its user, each of which finds more of it
-	// known.
+	// A list that is longer than the limit takes several attempts of its user. Each attempt
+	// finds more of the outcomes in memory.
 	complete := len(unknown) <= limit
 	c.graph.readOutcomes(unknown[:min(len(unknown), limit)], func(batch *outcomeBatch) {
-		c.outcomesRead(batch, complete)
+		c.handleOutcomesRead(batch, complete)
 	})
 }
 
-// outcomesRead goes on once the terminal records of the dependencies were read; complete:
-// of all of them.
-func (c *dependencyCheck) outcomesRead(batch *outcomeBatch, complete bool) {
+// handleOutcomesRead continues once the terminal records in the batch were read; complete
+// reports whether the batch held all unknown dependencies.
+func (c *dependencyCheck) handleOutcomesRead(batch *outcomeBatch, complete bool) {
 	switch {
 	case batch.missing != "":
 		c.answer(message.StatusUnprocessableEntity, batch.missing+" was never accepted")
@@ -64,7 +65,7 @@
 	}
 }
 
-// unknownDependencies lists the dependencies of which nothing is known.
+// unknownDependencies returns the dependencies whose outcome is not known.
 func (c *dependencyCheck) unknownDependencies() []string {
 	var unknown []string
 	for _, id := range c.spec.Dependencies {
@@ -75,8 +76,8 @@
 	return unknown
 }
 
-// accept answers that the dependencies are sound, all of which were accepted, unless one of
-// them is never done.
+// accept accepts the dependencies, all of which are known to exist. It refuses services, since
+// they are never done.
 func (c *dependencyCheck) accept() {
 	for _, id := range c.spec.Dependencies {
 		if job := c.graph.cluster.Jobs[id]; job != nil && job.Spec.Kind == api.Service {
--- a/internal/cluster/dependency_graph.go
+++ b/internal/cluster/dependency_graph.go
@@ -10,51 +10,51 @@
 	"spurmoor/internal/records"
 )
 
-// maxTerminalStates is how many terminal states are kept in memory.
+// maxTerminalStates bounds the terminal states that are kept in memory.
 const maxTerminalStates = 20_000
 
-// DependencyGraph is which unfinished jobs depend on which, and how jobs ended.
+// DependencyGraph holds which unfinished jobs depend on which jobs, and how jobs ended.
 //
-// Whether a job may start, or is cancelled with one that it depends on, follows from the
-// store alone: every controller works it out from the replica, so nobody has to be
-// notified and a failover changes nothing. A dependency whose key is gone was done or
-// cancelled; which of the two, the order of the changes says, or its terminal record.
+// The store alone determines whether a job may start or is cancelled together with a job that
+// it depends on. Every controller derives that from its replica, so no notifications are
+// needed and a failover changes nothing. A dependency whose key was deleted was done or
+// cancelled: the order of the changes or its terminal record tells which.
 type DependencyGraph struct {
 	*coordination.Environment
 	cache   *coordination.WatchCache
 	cluster *State
 	trigger *CycleTrigger
 
-	// ByJob are the jobs that unfinished others depend on.
+	// ByJob holds the jobs that unfinished jobs depend on, by id.
 	ByJob map[string]*dependency
-	// TerminalStates are those of jobs that ended lately.
+	// TerminalStates holds the terminal states of jobs that ended recently.
 	TerminalStates *terminalCache
 
-	// Reading the terminal records of dependencies; see ReadUnknownOutcomes.
-	outcomesToRead    []string // ids, each of which is in ByJob or was
+	// Reads of terminal records of dependencies; see ReadUnknownOutcomes.
+	outcomesToRead    []string // ids of jobs that are or were in ByJob
 	nextOutcomeReadAt micros.Micros
-	outcomeReads      int // how many are in flight
+	outcomeReads      int // number of reads in flight
 }
 
-// dependency is a job that unfinished others depend on.
+// dependency is a job that unfinished jobs depend on.
 type dependency struct {
 	Outcome    DependencyOutcome
-	doneAt     micros.Micros // when it was done; 0: not known, or it is not
+	doneAt     micros.Micros // 0: not done, or time not known
 	Dependents []*Job
 }
 
-// DependencyOutcome is what became of a job that others depend on.
+// DependencyOutcome is the outcome, so far, of a job that others depend on.
 type DependencyOutcome uint8
 
-// Outcomes of jobs that others depend on. From OutcomeDone on they are terminal.
+// Outcomes of jobs that others depend on. OutcomeDone and the values after it are terminal.
 const (
-	// OutcomeUnknown is that of a job that has no key: it has ended, it is not known how.
+	// OutcomeUnknown means that the job has no key: it has ended, but it is not known how.
 	OutcomeUnknown DependencyOutcome = iota
-	// outcomePending is that of a job that has neither ended nor is cancelled.
+	// outcomePending means that the job has neither ended nor been cancelled.
 	outcomePending
-	// OutcomeDone is that of a job that is done.
+	// OutcomeDone means that the job is done.
 	OutcomeDone
-	// OutcomeCancelled is that of a job that is cancelled, or depends on one that is.
+	// OutcomeCancelled means that the job, or a job that it depends on, is cancelled.
 	OutcomeCancelled
 )
 
@@ -70,24 +70,24 @@
 	}
 }
 
-// Reset forgets all dependencies, before everything is read again. What is known of jobs
-// that ended stays.
+// Reset removes all dependencies, before everything is read again. The terminal states of
+// ended jobs are kept.
 func (g *DependencyGraph) Reset() {
 	clear(g.ByJob)
 	g.outcomesToRead = nil
 }
 
-// LinkDependencies adds a job to the dependents of those that it depends on.
-func (g *DependencyGraph) LinkDependencies(job *Job) {
+// Link adds a job to the dependents of the jobs that it depends on.
+func (g *DependencyGraph) Link(job *Job) {
 	for _, id := range job.Dependencies {
 		upstream := g.ensureDependency(id)
 		upstream.Dependents = append(upstream.Dependents, job)
 	}
-	g.reviewDependencies(job)
+	g.recomputeDependencies(job)
 }
 
-// ensureDependency returns a job that others depend on, and has its outcome read if it has
-// ended and nothing is known of it.
+// ensureDependency returns the dependency of that id, and adds it if necessary. If its
+// outcome is unknown, it is queued to be read.
 func (g *DependencyGraph) ensureDependency(id string) *dependency {
 	if known := g.ByJob[id]; known != nil {
 		return known
@@ -100,9 +100,8 @@
 	return g.ByJob[id]
 }
 
-// UnlinkDependencies removes a job that has ended from the dependents of those that it
-// depended on.
-func (g *DependencyGraph) UnlinkDependencies(job *Job) {
+// Unlink removes a job that has ended from the dependents of the jobs that it depended on.
+func (g *DependencyGraph) Unlink(job *Job) {
 	for _, id := range job.Dependencies {
 		upstream := g.ByJob[id]
 		if upstream == nil {
@@ -115,8 +114,8 @@
 	}
 }
 
-// KnownOutcome returns what became of a job, as far as no read is needed for it, and when
-// it ended if that is known.
+// KnownOutcome returns the outcome of a job, as far as it is known without a read of the
+// store, and the time it ended, 0 if that is not known.
 func (g *DependencyGraph) KnownOutcome(id string) (DependencyOutcome, micros.Micros) {
 	if record, ok := g.TerminalStates.Records[id]; ok {
 		return outcomeOf(record), record.EndedAt
@@ -131,16 +130,16 @@
 	return outcomePending, 0
 }
 
-func outcomeOf(record records.TerminalRecord) DependencyOutcome {
+func outcomeOf(record records.TerminalJob) DependencyOutcome {
 	if record.State == api.JobDone {
 		return OutcomeDone
 	}
 	return OutcomeCancelled
 }
 
-// SettleOutcome records what became of a job and when, and what follows for those that
-// depend on it. It has no effect once the outcome is terminal.
-func (g *DependencyGraph) SettleOutcome(id string, outcome DependencyOutcome, at micros.Micros) {
+// SetOutcome sets the outcome of a job and its time, and updates the jobs that depend on it.
+// It has no effect after the outcome has become terminal.
+func (g *DependencyGraph) SetOutcome(id string, outcome DependencyOutcome, at micros.Micros) {
 	upstream := g.ByJob[id]
 	if upstream == nil || upstream.Outcome == outcome || upstream.Outcome.isTerminal() {
 		return
@@ -150,45 +149,47 @@
 		g.outcomesToRead = append(g.outcomesToRead, id)
 	}
 	for _, dependent := range upstream.Dependents {
-		g.reviewDependencies(dependent)
+		g.recomputeDependencies(dependent)
 	}
 }
 
-// RecordTerminalState notes how a job ended, and what follows for those that depend on it.
-func (g *DependencyGraph) RecordTerminalState(id string, record records.TerminalRecord) {
+// RecordTerminalState stores the terminal state of a job and updates the jobs that depend on
+// it.
+func (g *DependencyGraph) RecordTerminalState(id string, record records.TerminalJob) {
 	g.TerminalStates.add(id, record)
-	g.SettleOutcome(id, outcomeOf(record), record.EndedAt)
+	g.SetOutcome(id, outcomeOf(record), record.EndedAt)
 }
 
-// TerminalOutcome returns how a job ended that vanished from the replica, if that is known.
-// A cancellation changes the job's key before its end deletes it, and an end compares the
-// version that it follows: without a cancellation the job was done.
-func (g *DependencyGraph) TerminalOutcome(job *Job) (records.TerminalRecord, bool) {
+// TerminalOutcome returns how a job ended whose key was deleted, and whether that is known. A
+// cancellation changes the job's key before the commit of its end deletes the key, and that
+// commit compares the version of the key. So a job that was not cancelled was done.
+func (g *DependencyGraph) TerminalOutcome(job *Job) (records.TerminalJob, bool) {
 	if record, ok := g.TerminalStates.Records[job.ID]; ok {
 		return record, true
 	}
 	switch {
 	case job.Cancelled:
-		return records.TerminalRecord{State: api.JobCancelled, DoneTasks: job.DoneTasks}, true
+		return records.TerminalJob{State: api.JobCancelled, DoneTasks: job.DoneTasks}, true
 	case job.UnknownDependencies > 0 && !job.HasStarted():
-		return records.TerminalRecord{}, false
+		return records.TerminalJob{}, false
 	}
-	return records.TerminalRecord{State: api.JobDone, DoneTasks: job.Spec.Tasks, EndedAt: g.Now}, true
+	return records.TerminalJob{State: api.JobDone, DoneTasks: job.Spec.Tasks, EndedAt: g.Now}, true
 }
 
-// reviewDependencies works out anew whether a job must wait, and whether it is cancelled.
-func (g *DependencyGraph) reviewDependencies(job *Job) {
+// recomputeDependencies recomputes whether a job must wait for its dependencies and whether it
+// is cancelled with one of them.
+func (g *DependencyGraph) recomputeDependencies(job *Job) {
 	pendingBefore := job.PendingDependencies
 	g.countDependencies(job)
 	if pendingBefore > 0 && job.PendingDependencies == 0 {
 		g.LogDebug("job dependencies done", logkey.Job, job.ID, logkey.AfterS, (g.Now - job.AcceptedAt).WholeSeconds())
-		g.trigger.RequestCycleWithin(0)
+		g.trigger.RequestWithin(0)
 	}
 	if job.DependencyCancelled && !job.Cancelled {
 		job.Cancelled = true
 		g.LogDebug("job cancelled with a dependency", logkey.Job, job.ID)
 		g.cluster.MarkChanged(job)
-		g.SettleOutcome(job.ID, OutcomeCancelled, 0)
+		g.SetOutcome(job.ID, OutcomeCancelled, 0)
 	}
 }
 
@@ -212,10 +213,10 @@
 	}
 }
 
-// DropSettledDependencies leaves of a job's dependencies, in the record of its submission,
-// only those that have not ended: the rest says nothing any more. A job that depends on a
-// cancelled one is cancelled itself.
-func (g *DependencyGraph) DropSettledDependencies(record *records.JobRecord) {
+// DropEnded removes the jobs that are done from the dependencies in the record of a
+// submission, since they no longer matter. A job that depends on a cancelled job is cancelled
+// itself, and its dependencies are removed.
+func (g *DependencyGraph) DropEnded(record *records.Job) {
 	var left []string
 	for _, id := range record.Spec.Dependencies {
 		switch outcome, _ := g.KnownOutcome(id); outcome {
--- a/internal/cluster/dependency_test.go
+++ b/internal/cluster/dependency_test.go
@@ -10,7 +10,7 @@
 	"spurmoor/internal/records"
 )
 
-// newGraph returns a dependency graph over an empty replica that is up to date.
+// newGraph returns a dependency graph for an empty replica whose watch cache is synced.
 func newGraph(t *testing.T, env *coordination.Environment) *DependencyGraph {
 	t.Helper()
 	state := newState(t, env)
@@ -18,14 +18,13 @@
 	return NewDependencyGraph(env, state.cache, state, NewCycleTrigger(env))
 }
 
-// answerReads answers all reads of the store that are in flight, and returns how many there
-// were.
-func answerReads(t *testing.T, env *coordination.Environment, reply message.StoreReply) int {
+// replyToReads replies to all reads of the store that are in flight, and returns their number.
+func replyToReads(t *testing.T, env *coordination.Environment, reply message.StoreReply) int {
 	t.Helper()
 	calls := env.StoreCalls
 	env.StoreCalls = map[uint64]func(*message.StoreReply){}
-	for _, whenRead := range calls {
-		whenRead(&reply)
+	for _, onRead := range calls {
+		onRead(&reply)
 	}
 	return len(calls)
 }
@@ -33,12 +32,12 @@
 func terminalReply(t *testing.T, state api.JobState) message.StoreReply {
 	t.Helper()
 	return message.StoreReply{
-		Status: message.StatusOK, Item: api.KeyValue{Value: records.MustMarshal(records.TerminalRecord{State: state})},
+		Status: message.StatusOK, Item: api.KeyValue{Value: records.MustMarshal(records.TerminalJob{State: state})},
 	}
 }
 
-// TestUnknownDependency has a job depend on one that ended before the replica could show
-// how.
+// TestUnknownDependency checks a job that depends on one that ended before the replica could
+// show how.
 func TestUnknownDependency(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
@@ -63,33 +62,33 @@
 			graph := newGraph(t, env)
 			job := addTestJob(t, graph.cluster, "wk-000002", 1)
 			job.Dependencies = []string{"wk-000001"}
-			graph.LinkDependencies(job)
+			graph.Link(job)
 			if job.PendingDependencies != 1 || job.UnknownDependencies != 1 {
-				t.Fatalf("%d dependencies pending, %d unknown", job.PendingDependencies, job.UnknownDependencies)
+				t.Fatalf("got %d dependencies pending and %d unknown, want 1 and 1", job.PendingDependencies, job.UnknownDependencies)
 			}
 			graph.ReadUnknownOutcomes()
-			if reads := answerReads(t, env, tc.reply); reads != 1 {
-				t.Fatalf("%d reads", reads)
+			if reads := replyToReads(t, env, tc.reply); reads != 1 {
+				t.Fatalf("got %d reads, want 1", reads)
 			}
 			if job.PendingDependencies != tc.pending || job.UnknownDependencies > 0 != tc.unknown {
-				t.Errorf("%d dependencies pending, %d unknown", job.PendingDependencies, job.UnknownDependencies)
+				t.Errorf("got %d dependencies pending, %d unknown, want as in the case", job.PendingDependencies, job.UnknownDependencies)
 			}
 			if job.Cancelled != tc.dependencyCancelled || job.DependencyCancelled != tc.dependencyCancelled {
-				t.Errorf("cancelled %t, with its dependency %t", job.Cancelled, job.DependencyCancelled)
+				t.Errorf("got cancelled %t and dependency cancelled %t, want both as in the case", job.Cancelled, job.DependencyCancelled)
 			}
 			env.Now += 2 * outcomeRetryInterval
 			graph.ReadUnknownOutcomes()
 			if readAgain := len(env.StoreCalls) == 1; readAgain != tc.readAgain {
-				t.Errorf("read again: %t", readAgain)
+				t.Errorf("got read again %t, want the opposite", readAgain)
 			}
 		})
 	}
 }
 
-// startVerifying verifies a submission that depends on so many jobs, where the read of the
-// replica succeeds or not if one is needed. It returns the statuses that are answered, then
-// and later.
-func startVerifying(t *testing.T, graph *DependencyGraph, dependencies int, replicaRead bool) *[]int {
+// startVerify verifies a submission that depends on dependencies jobs. replicaRead is the result
+// of reading the replica, if that is necessary. It returns the answered statuses, to which later
+// answers are added.
+func startVerify(t *testing.T, graph *DependencyGraph, dependencies int, replicaRead bool) *[]int {
 	t.Helper()
 	spec := &api.Job{}
 	for i := range dependencies {
@@ -100,15 +99,15 @@
 		*answers = append(*answers, status)
 	}}
 	if len(check.unknownDependencies()) > 0 {
-		check.replicaRead(replicaRead)
+		check.handleReplicaRead(replicaRead)
 	} else {
-		graph.VerifyDependencies(spec, check.answer)
+		graph.Verify(spec, check.answer)
 	}
 	return answers
 }
 
-// TestVerifyDependencies submits a job that depends on others, which the replica shows or
-// not.
+// TestVerifyDependencies verifies submissions whose dependencies the replica has or does not
+// have.
 func TestVerifyDependencies(t *testing.T) {
 	t.Parallel()
 	const accepted = 0
@@ -116,10 +115,10 @@
 		name         string
 		dependencies int
 		prepare      func(*DependencyGraph)
-		replicaRead  bool // ok, once the replica had to be read
+		replicaRead  bool // whether a necessary read of the replica succeeds
 		reply        message.StoreReply
 		want         int
-		reads        int // of terminal records
+		reads        int // number of reads of terminal records
 	}{
 		{name: "none", want: accepted},
 		{name: "unfinished", dependencies: 1, prepare: func(graph *DependencyGraph) {
@@ -153,12 +152,12 @@
 			if tc.prepare != nil {
 				tc.prepare(graph)
 			}
-			answers := startVerifying(t, graph, tc.dependencies, tc.replicaRead)
-			if reads := answerReads(t, env, tc.reply); reads != tc.reads {
-				t.Errorf("%d reads, want %d", reads, tc.reads)
+			answers := startVerify(t, graph, tc.dependencies, tc.replicaRead)
+			if reads := replyToReads(t, env, tc.reply); reads != tc.reads {
+				t.Errorf("got %d reads, want %d", reads, tc.reads)
 			}
 			if len(*answers) != 1 || (*answers)[0] != tc.want {
-				t.Errorf("answers %v, want %d", *answers, tc.want)
+				t.Errorf("got answers %v, want only %d", *answers, tc.want)
 			}
 		})
 	}
--- a/internal/cluster/entry_builder.go
+++ b/internal/cluster/entry_builder.go
@@ -7,25 +7,26 @@
 	"spurmoor/internal/records"
 )
 
-// adoptionComparesPerPartition bounds the compares that an adoption of orphaned instances
-// adds for each partition, with some left for what else the commit has to compare.
+// adoptionComparesPerPartition bounds the compares that an adoption of orphaned instances adds
+// for each partition. It includes a reserve for the other compares of the commit.
 const adoptionComparesPerPartition = 3
 
-// entryBuilder fills the log entries of a commit.
+// entryBuilder builds the log entries of a commit.
 type entryBuilder struct {
-	log         *PartitionLog
-	partition   *Partition
-	commit      *LogCommit
-	maxCompares int // of the transaction
-	maxEntries  int
-	entryLimit  int            // bytes of an entry
-	newSlots    int            // how many entries go to new slots
-	growLog     bool           // the next entry goes to a new slot
-	included    map[*Task]bool // logged by this commit
+	log           *PartitionLog
+	partition     *Partition
+	commit        *LogCommit
+	maxCompares   int // of the transaction
+	maxEntries    int
+	maxEntryBytes int            // size limit of an entry
+	newSlots      int            // number of entries in new slots
+	useNewSlot    bool           // the next entry goes to a new slot
+	included      map[*Task]bool // tasks logged by this commit
 }
 
-// openEntry begins an entry, with what its slot alone still held, and compares the version
-// of the slot if it is the first. It returns false if there may be no further entry.
+// openEntry adds an entry, which begins with the carryover of its slot. For the first entry it
+// also adds the compare of the slot's version. It returns false if the commit may have no
+// further entry.
 func (b *entryBuilder) openEntry() bool {
 	opened := len(b.commit.Entries)
 	if opened >= b.maxEntries {
@@ -37,7 +38,7 @@
 		entry.Sequence = b.partition.Log[length-1].Sequence + 1 + uint64(opened)
 	}
 	b.commit.Entries = append(b.commit.Entries, entry)
-	b.commit.lastEntrySize = 0
+	b.commit.lastEntryBytes = 0
 	if opened == 0 {
 		b.compareFirstSlot(slot)
 	}
@@ -45,25 +46,25 @@
 	return true
 }
 
-// chooseSlot returns the slot of the next entry, and what is to be logged anew in that
-// entry first. reused is how many slots this commit writes again already.
+// chooseSlot returns the slot of the next entry and the carryover that the entry must begin
+// with. reused is how many slots this commit already overwrites.
 //
-// The slot is that of the oldest entry; or a new one, while the log is short or so full
-// that what is logged anew leaves little space. Where the oldest entry holds more than an
-// entry may have now, for it was written when more was admitted or its runs were broken
-// up, part of that goes to a new slot: some commits later the rest fits, and the log never
-// comes to a halt.
+// The slot is that of the oldest entry. A new slot is used while the log is short, or if the
+// last carryover left little space in its entry. The carryover of the oldest entry may exceed
+// the size limit of an entry, because the limit was higher when the entry was written or
+// because its runs have split. Part of it then goes to a new slot. After some such commits the
+// rest fits, so the log never gets stuck.
 func (b *entryBuilder) chooseSlot(reused int) (int, carryover) {
-	if b.growLog || len(b.partition.Log)-reused < minLogSlots {
+	if b.useNewSlot || len(b.partition.Log)-reused < minLogSlots {
 		return b.newSlot(), carryover{}
 	}
 	oldest := b.partition.Log[reused]
 	carried := b.carryoverOf(oldest)
-	if carried.size > b.entryLimit {
-		b.growLog = true
+	if carried.sizeBytes > b.maxEntryBytes {
+		b.useNewSlot = true
 		return b.newSlot(), carried
 	}
-	b.growLog = carried.size > b.entryLimit/carriedOverShare
+	b.useNewSlot = carried.sizeBytes > b.maxEntryBytes/carryoverDivisor
 	return oldest.Slot, carried
 }
 
@@ -73,8 +74,8 @@
 	return slot
 }
 
-// compareFirstSlot has the transaction compare the version of the slot that its first entry
-// goes to: of several copies of the transaction at most one is ever carried out.
+// compareFirstSlot adds a compare of the version of the first entry's slot, so that of several
+// copies of the transaction at most one is carried out.
 func (b *entryBuilder) compareFirstSlot(slot int) {
 	for _, entry := range b.partition.Log {
 		if entry.Slot == slot {
@@ -84,27 +85,27 @@
 	b.commit.compare(records.SlotKey(b.partition.Index, slot), b.commit.PreviousSlotVersion)
 }
 
-// addCarriedOver logs anew what an older entry alone held, as far as it fits.
+// addCarriedOver logs the carryover of an older entry again, as far as it fits.
 func (b *entryBuilder) addCarriedOver(carried carryover) {
 	for _, record := range carried.machines {
-		if b.commit.lastEntrySize+record.EncodedSize() > b.entryLimit {
+		if b.commit.lastEntryBytes+record.EncodedSize() > b.maxEntryBytes {
 			return
 		}
 		b.addMachine(record)
 	}
 	for _, change := range carried.tasks {
-		if b.commit.lastEntrySize+change.encodedSize() > b.entryLimit {
+		if b.commit.lastEntryBytes+change.encodedSize() > b.maxEntryBytes {
 			return
 		}
 		b.addTask(change)
 	}
 }
 
-// reserveSpace makes sure that the last entry has space for so many bytes, in a new entry
-// if need be. It returns false if there is none.
+// reserveSpace ensures that the last entry has space for size bytes, and opens a new entry if
+// necessary. It returns false if there is no space.
 func (b *entryBuilder) reserveSpace(size int) bool {
-	for b.commit.lastEntrySize+size > b.entryLimit {
-		if b.commit.lastEntrySize == 0 || !b.openEntry() {
+	for b.commit.lastEntryBytes+size > b.maxEntryBytes {
+		if b.commit.lastEntryBytes == 0 || !b.openEntry() {
 			return false
 		}
 	}
@@ -113,32 +114,32 @@
 
 func (b *entryBuilder) lastEntry() *LogEntry { return &b.commit.Entries[len(b.commit.Entries)-1] }
 
-// addTask logs a task in the last entry, joined to the run before if it is like it.
+// addTask logs a task in the last entry. The task joins the entry's last run if it extends it.
 func (b *entryBuilder) addTask(change taskChange) {
 	entry := b.lastEntry()
 	change.sequence = entry.Sequence
 	b.included[change.job.EnsureTask(change.index)] = true
 	b.commit.tasks = append(b.commit.tasks, change)
 	if last := len(entry.Runs) - 1; last >= 0 && change.extends(entry.Runs[last]) {
-		b.commit.lastEntrySize += extendRun(&entry.Runs[last])
+		b.commit.lastEntryBytes += extendRun(&entry.Runs[last])
 		return
 	}
 	entry.Runs = append(entry.Runs, change.run())
-	b.commit.lastEntrySize += change.encodedSize()
+	b.commit.lastEntryBytes += change.encodedSize()
 }
 
 // addMachine logs a machine's record in the last entry.
-func (b *entryBuilder) addMachine(record records.MachineRecord) {
+func (b *entryBuilder) addMachine(record records.Machine) {
 	entry := b.lastEntry()
 	entry.Machines = append(entry.Machines, record)
-	b.commit.lastEntrySize += record.EncodedSize()
+	b.commit.lastEntryBytes += record.EncodedSize()
 }
 
-// addNewMachines logs machines launched and adopted.
+// addNewMachines logs the batches of launched and adopted machines.
 func (b *entryBuilder) addNewMachines() {
 	adopts := false
 	for _, batch := range b.partition.MachineBatches {
-		batch.Records = slices.DeleteFunc(batch.Records, func(record records.MachineRecord) bool {
+		batch.Records = slices.DeleteFunc(batch.Records, func(record records.Machine) bool {
 			return b.log.cluster.Machines[record.Name] != nil
 		})
 		if batch.Adopt && !adopts {
@@ -154,16 +155,17 @@
 	}
 }
 
-// mayAdopt reports whether the transaction has room for the writes and compares of an
+// mayAdopt reports whether the transaction has space for the write and the compares of an
 // adoption.
 func (b *entryBuilder) mayAdopt() bool {
 	compares := len(b.commit.Request.Compares) + adoptionComparesPerPartition*len(b.log.cluster.Partitions)
 	return compares <= b.maxCompares && len(b.commit.Entries) < b.maxEntries
 }
 
-// beginAdoption has adoptions and the launch of machines exclude each other: an adoption
-// changes a key that all who record machines compare, and compares that no other
-// partition's log went on unseen, which would change its oldest slot or begin a new one.
+// beginAdoption makes adoptions and launches of the same machine exclude each other. An
+// adoption changes the adoption key, which every commit that records machines compares. It
+// also compares that no other partition's log has an entry that this replica does not show:
+// such an entry would have changed the log's oldest slot or added a new one.
 func (b *entryBuilder) beginAdoption() {
 	b.maxEntries--
 	b.commit.Request.Writes = append(b.commit.Request.Writes, api.Write{
@@ -181,7 +183,8 @@
 	}
 }
 
-// addMachineBatch logs all machines of a batch, or returns false if there is no space.
+// addMachineBatch logs all machines of a batch. It logs none and returns false if there is no
+// space for all.
 func (b *entryBuilder) addMachineBatch(batch *MachineBatch) bool {
 	state := b.log.cluster
 	size := 0
@@ -203,7 +206,7 @@
 	return true
 }
 
-// addRecordChanges logs the changes of machines' records that were requested.
+// addRecordChanges logs the requested changes of machine records.
 func (b *entryBuilder) addRecordChanges() {
 	b.dropStaleRecordChanges()
 	for _, machine := range b.partition.RecordChanges {
@@ -216,8 +219,8 @@
 	}
 }
 
-// dropStaleRecordChanges drops the requests that are carried out, and those of machines
-// that are gone or in another partition now.
+// dropStaleRecordChanges drops requests that are already committed, and requests for machines
+// that no longer exist or are in another partition now.
 func (b *entryBuilder) dropStaleRecordChanges() {
 	b.partition.RecordChanges = slices.DeleteFunc(b.partition.RecordChanges, func(machine *Machine) bool {
 		return machine.PendingChange == NoRecordChange ||
@@ -226,14 +229,14 @@
 	})
 }
 
-// changedRecord returns a machine's record with the change that was requested.
-func changedRecord(machine *Machine) records.MachineRecord {
+// changedRecord returns a machine's record with the requested change.
+func changedRecord(machine *Machine) records.Machine {
 	record := machine.Record
 	switch machine.PendingChange {
-	case condemnRecord:
-		record.Condemned = true
-	case DropRecord:
-		return records.MachineRecord{
+	case markRecordForDeletion:
+		record.MarkedForDeletion = true
+	case DeleteRecord:
+		return records.Machine{
 			Name: record.Name, Partition: record.Partition, Deleted: true, Epoch: record.Epoch + 1,
 		}
 	case RaiseToken:
@@ -246,11 +249,11 @@
 	return record
 }
 
-// addTaskChanges logs what the tasks of changed jobs became.
+// addTaskChanges logs the uncommitted task changes of jobs.
 func (b *entryBuilder) addTaskChanges(jobIDs []string) {
 	for _, id := range jobIDs {
 		job := b.log.cluster.Jobs[id]
-		if job == nil || job.ChangedTasks == 0 || slices.Contains(b.commit.TerminalJobs, job) {
+		if job == nil || job.UncommittedTasks == 0 || slices.Contains(b.commit.TerminalJobs, job) {
 			continue
 		}
 		if !b.addChangesOf(job) {
@@ -259,12 +262,13 @@
 	}
 }
 
-// addChangesOf logs what the tasks of a job became; false: there was no space for all. A
-// start compares the job's key, so that it and a cancellation cannot both win.
+// addChangesOf logs the uncommitted task changes of a job. It returns false if there was no
+// space for all of them. If a task starts, the version of the job's key is compared, so that
+// of the start and a concurrent cancellation only one succeeds.
 func (b *entryBuilder) addChangesOf(job *Job) bool {
 	compared := false
 	for index, task := range job.knownTasks() {
-		if !task.changed {
+		if !task.uncommitted {
 			continue
 		}
 		if task.State == records.TaskPlaced && !compared {
--- a/internal/cluster/entry_carryover.go
+++ b/internal/cluster/entry_carryover.go
@@ -6,34 +6,34 @@
 	"spurmoor/internal/records"
 )
 
-// carryover is what an entry alone still holds, to be logged anew before its slot is
-// written again.
+// carryover is the current content of a log entry: the records and tasks that no later entry
+// holds. It must be logged again before the entry's slot is overwritten.
 type carryover struct {
-	machines []records.MachineRecord
-	tasks    []taskChange
-	size     int // in bytes, as it would be encoded
+	machines  []records.Machine
+	tasks     []taskChange
+	sizeBytes int // encoded size
 }
 
-// carryoverOf returns what an entry alone still holds.
+// carryoverOf returns the carryover of an entry.
 func (b *entryBuilder) carryoverOf(old LogEntry) carryover {
 	var carried carryover
 	for _, record := range old.Machines {
 		if latest, ok := b.carriedMachine(old, record); ok {
 			carried.machines = append(carried.machines, latest)
-			carried.size += latest.EncodedSize()
+			carried.sizeBytes += latest.EncodedSize()
 		}
 	}
 	for _, run := range old.Runs {
 		carried.tasks = b.appendCarriedTasks(carried.tasks, old, run)
 	}
-	carried.size += encodedSizeOf(carried.tasks)
+	carried.sizeBytes += encodedSizeOf(carried.tasks)
 	return carried
 }
 
-// carriedMachine returns the latest record of a machine that an entry names, if that entry
-// is the one that holds it; or the record of its deletion, while other entries that name
-// the machine could bring it back.
-func (b *entryBuilder) carriedMachine(old LogEntry, record records.MachineRecord) (records.MachineRecord, bool) {
+// carriedMachine returns the record to carry over for a machine that an entry names, and
+// whether there is one: the machine's current record if this entry holds it, or the record of
+// its deletion while other entries that name the machine could recreate it.
+func (b *entryBuilder) carriedMachine(old LogEntry, record records.Machine) (records.Machine, bool) {
 	state := b.log.cluster
 	origin := RecordOrigin{Epoch: record.Epoch, Partition: b.partition.Index, Sequence: old.Sequence}
 	if machine := state.Machines[record.Name]; machine != nil && machine.Origin == origin {
@@ -43,8 +43,8 @@
 	return record, deleted && tombstone == origin && state.logReferences[record.Name] > 1
 }
 
-// appendCarriedTasks appends the tasks of a run that no later entry holds. Of a run every
-// second task may be left, in as many runs.
+// appendCarriedTasks appends the tasks of a run that no later entry holds. They may be every
+// second task of the run, which then need a run each.
 func (b *entryBuilder) appendCarriedTasks(tasks []taskChange, old LogEntry, run records.TaskRun) []taskChange {
 	job := b.log.cluster.Jobs[run.Job]
 	if job == nil || job.Terminal || slices.Contains(b.commit.TerminalJobs, job) {
@@ -56,8 +56,8 @@
 			continue
 		}
 		generation := task.generation
-		if task.changed {
-			generation-- // what it became since is still to be committed
+		if task.uncommitted {
+			generation-- // the carried state is the one before the uncommitted change
 		}
 		tasks = append(tasks, taskChange{
 			job: job, index: index, generation: generation, record: task.Committed, sequence: 0,
@@ -66,7 +66,7 @@
 	return tasks
 }
 
-// encodedSizeOf returns how many bytes tasks take in an entry, joined to runs.
+// encodedSizeOf returns how many bytes tasks take in an entry when they are joined into runs.
 func encodedSizeOf(tasks []taskChange) int {
 	size := 0
 	last := records.TaskRun{}
--- a/internal/cluster/failures.go
+++ b/internal/cluster/failures.go
@@ -9,56 +9,57 @@
 	"spurmoor/internal/micros"
 )
 
-// A task that fails says that its job or its machine is at fault, not which of the two.
-// This file tells them apart: a job of which a task was ever done is sound, so its
-// failures are the machine's. Until then a job that failed on one machine alone speaks
-// against that machine. One that failed on several says little: only several such jobs in
-// a row speak against the machine.
+// The failure of a task shows that its job or its machine is at fault, but not which of the
+// two. This file attributes failures. A job with a task that was done works, so its failures
+// are attributed to the machine. Until one is done, a failure of a job that has failed on only
+// one machine is attributed to that machine. A job that failed on several machines is weak
+// evidence: only several such jobs in a row are attributed to the machine.
 
 const (
-	// quarantineAfterFaults is how many failures of its own quarantine a machine.
+	// quarantineAfterFaults is how many failures attributed to a machine quarantine it.
 	quarantineAfterFaults = 2
-	// quarantineAfterJobs is how many jobs that failed elsewhere as well, with nothing
-	// done in between, quarantine it too.
+	// quarantineAfterJobs is how many failures quarantine a machine if jobs that also failed
+	// elsewhere count as well. A task that is done on the machine resets the count.
 	quarantineAfterJobs = 3
-	// suspectAfterMachines is on how many machines a job has failed when it is taken for
-	// one that fails wherever it runs.
+	// suspectAfterMachines is on how many machines a job must have failed to be considered as
+	// failing on every machine.
 	suspectAfterMachines = 3
-	// minBackoff and maxBackoff bound the time between two tries of a suspect job, and
-	// backoffGrowth is how many times as long each wait is as the last.
+	// minBackoff and maxBackoff bound the time between two attempts of a suspect job.
+	// backoffGrowth is the factor by which each wait is longer than the last.
 	minBackoff    = 4 * micros.Second
 	maxBackoff    = 60 * micros.Second
 	backoffGrowth = 2
-	// deprioritizedFor is for how long after its last failure a suspect job lets all
-	// others go first.
+	// deprioritizedFor is how long after its last failure a suspect job stays behind all other
+	// jobs.
 	deprioritizedFor = 120 * micros.Second
 )
 
-// FailureEvidence is what failures of tasks say against a machine, since the last task
-// that was done there.
-type FailureEvidence struct {
-	machineFaults int             // failures of jobs that are known to be sound
-	Unattributed  map[string]bool // other jobs that failed here, by id
+// MachineFailures holds the failures of tasks on a machine since a task was last done there.
+type MachineFailures struct {
+	faults       int             // failures of jobs that are known to work
+	Unattributed map[string]bool // ids of other jobs that failed on the machine
 }
 
-// TaskSucceeded records that a task was done: its job is sound, and the machine works.
-func (l *TaskLifecycle) TaskSucceeded(job *Job, machine *Machine) {
-	machine.Failures.machineFaults = 0
+// RecordSuccess records that a task was done on a machine, which shows that both its job and
+// the machine work. Earlier failures of the job are attributed to the machines it failed on.
+func (l *TaskLifecycle) RecordSuccess(job *Job, machine *Machine) {
+	machine.Failures.faults = 0
 	clear(machine.Failures.Unattributed)
 	job.Suspect = false
 	for _, name := range slices.Sorted(maps.Keys(job.FailedMachines)) {
 		failedOn := l.cluster.Machines[name]
 		if failedOn != nil && failedOn.Failures.Unattributed[job.ID] {
 			delete(failedOn.Failures.Unattributed, job.ID)
-			failedOn.Failures.machineFaults++
+			failedOn.Failures.faults++
 			l.quarantineIfFaulty(failedOn)
 		}
 	}
 	clear(job.FailedMachines)
 }
 
-// TaskFailed records that a task, named as in the protocol, failed on a machine.
-func (l *TaskLifecycle) TaskFailed(job *Job, machine *Machine, task string) {
+// RecordFailure records that a task failed on a machine; task is its name in the worker
+// protocol. It has no effect for a job that must not run.
+func (l *TaskLifecycle) RecordFailure(job *Job, machine *Machine, task string) {
 	if job.MustNotRun() {
 		return
 	}
@@ -66,7 +67,7 @@
 	job.lastFailureAt = l.Now
 	job.FailureCount++
 	if job.DoneTasks > 0 {
-		machine.Failures.machineFaults++
+		machine.Failures.faults++
 	} else {
 		machine.Failures.Unattributed[job.ID] = true
 	}
@@ -75,46 +76,47 @@
 		logkey.MachinesFailedOn, len(job.FailedMachines),
 	)
 	l.quarantineIfFaulty(machine)
-	if l.failsAnywhere(job) {
-		l.suspectJob(job)
+	if l.failsEverywhere(job) {
+		l.markSuspect(job)
 	}
 }
 
-// countEvidence counts the failures that speak against a machine itself, and the jobs that
-// failed there and elsewhere.
-func (l *TaskLifecycle) countEvidence(machine *Machine) (own, shared int) {
-	own = machine.Failures.machineFaults
+// countFailures returns the number of failures that are attributed to a machine, and the
+// number of jobs that failed both there and elsewhere.
+func (l *TaskLifecycle) countFailures(machine *Machine) (attributed, shared int) {
+	attributed = machine.Failures.faults
 	for id := range machine.Failures.Unattributed {
 		job := l.cluster.Jobs[id]
 		switch {
 		case job == nil:
-			delete(machine.Failures.Unattributed, id) // it has ended, and no task of it was done
+			delete(machine.Failures.Unattributed, id) // it has ended without a success
 		case job.Suspect || job.MustNotRun():
 		case len(job.FailedMachines) == 1 && job.FailedMachines[machine.Name]:
-			own++
+			attributed++
 		default:
 			shared++
 		}
 	}
-	return own, shared
+	return attributed, shared
 }
 
-// quarantineIfFaulty has a machine drained and scaled in once the failures on it are its
-// own.
+// quarantineIfFaulty quarantines a machine if enough failures are attributed to it. It is then
+// drained and scaled in.
 func (l *TaskLifecycle) quarantineIfFaulty(machine *Machine) {
-	own, shared := l.countEvidence(machine)
-	if machine.Quarantined || own < quarantineAfterFaults && own+shared < quarantineAfterJobs {
+	attributed, shared := l.countFailures(machine)
+	if machine.Quarantined || attributed < quarantineAfterFaults && attributed+shared < quarantineAfterJobs {
 		return
 	}
 	machine.Quarantined = true
 	l.LogInfo(
-		"machine quarantined", logkey.Machine, machine.Name, logkey.Failures, own,
+		"machine quarantined", logkey.Machine, machine.Name, logkey.Failures, attributed,
 		logkey.JobsFailedElsewhere, shared,
 	)
 }
 
-// suspectJob has a job that fails wherever it runs retried ever more rarely.
-func (l *TaskLifecycle) suspectJob(job *Job) {
+// markSuspect marks a job as failing on every machine and delays its next attempt, each time
+// for longer.
+func (l *TaskLifecycle) markSuspect(job *Job) {
 	l.LogInfo(
 		"job fails on every machine", logkey.Job, job.ID, logkey.Machines, len(job.FailedMachines),
 	)
@@ -124,9 +126,9 @@
 	clear(job.FailedMachines)
 }
 
-// soundMachinesFailedOn counts the machines on which a job failed that are not known to be
-// faulty.
-func (l *TaskLifecycle) soundMachinesFailedOn(job *Job) int {
+// healthyMachinesFailedOn returns the number of machines on which a job failed and which are
+// not quarantined.
+func (l *TaskLifecycle) healthyMachinesFailedOn(job *Job) int {
 	count := 0
 	for name := range job.FailedMachines {
 		if machine := l.cluster.Machines[name]; machine != nil && !machine.Quarantined {
@@ -136,33 +138,34 @@
 	return count
 }
 
-// failsAnywhere reports whether a job's failures are its own fault: none of its tasks was
-// ever done, it failed on three machines that nothing else shows to be faulty, and on more
-// than hold tasks of it that did not fail. Without the last two conditions, a gang of
-// eight that met one faulty machine at each of three attempts was put behind all others,
-// and started after ten minutes.
-func (l *TaskLifecycle) failsAnywhere(job *Job) bool {
-	machines := l.soundMachinesFailedOn(job)
+// failsEverywhere reports whether a job's failures are attributed to the job: none of its tasks
+// was ever done, it failed on at least three machines that are not known to be faulty, and
+// these are more than its placed tasks, which have not failed. Without the last two conditions,
+// a gang of eight that meets one faulty machine in each of three attempts is deprioritized and
+// starts only after ten minutes.
+func (l *TaskLifecycle) failsEverywhere(job *Job) bool {
+	machines := l.healthyMachinesFailedOn(job)
 	return machines >= suspectAfterMachines && machines > job.PlacedTasks && job.DoneTasks == 0
 }
 
-// Deprioritized reports whether a job that fails wherever it runs must let all others go
-// first. After two minutes it is tried once in its own turn.
-func (l *TaskLifecycle) Deprioritized(job *Job) bool {
+// IsDeprioritized reports whether a suspect job ranks behind all other jobs. Two minutes after
+// its last failure it is tried once in its regular rank.
+func (l *TaskLifecycle) IsDeprioritized(job *Job) bool {
 	return job.Suspect && l.Now < job.lastFailureAt+deprioritizedFor
 }
 
-// A scheduling cycle considers at least minTasksPerCycle tasks of an array, and one for
-// every machinesPerTask machines: the more machines there are, the rarer the cycles, and
+// A scheduling cycle considers at least minTasksPerCycle tasks of an array, or one for every
+// machinesPerTask machines if that is more. Cycles are rarer the more machines there are, and
 // one array should be able to keep all machines busy.
 const (
 	minTasksPerCycle = 500
 	machinesPerTask  = 4
 )
 
-// MaxTasksPerCycle bounds the tasks of a job that one scheduling cycle considers. A gang or
-// service is placed whole: with a bound, one of 600 tasks was placed by two cycles, and
-// what the first had placed held machines that waited for the second.
+// MaxTasksPerCycle returns how many tasks of a job one scheduling cycle considers at most. A
+// gang or service has no limit below its size: otherwise one of 600 tasks would be placed by
+// two cycles, and the tasks placed by the first would occupy machines while they wait for the
+// second.
 func (l *TaskLifecycle) MaxTasksPerCycle(job *Job) int {
 	if job.Spec.Kind != api.Array {
 		return job.Spec.Tasks
@@ -170,24 +173,24 @@
 	return max(minTasksPerCycle, len(l.cluster.Machines)/machinesPerTask)
 }
 
-// PlaceableTasks returns how many tasks of a job may be placed now. An array that failed on
-// several machines and of which nothing was done waits for those of its tasks that run; if
-// they fail too, it is tried with one task at a time. One submitted with a mistake once
-// filled 67 machines again and again, and had machines launched for it.
-func (l *TaskLifecycle) PlaceableTasks(job *Job) int {
+// PlaceableLimit returns how many tasks of a job may be placed now. An array that failed on
+// several machines and has no done task waits for its running tasks. If they fail too, it is
+// tried with one task at a time. Without this limit an array with a mistake fills all machines
+// again and again (67 in one case), and machines are launched for it.
+func (l *TaskLifecycle) PlaceableLimit(job *Job) int {
 	switch {
 	case job.Spec.Kind != api.Array:
 		return job.Spec.Tasks
 	case job.Suspect && job.PlacedTasks == 0:
 		return 1
-	case job.Suspect || l.awaitsEvidence(job):
+	case job.Suspect || l.awaitsRunningTasks(job):
 		return 0
 	}
 	return l.MaxTasksPerCycle(job)
 }
 
-// awaitsEvidence reports whether a job has failed so often that the rest of it waits for
-// the outcome of the tasks that run.
-func (l *TaskLifecycle) awaitsEvidence(job *Job) bool {
-	return job.PlacedTasks > 0 && job.DoneTasks == 0 && l.soundMachinesFailedOn(job) >= suspectAfterMachines
+// awaitsRunningTasks reports whether a job has failed on so many machines that its other tasks
+// wait for the outcome of the placed ones.
+func (l *TaskLifecycle) awaitsRunningTasks(job *Job) bool {
+	return job.PlacedTasks > 0 && job.DoneTasks == 0 && l.healthyMachinesFailedOn(job) >= suspectAfterMachines
 }
--- a/internal/cluster/gang.go
+++ b/internal/cluster/gang.go
@@ -5,11 +5,11 @@
 	"spurmoor/internal/records"
 )
 
-// IsReassembling reports whether a gang that lost tasks has not begun to run: those of
-// its tasks that wait keep their machines, and replacements with the same attempt
-// complete it.
+// IsReassembling reports whether a gang has placed tasks that all still wait for the rest of
+// it. If it lost tasks, the waiting ones keep their machines and replacements with the same
+// attempt number complete the gang.
 func (j *Job) IsReassembling() bool {
-	if j.Spec.Kind != api.Gang || j.DoneTasks > 0 || j.PlacedTasks == 0 || j.Cancelled || j.attemptSpoiled {
+	if j.Spec.Kind != api.Gang || j.DoneTasks > 0 || j.PlacedTasks == 0 || j.Cancelled || j.needsNewAttempt {
 		return false
 	}
 	for _, task := range j.knownTasks() {
@@ -20,7 +20,8 @@
 	return true
 }
 
-// awaitsGang reports whether a placed task of a gang is known to wait for the rest of it.
+// awaitsGang reports whether a placed task of a gang has reported that it waits for the rest
+// of the gang or still fetches its image.
 func (t *Task) awaitsGang() bool {
 	if !t.Observed || t.StopRequestedAt > 0 {
 		return false
@@ -28,8 +29,8 @@
 	return t.ReportedState == api.TaskFetching || t.ReportedState == api.TaskWaiting
 }
 
-// isBroken reports whether a gang lost a task while it ran: the rest must be gone before
-// it starts again.
+// isBroken reports whether a gang lost a task while it ran. The remaining tasks must stop
+// before the gang starts again.
 func (j *Job) isBroken() bool {
 	if j.Spec.Kind != api.Gang || j.StartUncommitted || j.IsReassembling() {
 		return false
@@ -37,7 +38,8 @@
 	return j.DoneTasks == 0 && j.PlacedTasks > 0 && j.PlacedTasks < j.Spec.Tasks
 }
 
-// isPlacedWhole reports whether all of a gang is placed and that is committed.
+// isPlacedWhole reports whether all tasks of a gang are placed or done and all that is
+// committed.
 func (j *Job) isPlacedWhole() bool {
-	return j.PlacedTasks+j.DoneTasks == j.Spec.Tasks && j.ChangedTasks == 0
+	return j.PlacedTasks+j.DoneTasks == j.Spec.Tasks && j.UncommittedTasks == 0
 }
--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -6,72 +6,72 @@
 	"spurmoor/internal/scheduler"
 )
 
-// ChunkSize is how many tasks of a job are kept together in memory. A chunk is made when
-// something is first known of one of its tasks: most arrays wait for long.
-const ChunkSize = 128
+// TasksPerChunk is the number of tasks in a chunk, the unit in which tasks of a job are
+// allocated. A chunk is allocated when one of its tasks first changes, since most arrays wait
+// for a long time.
+const TasksPerChunk = 128
 
 // Job is an unfinished job.
 type Job struct {
-	// What was submitted, and its record in the store. Written as the record is applied,
-	// by core.
+	// The submission and its record in the store. Written by core when it applies the record.
 	ID         string
 	Spec       api.Job
-	Request    scheduler.Resources // of one task
+	Request    scheduler.Resources // resources of one task
 	AcceptedAt micros.Micros
 	Version    api.Revision // of its key in the store
 	Partition  int
 
-	// Cancellation. Cancelled is written as the record is applied and by the dependency
+	// Cancellation. Cancelled is written when the record is applied and by the dependency
 	// graph, CancelledElsewhere by core, StopRequiredSince by State.
-	Cancelled bool // by its user, or with a job that it depends on
-	// CancelledElsewhere says that another controller notified its user that the job is
-	// cancelled, which the store does not show yet.
+	Cancelled bool // by its user, or because a job that it depends on was cancelled
+	// CancelledElsewhere reports whether another controller has told the user that the job is
+	// cancelled, while the store does not show that yet.
 	CancelledElsewhere bool
-	// StopRequiredSince is since when, at the earliest, its tasks must not run; 0: they
-	// may.
+	// StopRequiredSince is the earliest time from which the job's tasks must not run; 0 means
+	// that they may run.
 	StopRequiredSince micros.Micros
 
-	// Tasks and the counts of them. Written by State.
-	Chunks       map[int][]Task // by index / ChunkSize
-	PlacedTasks  int
-	DoneTasks    int
-	ChangedTasks int            // to be committed
-	TasksPerZone map[string]int // of those placed
+	// Tasks and their counts. Written by State.
+	Chunks           map[int][]Task // by index / TasksPerChunk
+	PlacedTasks      int
+	DoneTasks        int
+	UncommittedTasks int            // tasks with uncommitted changes
+	TasksPerZone     map[string]int // placed tasks by zone
 
-	// Its end. Written by the partition log.
-	endedAt  micros.Micros // when its terminal state was first due; 0: it is not
-	Terminal bool          // its terminal state is committed, its key still in the replica
+	// The end of the job. Written by the partition log.
+	endedAt  micros.Micros // when its terminal state was first due; 0: not due
+	Terminal bool          // its terminal state is committed, but the replica still has its key
 
-	// Dependencies. The list is written as the record is applied, the rest by the
+	// Dependencies. The list is written when the record is applied, the rest by the
 	// dependency graph.
-	Dependencies        []string // jobs that must be done first
-	PendingDependencies int      // of those not done, or not known to be
-	UnknownDependencies int      // of those that have ended, it is not known how
+	Dependencies        []string // ids of jobs that must be done first
+	PendingDependencies int      // dependencies that are not done or not known to be
+	UnknownDependencies int      // dependencies that have ended with an unknown outcome
 	DependencyCancelled bool
 	dependenciesDoneAt  micros.Micros // when the last of them was done
 
 	// Failures of its tasks. Written by the task lifecycle.
-	FailedMachines map[string]bool // names of machines that it failed on
-	FailureCount   int             // seen by this controller
-	Suspect        bool            // fails wherever it runs: submitted with a mistake
+	FailedMachines map[string]bool // names of the machines that its tasks failed on
+	FailureCount   int             // failures seen by this controller
+	Suspect        bool            // fails on every machine, probably because of a mistake in it
 	lastFailureAt  micros.Micros
-	backoff        micros.Micros // the last wait between two tries while suspect
-	NotBefore      micros.Micros // not to be placed before
+	backoff        micros.Micros // last wait between two attempts while suspect
+	NotBefore      micros.Micros // the job is not placed before
 
-	// The start of a gang. StartUncommitted is written by planning, the partition log and
-	// State, attemptSpoiled by the task lifecycle and State.
-	StartUncommitted bool // its start is being committed
-	attemptSpoiled   bool // a task of this attempt has exited: it must not be used again
+	// Start of a gang. StartUncommitted is written by planning, the partition log and State,
+	// needsNewAttempt by the task lifecycle and State.
+	StartUncommitted bool // its start is not committed yet
+	needsNewAttempt  bool // a task of this attempt has exited: the number must not be used again
 
 	// Reservations. Written by planning.
 	ReservedSince       micros.Micros // since when machines are reserved for it; 0: none are
-	NoReservationBefore micros.Micros // it had a reservation and did not start in time
+	NoReservationBefore micros.Micros // set after a reservation in which it did not start in time
 }
 
-// ChunkIndexes lists the chunks of tasks that were made, in order.
+// ChunkIndexes returns the indexes of the allocated chunks of tasks, in order.
 func (j *Job) ChunkIndexes() []int {
 	var list []int
-	for chunk := 0; chunk*ChunkSize < j.Spec.Tasks; chunk++ {
+	for chunk := 0; chunk*TasksPerChunk < j.Spec.Tasks; chunk++ {
 		if j.Chunks[chunk] != nil {
 			list = append(list, chunk)
 		}
@@ -79,14 +79,15 @@
 	return list
 }
 
-// knownTasks yields the tasks of the chunks that were made, in order, with their indexes.
-// It is an iter.Seq2, spelt out since the state machine's imports are kept few.
+// knownTasks returns an iterator over the tasks of the allocated chunks, in order, with their
+// indexes. Its type is that of an iter.Seq2, written out to keep the imports of the state
+// machine few.
 func (j *Job) knownTasks() func(yield func(int, *Task) bool) {
 	return func(yield func(int, *Task) bool) {
 		for _, chunk := range j.ChunkIndexes() {
 			tasks := j.Chunks[chunk]
 			for i := range tasks {
-				if !yield(chunk*ChunkSize+i, &tasks[i]) {
+				if !yield(chunk*TasksPerChunk+i, &tasks[i]) {
 					return
 				}
 			}
@@ -94,57 +95,60 @@
 	}
 }
 
-// EnsureTask returns a task, made if nothing about it was known.
+// EnsureTask returns a task. It allocates the task's chunk if necessary, in which new tasks
+// are pending.
 func (j *Job) EnsureTask(index int) *Task {
-	chunk := index / ChunkSize
+	chunk := index / TasksPerChunk
 	if j.Chunks[chunk] == nil {
-		j.Chunks[chunk] = make([]Task, min(ChunkSize, j.Spec.Tasks-chunk*ChunkSize))
+		j.Chunks[chunk] = make([]Task, min(TasksPerChunk, j.Spec.Tasks-chunk*TasksPerChunk))
 	}
-	return &j.Chunks[chunk][index%ChunkSize]
+	return &j.Chunks[chunk][index%TasksPerChunk]
 }
 
-// Task returns a task, or nil where nothing about it was ever decided.
+// Task returns a task, or nil if its chunk is not allocated or index is past the last task. A
+// task without a chunk is pending.
 func (j *Job) Task(index int) *Task {
 	if index >= j.Spec.Tasks {
 		return nil
 	}
-	if tasks := j.Chunks[index/ChunkSize]; tasks != nil {
-		return &tasks[index%ChunkSize]
+	if tasks := j.Chunks[index/TasksPerChunk]; tasks != nil {
+		return &tasks[index%TasksPerChunk]
 	}
 	return nil
 }
 
-// IsCommitted reports whether all that is decided of a task is committed.
+// IsCommitted reports whether a task has no uncommitted change.
 func (j *Job) IsCommitted(index int) bool {
 	task := j.Task(index)
-	return task == nil || !task.changed
+	return task == nil || !task.uncommitted
 }
 
-// Placeable lists the indexes of tasks that may be placed now, at most limit of them; of
-// a gang all.
+// Placeable returns the indexes of tasks that may be placed now: at most limit of them, or
+// all for a gang.
 func (j *Job) Placeable(now micros.Micros, limit int) []int {
 	var list []int
-	for chunk := 0; chunk*ChunkSize < j.Spec.Tasks; chunk++ {
+	for chunk := 0; chunk*TasksPerChunk < j.Spec.Tasks; chunk++ {
 		tasks := j.Chunks[chunk]
-		end := min(j.Spec.Tasks, (chunk+1)*ChunkSize)
-		for index := chunk * ChunkSize; index < end; index++ {
+		end := min(j.Spec.Tasks, (chunk+1)*TasksPerChunk)
+		for index := chunk * TasksPerChunk; index < end; index++ {
 			if len(list) >= limit && j.Spec.Kind != api.Gang {
 				return list
 			}
-			if tasks == nil || tasks[index%ChunkSize].mayBePlaced(now) {
+			if tasks == nil || tasks[index%TasksPerChunk].mayBePlaced(now) {
 				list = append(list, index)
 			}
 		}
 	}
-	// A gang starts whole. But once one of its tasks is done all are, and what a lost
-	// machine could not report any more only has to be asked for again.
+	// All tasks of a gang start together. There are two exceptions: a gang that is
+	// reassembling, and a gang of which a task is done. In the latter all tasks are done, so
+	// tasks whose lost machines could not report it only have to be run again.
 	if j.Spec.Kind == api.Gang && len(list)+j.DoneTasks < j.Spec.Tasks && !j.IsReassembling() {
 		return nil
 	}
 	return list
 }
 
-// LastAttempt returns the highest attempt of any task.
+// LastAttempt returns the highest attempt number of any task, 0 if none was ever placed.
 func (j *Job) LastAttempt() api.Attempt {
 	var last api.Attempt
 	for _, task := range j.knownTasks() {
@@ -153,17 +157,19 @@
 	return last
 }
 
-// HasStarted reports whether some task was placed, so that all dependencies are done.
+// HasStarted reports whether a task is placed or done, which implies that all dependencies
+// are done.
 func (j *Job) HasStarted() bool { return j.PlacedTasks+j.DoneTasks > 0 }
 
-// EligibleAt is when the job could have started: its waiting time counts from there.
+// EligibleAt returns the time from which the job could have started. Its waiting time counts
+// from then on.
 func (j *Job) EligibleAt() micros.Micros { return max(j.AcceptedAt, j.dependenciesDoneAt) }
 
-// MustNotRun reports whether nothing of the job may run any more: it is cancelled, or
-// another controller says that it notified its user so.
+// MustNotRun reports whether no task of the job may run any more: the job is cancelled, or
+// another controller has told its user so.
 func (j *Job) MustNotRun() bool { return j.Cancelled || j.CancelledElsewhere }
 
-// isFinished reports whether the job is done, or cancelled and without tasks on machines.
+// isFinished reports whether the job is done, or is cancelled and has no placed tasks.
 func (j *Job) isFinished() bool {
 	if j.Cancelled {
 		return j.PlacedTasks == 0
@@ -171,7 +177,7 @@
 	return j.Spec.Kind != api.Service && j.DoneTasks == j.Spec.Tasks
 }
 
-// Status returns what users are shown of an unfinished job.
+// Status returns the status of an unfinished job as users see it.
 func (j *Job) Status() api.JobStatus {
 	state := api.JobPending
 	switch {
--- a/internal/cluster/job_test.go
+++ b/internal/cluster/job_test.go
@@ -16,7 +16,7 @@
 		name    string
 		kind    api.JobKind
 		prepare func(*State, *Job)
-		want    []int // of 4 tasks, at most 3
+		want    []int // of 4 tasks, with a limit of 3
 	}{
 		{"array that is new", api.Array, func(*State, *Job) {}, []int{0, 1, 2}},
 		{"array with tasks placed and done", api.Array, func(state *State, job *Job) {
@@ -46,35 +46,34 @@
 			job.Spec.Kind = tc.kind
 			tc.prepare(state, job)
 			if got := job.Placeable(now, 3); !slices.Equal(got, tc.want) {
-				t.Errorf("may be placed: %v, want %v", got, tc.want)
+				t.Errorf("got placeable tasks %v, want %v", got, tc.want)
 			}
 		})
 	}
 }
 
-// TestKnownTasks makes sure that tasks are listed in order, and only those of chunks that
-// were made.
+// TestKnownTasks checks that the iterator yields the tasks of allocated chunks only, in order.
 func TestKnownTasks(t *testing.T) {
 	t.Parallel()
-	const tasks = 3*ChunkSize + 1
+	const tasks = 3*TasksPerChunk + 1
 	job := addTestJob(t, newState(t, newEnvironment(t)), "wk-000001", tasks)
 	job.EnsureTask(tasks - 1).Attempt = 7
-	job.EnsureTask(ChunkSize).Attempt = 5
+	job.EnsureTask(TasksPerChunk).Attempt = 5
 	if chunks := job.ChunkIndexes(); !slices.Equal(chunks, []int{1, 3}) {
-		t.Fatalf("chunks %v", chunks)
+		t.Fatalf("got chunks %v, want [1 3]", chunks)
 	}
 	var indexes []int
 	for index, task := range job.knownTasks() {
 		indexes = append(indexes, index)
 		if task != job.Task(index) {
-			t.Errorf("task %d is another one", index)
+			t.Errorf("index %d: got another task, want that of job.Task", index)
 		}
 	}
-	if len(indexes) != ChunkSize+1 || indexes[0] != ChunkSize || indexes[ChunkSize] != tasks-1 || !slices.IsSorted(indexes) {
-		t.Errorf("listed %v", indexes)
+	if len(indexes) != TasksPerChunk+1 || indexes[0] != TasksPerChunk || indexes[TasksPerChunk] != tasks-1 || !slices.IsSorted(indexes) {
+		t.Errorf("got indexes %v, want all of chunk 1 and the last task, in order", indexes)
 	}
 	if job.LastAttempt() != 7 || job.Task(0) != nil || job.Task(tasks) != nil {
-		t.Errorf("last attempt %d, task 0 %v, past the end %v", job.LastAttempt(), job.Task(0), job.Task(tasks))
+		t.Errorf("got last attempt %d, task 0 %v and past the end %v, want 7, nil and nil", job.LastAttempt(), job.Task(0), job.Task(tasks))
 	}
 }
 
@@ -94,7 +93,7 @@
 	} {
 		got, ok := ParseTaskID(tc.name)
 		if ok != tc.ok || ok && (got != tc.want || got.String() != tc.name) {
-			t.Errorf("%q is read as %v, %t", tc.name, got, ok)
+			t.Errorf("ParseTaskID(%q): got %v, %t, want the result of the case", tc.name, got, ok)
 		}
 	}
 }
--- a/internal/cluster/log_entry_test.go
+++ b/internal/cluster/log_entry_test.go
@@ -7,9 +7,9 @@
 	"spurmoor/internal/records"
 )
 
-// changesOf returns what is logged of neighbouring tasks of a job that are placed, of which
-// every machine has as many as given.
-func changesOf(job *Job, tasks, perMachine int) []taskChange {
+// placedTaskChanges returns changes that place the first tasks of a job, perMachine of them on
+// each machine.
+func placedTaskChanges(job *Job, tasks, perMachine int) []taskChange {
 	var changes []taskChange
 	for index := range tasks {
 		machine := string(rune('a' + index/perMachine%26))
@@ -20,7 +20,7 @@
 	return changes
 }
 
-// joinRuns joins changes to runs, as an entry holds them.
+// joinRuns joins changes into runs, as an entry does.
 func joinRuns(changes []taskChange) []records.TaskRun {
 	var runs []records.TaskRun
 	for _, change := range changes {
@@ -33,8 +33,8 @@
 	return runs
 }
 
-// TestEncodedSizeOfTasks compares the size that tasks are counted with to what is written,
-// where runs grow to numbers of more digits.
+// TestEncodedSizeOfTasks compares the computed size of tasks with the encoded size. Some runs
+// grow to numbers with more digits.
 func TestEncodedSizeOfTasks(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
@@ -52,20 +52,20 @@
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			job := addTestJob(t, newState(t, newEnvironment(t)), "wk-000001", 2000)
-			changes := changesOf(job, tc.tasks, tc.perMachine)
+			changes := placedTaskChanges(job, tc.tasks, tc.perMachine)
 			runs := joinRuns(changes)
 			written := 0
 			for _, run := range runs {
 				written += len(records.MustMarshal(run)) + len(",")
 			}
 			if got := encodedSizeOf(changes); len(runs) != tc.runs || got != written {
-				t.Errorf("%d runs of %d bytes, counted as %d bytes; want %d runs", len(runs), written, got, tc.runs)
+				t.Errorf("got %[1]d runs and a size of %[3]d bytes, want %[4]d runs and %[2]d bytes", len(runs), written, got, tc.runs)
 			}
 		})
 	}
 }
 
-// TestTaskExtendsRun lists what keeps a task from joining the run before it.
+// TestTaskExtendsRun checks which differences keep a task from joining the run before it.
 func TestTaskExtendsRun(t *testing.T) {
 	t.Parallel()
 	run := records.TaskRun{Job: "wk-000001", First: 3, Tasks: 2, State: records.TaskPlaced, Attempt: 1, Machine: "n-1"}
@@ -86,13 +86,13 @@
 	} {
 		change := taskChange{job: &Job{ID: tc.job}, index: tc.index, record: tc.record}
 		if got := change.extends(run); got != tc.want {
-			t.Errorf("%s: %t, want %t", tc.name, got, tc.want)
+			t.Errorf("%s: got extends %t, want %t", tc.name, got, tc.want)
 		}
 	}
 }
 
-// TestEntriesWithinLimit fills entries until there may be no more, and makes sure that none
-// is larger than it may be and that all of each is counted.
+// TestEntriesWithinLimit fills entries up to the maximum number of entries. It checks that no
+// entry exceeds the size limit and that the computed size of each entry is exact.
 func TestEntriesWithinLimit(t *testing.T) {
 	t.Parallel()
 	state := newState(t, newEnvironment(t))
@@ -101,13 +101,13 @@
 	const limit, maxEntries = 500, 3
 	builder := &entryBuilder{
 		log: &PartitionLog{cluster: state}, partition: state.Partitions[0], commit: commit,
-		maxEntries: maxEntries, entryLimit: limit, included: map[*Task]bool{},
+		maxEntries: maxEntries, maxEntryBytes: limit, included: map[*Task]bool{},
 	}
 	if !builder.openEntry() {
-		t.Fatal("no first entry")
+		t.Fatal("opening the first entry: got false, want true")
 	}
 	added := 0
-	for _, change := range changesOf(job, 2000, 1) {
+	for _, change := range placedTaskChanges(job, 2000, 1) {
 		if !builder.reserveSpace(change.encodedSize()) {
 			break
 		}
@@ -117,19 +117,25 @@
 		for _, run := range builder.lastEntry().Runs {
 			size += len(records.MustMarshal(run)) + len(",")
 		}
-		if size != commit.lastEntrySize || size > limit {
-			t.Fatalf("after %d tasks the last entry has %d bytes, counted as %d", added, size, commit.lastEntrySize)
+		if size != commit.lastEntryBytes || size > limit {
+			t.Fatalf(
+				"%d tasks: got %d bytes in the last entry, want at most 500; got %d bytes counted, want the same",
+				added, size, commit.lastEntryBytes,
+			)
 		}
 	}
 	if len(commit.Entries) != maxEntries || added == 2000 || added != len(commit.tasks) {
-		t.Fatalf("%d entries of %d tasks, %d of them to be noted", len(commit.Entries), added, len(commit.tasks))
+		t.Fatalf(
+			"got %d entries, want 3; got %d tasks added, want below 2000; got %d to commit, want as many",
+			len(commit.Entries), added, len(commit.tasks),
+		)
 	}
 	for i, entry := range commit.Entries {
-		if size := len(entry.value()); size > limit+entryOverheadBytes {
-			t.Errorf("entry %d takes %d bytes", i, size)
+		if size := len(entry.encode()); size > limit+maxEntryOverheadBytes {
+			t.Errorf("entry %d: got %d bytes, want at most the size limit and the overhead", i, size)
 		}
 	}
 	if builder.reserveSpace(limit + 1) {
-		t.Error("space for more than an entry may have")
+		t.Error("reserving more than the size limit of an entry: got true, want false")
 	}
 }
--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -9,15 +9,16 @@
 	"spurmoor/internal/scheduler"
 )
 
-// RecordOrigin says which record in which log is the latest of a machine.
+// RecordOrigin identifies the record of a machine that is applied: its epoch, and the log
+// entry that holds it.
 type RecordOrigin struct {
 	Epoch     uint64
 	Partition int
 	Sequence  uint64 // of the log entry
 }
 
-// supersededBy reports whether a record of another origin, which names a partition as the
-// machine's, is newer.
+// supersededBy reports whether a record of another origin is the same or newer.
+// namedPartition is the partition that the other record assigns the machine to.
 func (o RecordOrigin) supersededBy(other RecordOrigin, namedPartition int) bool {
 	switch {
 	case other.Epoch != o.Epoch:
@@ -28,118 +29,119 @@
 	return other.Partition == namedPartition
 }
 
-// noPartition is the MoveToPartition of a machine that is to stay where it is.
+// noPartition is the MoveToPartition of a machine that stays in its partition.
 const noPartition = -1
 
-// Machine is a machine that has a record.
+// Machine is a machine that has a record in the store.
 type Machine struct {
-	// Its record. Written by the registry, MachineType by the catalog as well.
+	// The machine's record. Written by the registry, MachineType also by the catalog.
 	Name        string
-	Record      records.MachineRecord // MinToken is never 0 here
+	Record      records.Machine // MinToken is never 0 here
 	Origin      RecordOrigin
-	MachineType *api.MachineType // nil: of a type that the catalog does not have
+	MachineType *api.MachineType // nil: the catalog does not have the type
 
-	// The change of its record that waits or is being committed. Written by State, the
+	// The requested change of the record, until it is committed. Written by State, the
 	// registry and the partition log.
 	PendingChange RecordChangeKind
-	transferTo    int // partition that a pending transfer takes it to
-
-	// Tasks placed on it. Written by State, IdleSince by reconciliation in core as well.
-	Allocated    scheduler.Resources
-	TaskIDs      []TaskID        // in order
-	DepartedJobs map[string]bool // jobs whose tasks left, perhaps not committed yet
-	IdleSince    micros.Micros   // since when it has no tasks
-
-	// How it was launched and came up. Written by State and reconciliation in core;
-	// LaunchedAt and Address also by provisioning, from the cloud's list.
-	LaunchedAt             micros.Micros // by our own clock
-	AwaitingHeartbeatSince micros.Micros // since when we wait for its first heartbeat to us
-	FirstHeartbeatAt       micros.Micros // 0: not up yet
+	transferTo    int // target partition of a pending transfer
+
+	// Tasks placed on the machine. Written by State, IdleSince also by reconciliation in
+	// core.
+	Allocated           scheduler.Resources
+	TaskIDs             []TaskID        // sorted
+	UncommittedRemovals map[string]bool // ids of jobs whose tasks were removed, which may be uncommitted
+	IdleSince           micros.Micros   // since when it has no tasks
+
+	// Launch and boot. Written by State and reconciliation in core; LaunchedAt and Address
+	// also by provisioning, from the cloud's list.
+	LaunchedAt             micros.Micros // by this controller's clock
+	AwaitingHeartbeatSince micros.Micros // since when its first heartbeat to this controller is awaited
+	FirstHeartbeatAt       micros.Micros // 0: none yet
 	Address                string        // of its worker
 
-	// What its worker reported. Written by reconciliation in core; the registry and State
-	// take TokenConfirmed back.
+	// What the machine's worker reported. Written by reconciliation in core; the registry and
+	// State reset TokenConfirmed.
 	Incarnation       api.Incarnation // of the worker's process
 	HeartbeatSequence uint64          // of the last heartbeat applied; counts within an incarnation
-	TokenConfirmed    bool            // it reported with our fencing token
+	TokenConfirmed    bool            // the worker reported with the current fencing token
 	ReportedTasks     []api.TaskStatus
-	CachedImages      []cachedImage // the latest used last; written by the task lifecycle as well
-	InterruptionAt    micros.Micros // spot instance taken away at about this time; 0: no notice
+	CachedImages      []cachedImage // least recently used first; also written by the task lifecycle
+	InterruptionAt    micros.Micros // announced interruption of a spot instance; 0: none announced
 
-	// Signs of life and the lease that we grant its worker. Written by the heartbeat
-	// handler and reconciliation in core, and by State after a failover.
-	LastSeenAt      micros.Micros // last heard from in any way
-	LastHeartbeatAt micros.Micros // without heartbeats its lease expires, whatever else is heard
-	LeaseExpiresAt  micros.Micros // unless we answer another heartbeat
+	// Contact with the worker and the lease that this controller grants it. Written by the
+	// heartbeat handler and reconciliation in core, and by State after a failover.
+	LastSeenAt      micros.Micros // last contact of any kind
+	LastHeartbeatAt micros.Micros // only heartbeats renew the lease
+	LeaseExpiresAt  micros.Micros // unless another heartbeat is answered
 
-	// Commands sent to its worker directly or with answers to heartbeats. Written by
+	// Commands sent to the worker directly or with answers to heartbeats. Written by
 	// planning, and by core as the worker answers; NextCommandAt by every component that
-	// has something to tell the worker.
-	NextCommandAt   micros.Micros // when it is to be sent a direct command, if there is any
-	CommandInFlight bool
-	lastCommands    []api.Command // by the last answer to a heartbeat
-	IgnoringSince   micros.Micros // since when it has to be sent the same again; 0: it obeys
-	// HighestStartToken is the highest fencing token of a direct start that we sent there.
+	// has commands for the worker.
+	NextCommandAt         micros.Micros // when to send the next direct command, if there is any
+	CommandInFlight       bool
+	lastCommands          []api.Command // sent with the last answer to a heartbeat
+	IgnoringCommandsSince micros.Micros // since when the same commands have to be repeated; 0: it obeys
+	// HighestStartToken is the highest fencing token of the direct starts sent to the worker.
 	HighestStartToken api.FencingToken
-	// StartOutcomeUnknown says that a direct start had no answer: a token higher than its
-	// own is needed.
+	// StartOutcomeUnknown reports whether a direct start was not answered. The next token
+	// must then be higher than that of the start.
 	StartOutcomeUnknown bool
 
-	// Failures of tasks on it. Written by the task lifecycle.
-	Failures    FailureEvidence
-	Quarantined bool // fails what it is given: drained and scaled in
+	// Failures of tasks on the machine. Written by the task lifecycle.
+	Failures    MachineFailures
+	Quarantined bool // tasks fail because of the machine: it is drained and scaled in
 
-	// The job that it is being emptied for, whose tasks alone may be placed here. Written
-	// by planning.
-	ClaimedBy       string // id; empty: nobody's
+	// The job that the machine is drained for. Only tasks of that job may be placed on it.
+	// Written by planning.
+	ClaimedBy       string // job id; empty: no claim
 	ClaimExpiresAt  micros.Micros
 	ClaimGuaranteed bool // the claim is within a team's guaranteed quota
 
-	// Its move to another partition. Written by planning, and by State after a failover.
-	MoveToPartition int  // partition that gets it once it is empty; -1: none
+	// Planned move to another partition. Written by planning, and by State after a failover.
+	MoveToPartition int  // partition to transfer it to once it is empty; noPartition: none
 	PreemptForMove  bool // its tasks are preempted for the move
 
-	// Its deletion in the cloud. Written by provisioning.
+	// Deletion in the cloud. Written by provisioning.
 	DeleteSent      bool
 	DeleteConfirmed bool
 }
 
-// RecordChangeKind is a change of a machine's record.
+// RecordChangeKind is a kind of change of a machine's record.
 type RecordChangeKind int
 
-// Changes of a machine's record.
+// Kinds of changes of a machine's record.
 const (
-	// NoRecordChange is that nothing is to change.
+	// NoRecordChange means that no change is requested.
 	NoRecordChange RecordChangeKind = iota
-	// condemnRecord has the machine deleted and never used again.
-	condemnRecord
-	// DropRecord deletes the record of a machine that is gone.
-	DropRecord
-	// transferRecord takes the machine to another partition.
+	// markRecordForDeletion marks the machine for deletion: it is never used again.
+	markRecordForDeletion
+	// DeleteRecord deletes the record of a machine that no longer exists.
+	DeleteRecord
+	// transferRecord moves the machine to another partition.
 	transferRecord
-	// RaiseToken raises the lowest token that the machine's worker may obey.
+	// RaiseToken raises the lowest fencing token that the machine's worker may obey.
 	RaiseToken
-	// CopyRecord copies the record into our log from that of the partition that the
-	// machine came from.
+	// CopyRecord copies the record of a transferred machine from the log of its former
+	// partition into the log of its new one.
 	CopyRecord
 )
 
-// RecordChangePending reports whether a change of the record waits or is being committed.
+// RecordChangePending reports whether a change of the record is requested and not committed.
 func (m *Machine) RecordChangePending() bool { return m.PendingChange != NoRecordChange }
 
-// cachedImage is a container image that a machine keeps.
+// cachedImage is a container image in a machine's local cache.
 type cachedImage struct {
 	Name   string
 	sizeGB float64
 }
 
-// TaskIDsCopy lists the tasks placed here, for loops that change them.
+// TaskIDsCopy returns a copy of TaskIDs, for loops that place or remove tasks.
 func (m *Machine) TaskIDsCopy() []TaskID {
 	return slices.Clone(m.TaskIDs)
 }
 
-// CacheImage notes that an image is used on the machine. The images used longest ago are
-// evicted, as far as the machine's cache does not hold them all.
+// CacheImage records that an image was used on the machine. It evicts the least recently
+// used images that do not fit into the machine's cache.
 func (m *Machine) CacheImage(name string, sizeGB float64) {
 	m.CachedImages = slices.DeleteFunc(m.CachedImages, func(image cachedImage) bool { return image.Name == name })
 	m.CachedImages = append(m.CachedImages, cachedImage{Name: name, sizeGB: sizeGB})
@@ -156,25 +158,26 @@
 	}
 }
 
-// AllTasksEnded reports whether the worker shows nothing but ended tasks.
+// AllTasksEnded reports whether every task in the worker's last report has exited.
 func (m *Machine) AllTasksEnded() bool {
 	return !slices.ContainsFunc(m.ReportedTasks, func(task api.TaskStatus) bool { return task.State != api.TaskExited })
 }
 
-// TrackRepeatedCommands notes whether a worker obeys its commands: one whose heartbeats
-// arrive while answers and commands do not reach it has to be sent the same again.
+// TrackRepeatedCommands sets IgnoringCommandsSince from the commands that now answer a
+// heartbeat. If heartbeats arrive but answers and commands do not reach the worker, the same
+// commands have to be sent again.
 func (m *Machine) TrackRepeatedCommands(now micros.Micros, commands []api.Command) {
 	switch {
 	case !slices.ContainsFunc(commands, m.isRepeated):
-		m.IgnoringSince = 0
-	case m.IgnoringSince == 0:
-		m.IgnoringSince = now
+		m.IgnoringCommandsSince = 0
+	case m.IgnoringCommandsSince == 0:
+		m.IgnoringCommandsSince = now
 	}
 	m.lastCommands = commands
 }
 
-// isRepeated reports whether the last answer had the same command. Stops do not count: they
-// are repeated until the task has exited.
+// isRepeated reports whether the last answer held the same command. Stop commands do not
+// count: they are repeated until the task has exited.
 func (m *Machine) isRepeated(command api.Command) bool {
 	if command.Op == api.CommandStop {
 		return false
@@ -184,7 +187,7 @@
 	})
 }
 
-// IsNewer reports whether a heartbeat was sent after the last one that was applied.
+// IsNewer reports whether a heartbeat was sent after the last one applied.
 func (m *Machine) IsNewer(heartbeat *api.Heartbeat) bool {
 	if heartbeat.Incarnation == m.Incarnation {
 		return heartbeat.Sequence > m.HeartbeatSequence
--- a/internal/cluster/machine_registry.go
+++ b/internal/cluster/machine_registry.go
@@ -8,17 +8,17 @@
 	"spurmoor/internal/records"
 )
 
-// recordCycleDelay is how soon a scheduling cycle runs once a machine's record has changed,
-// so that one cycle covers several changes.
+// recordCycleDelay is how soon a scheduling cycle runs after a machine's record has changed.
+// It lets one cycle cover several changes.
 const recordCycleDelay = micros.Second / 5
 
 // machineTypes is the catalog of the cloud's machine types.
 type machineTypes interface {
-	// TypeNamed returns the type of a name; nil: it is not known.
+	// TypeNamed returns the machine type of that name, or nil if it is not known.
 	TypeNamed(name string) *api.MachineType
 }
 
-// MachineRegistry applies machines' records to the replica, and requests changes of them.
+// MachineRegistry applies machine records to the replica and requests changes of them.
 type MachineRegistry struct {
 	*coordination.Environment
 	types     machineTypes
@@ -28,7 +28,8 @@
 	trigger   *CycleTrigger
 }
 
-// NewMachineRegistry returns a machine registry.
+// NewMachineRegistry returns a machine registry that applies records to cluster. It looks up
+// machine types in types.
 func NewMachineRegistry(
 	env *coordination.Environment, types machineTypes, cluster *State,
 	deletions *DeletionLog, tasks *TaskLifecycle, trigger *CycleTrigger,
@@ -39,17 +40,17 @@
 	}
 }
 
-// ApplyMachineRecord applies a machine's record, written at a revision of the store,
-// unless a newer one is known.
-func (r *MachineRegistry) ApplyMachineRecord(record records.MachineRecord, origin RecordOrigin, revision api.Revision) {
+// ApplyRecord applies a machine's record that was written at a revision of the store. It
+// ignores a record that is older than the known one.
+func (r *MachineRegistry) ApplyRecord(record records.Machine, origin RecordOrigin, revision api.Revision) {
 	machine := r.cluster.Machines[record.Name]
-	if !r.isNews(machine, record, origin) {
+	if !r.shouldApply(machine, record, origin) {
 		return
 	}
 	if record.Deleted {
 		r.cluster.setTombstone(record.Name, origin)
 		if machine != nil {
-			r.removeMachine(machine)
+			r.applyDeletion(machine)
 		}
 		return
 	}
@@ -63,17 +64,17 @@
 	case transferred:
 		r.cluster.ResetObservations(machine)
 	case tokenRaised && machine.TokenConfirmed:
-		// The worker is notified at once: it would report a new token late, and until then
-		// nothing that it says counts as a sign of life.
+		// Send the new token at once. Otherwise the worker would report with it only later, and
+		// until then its messages do not count as contact.
 		machine.TokenConfirmed = false
 		machine.NextCommandAt = r.Now
 	}
-	r.trigger.RequestCycleWithin(recordCycleDelay)
+	r.trigger.RequestWithin(recordCycleDelay)
 }
 
-// isNews reports whether a record names a partition that there is, and is newer than what
-// is known of its machine, which is nil if the replica has none of that name.
-func (r *MachineRegistry) isNews(machine *Machine, record records.MachineRecord, origin RecordOrigin) bool {
+// shouldApply reports whether a record names an existing partition and is not older than the
+// known record or tombstone of its machine. machine is nil if the replica does not have it.
+func (r *MachineRegistry) shouldApply(machine *Machine, record records.Machine, origin RecordOrigin) bool {
 	known, ok := r.cluster.tombstones[record.Name]
 	if machine != nil {
 		known, ok = machine.Origin, true
@@ -84,10 +85,10 @@
 	return record.Partition >= 0 && record.Partition < len(r.cluster.Partitions)
 }
 
-// replaceRecord gives a machine a newer record, and reports whether that raises its lowest
-// token. The token never falls, whatever the record says.
+// replaceRecord sets a machine's record and reports whether that raises its minimum token.
+// The token never decreases, whatever the record holds.
 func (r *MachineRegistry) replaceRecord(
-	machine *Machine, record records.MachineRecord, origin RecordOrigin, revision api.Revision,
+	machine *Machine, record records.Machine, origin RecordOrigin, revision api.Revision,
 ) (tokenRaised bool) {
 	previous := machine.Record.MinToken
 	minToken := max(previous, record.MinToken)
@@ -100,32 +101,36 @@
 	return minToken > previous
 }
 
-// removeMachine drops a machine whose record is deleted: all on it is proven gone.
-func (r *MachineRegistry) removeMachine(machine *Machine) {
+// applyDeletion removes a machine whose record was deleted. The record is deleted only after
+// all tasks on the machine are proven gone.
+func (r *MachineRegistry) applyDeletion(machine *Machine) {
 	for _, id := range machine.TaskIDsCopy() {
-		r.cluster.countOnMachine(r.cluster.Jobs[id.Job], id.Index, machine, -1)
+		r.cluster.updateMachineCounts(r.cluster.Jobs[id.Job], id.Index, machine, -1)
 	}
-	r.cluster.forgetMachine(machine)
-	r.deletions.RecordDeletion(machine.Name)
-	r.tasks.ReleaseTasksWithoutMachine()
+	r.cluster.removeMachine(machine)
+	r.deletions.Record(machine.Name)
+	r.tasks.ReleaseWithoutMachine()
 }
 
-// ScaleIn marks a machine for deletion: from then on it is never used again, whoever
-// leads its partition.
+// ScaleIn requests that a machine is marked for deletion. Once that is committed, no leader
+// of its partition uses the machine again. It has no effect while another change of the
+// record is pending.
 func (r *MachineRegistry) ScaleIn(machine *Machine, reason string) {
-	if machine.RecordChangePending() || machine.Record.Condemned {
+	if machine.RecordChangePending() || machine.Record.MarkedForDeletion {
 		return
 	}
 	r.LogInfo(
 		"machine scaled in", logkey.Machine, machine.Name, logkey.Type, machine.Record.Type, logkey.Reason, reason,
 		logkey.Tasks, len(machine.TaskIDs), logkey.AgeS, (r.Now - machine.LaunchedAt).WholeSeconds(),
 	)
-	r.cluster.RequestRecordChange(machine, condemnRecord)
+	r.cluster.RequestRecordChange(machine, markRecordForDeletion)
 }
 
-// TransferMachine moves an empty machine to another partition.
-func (r *MachineRegistry) TransferMachine(machine *Machine, newPartition int) {
-	if machine.RecordChangePending() || machine.Record.Condemned || !r.cluster.IsEmptyAndCommitted(machine) {
+// Transfer requests that an empty machine moves to another partition. It has no effect if
+// the machine is not empty, is marked for deletion or has a pending change of its record, or
+// if there is no such other partition.
+func (r *MachineRegistry) Transfer(machine *Machine, newPartition int) {
+	if machine.RecordChangePending() || machine.Record.MarkedForDeletion || !r.cluster.IsEmptyAndCommitted(machine) {
 		return
 	}
 	if newPartition == machine.Record.Partition || newPartition < 0 || newPartition >= len(r.cluster.Partitions) {
--- a/internal/cluster/machine_test.go
+++ b/internal/cluster/machine_test.go
@@ -7,7 +7,7 @@
 	"spurmoor/internal/micros"
 )
 
-// TestRecordSuperseded lists which of two records of a machine holds.
+// TestRecordSuperseded checks which of two records of a machine applies.
 func TestRecordSuperseded(t *testing.T) {
 	t.Parallel()
 	known := RecordOrigin{Epoch: 2, Partition: 1, Sequence: 10}
@@ -26,18 +26,18 @@
 		{"in the log of another partition", RecordOrigin{Epoch: 2, Partition: 0, Sequence: 99}, 1, false},
 	} {
 		if got := known.supersededBy(tc.other, tc.namedPartition); got != tc.want {
-			t.Errorf("%s: %t, want %t", tc.name, got, tc.want)
+			t.Errorf("%s: got superseded %t, want %t", tc.name, got, tc.want)
 		}
 	}
 }
 
-// TestCacheImage uses images of 4 GB on a machine whose cache holds two.
+// TestCacheImage uses images of 4 GB on a machine whose cache has space for two.
 func TestCacheImage(t *testing.T) {
 	t.Parallel()
 	machine := &Machine{MachineType: &api.MachineType{CacheGB: 10}}
 	for _, step := range []struct {
 		use  string
-		want string // the cache, the latest used last
+		want string // the cached images, least recently used first
 	}{
 		{"a", "a"}, {"b", "ab"}, {"a", "ba"}, {"c", "ac"}, {"c", "ac"}, {"b", "cb"},
 	} {
@@ -47,12 +47,12 @@
 			got += image.Name
 		}
 		if got != step.want {
-			t.Errorf("after %s was used the cache has %q, want %q", step.use, got, step.want)
+			t.Errorf("after %s was used: got cached images %q, want %q", step.use, got, step.want)
 		}
 	}
 }
 
-// TestTrackRepeatedCommands answers heartbeats, one a second, with commands of a task.
+// TestTrackRepeatedCommands answers one heartbeat per second with commands for a task.
 func TestTrackRepeatedCommands(t *testing.T) {
 	t.Parallel()
 	start := api.Command{Op: api.CommandStart, Task: "wk-000001/0", Attempt: 1}
@@ -72,13 +72,13 @@
 		6: {[]api.Command{start}, 0},
 	} {
 		machine.TrackRepeatedCommands(micros.Micros(second)*micros.Second, step.commands)
-		if want := micros.Micros(step.ignoringSince) * micros.Second; machine.IgnoringSince != want {
-			t.Errorf("second %d: ignores since %v s, want %v s", second, machine.IgnoringSince.Seconds(), want.Seconds())
+		if want := micros.Micros(step.ignoringSince) * micros.Second; machine.IgnoringCommandsSince != want {
+			t.Errorf("second %d: got ignoring since %v s, want %v s", second, machine.IgnoringCommandsSince.Seconds(), want.Seconds())
 		}
 	}
 }
 
-// TestIsNewer orders heartbeats by incarnation, then by sequence.
+// TestIsNewer checks that heartbeats are ordered by incarnation, then by sequence number.
 func TestIsNewer(t *testing.T) {
 	t.Parallel()
 	machine := &Machine{Incarnation: 2, HeartbeatSequence: 5}
@@ -91,7 +91,7 @@
 	} {
 		heartbeat := &api.Heartbeat{Incarnation: tc.incarnation, Sequence: tc.sequence}
 		if got := machine.IsNewer(heartbeat); got != tc.want {
-			t.Errorf("incarnation %d, sequence %d: %t, want %t", tc.incarnation, tc.sequence, got, tc.want)
+			t.Errorf("incarnation %d, sequence %d: got newer %t, want %t", tc.incarnation, tc.sequence, got, tc.want)
 		}
 	}
 }
--- a/internal/cluster/outcome_reading.go
+++ b/internal/cluster/outcome_reading.go
@@ -10,30 +10,31 @@
 )
 
 const (
-	// maxOutcomeReads bounds the terminal records being read at a time for dependencies.
+	// maxOutcomeReads bounds the reads of dependencies' terminal records in flight.
 	maxOutcomeReads = 32
-	// maxReplicaReads bounds those of them that are read for jobs in the replica: the rest
-	// is left for submissions, whose users wait.
+	// maxReplicaReads bounds these reads for jobs in the replica. The rest is reserved for
+	// submissions, whose users wait.
 	maxReplicaReads = maxOutcomeReads / 2
-	// outcomeRetryInterval is when dependencies are read again after one could not be.
+	// outcomeRetryInterval is the delay before dependencies are read again after a failed read.
 	outcomeRetryInterval = micros.Second / 2
 )
 
-// LookupResult is what is known of a job.
+// LookupResult is the result of looking up a job.
 type LookupResult int
 
-// Results of looking a job up.
+// Results of looking up a job.
 const (
-	// LookupFailed is that it could not be found out.
+	// LookupFailed means that the store did not answer or its record could not be read.
 	LookupFailed LookupResult = iota
-	// JobNeverAccepted is that there is no such job and never was.
+	// JobNeverAccepted means that there is no such job and never was.
 	JobNeverAccepted
-	// JobKnown is that the job is unfinished, or its terminal record was read.
+	// JobKnown means that the job is unfinished, or that its terminal record was read.
 	JobKnown
 )
 
-// ReadUnknownOutcomes reads, a few at a time, the terminal records of dependencies that had
-// ended before the replica could show how.
+// ReadUnknownOutcomes reads the terminal records of dependencies that ended before the replica
+// could show how. It starts as many reads as maxReplicaReads permits; the others follow in
+// later calls.
 func (g *DependencyGraph) ReadUnknownOutcomes() {
 	if !g.cache.Synced || g.Now < g.nextOutcomeReadAt {
 		return
@@ -45,23 +46,23 @@
 			continue
 		}
 		if outcome, at := g.KnownOutcome(id); outcome != OutcomeUnknown {
-			g.SettleOutcome(id, outcome, at)
+			g.SetOutcome(id, outcome, at)
 			continue
 		}
-		g.readOutcome(id, func(result LookupResult) { g.dependencyRead(id, result) })
+		g.readOutcome(id, func(result LookupResult) { g.handleDependencyRead(id, result) })
 	}
 }
 
-// isOutcomeUnknown reports whether unfinished jobs depend on a job whose outcome is not
+// isOutcomeUnknown reports whether unfinished jobs depend on the job and its outcome is not
 // known.
 func (g *DependencyGraph) isOutcomeUnknown(id string) bool {
 	upstream := g.ByJob[id]
 	return upstream != nil && upstream.Outcome == OutcomeUnknown
 }
 
-// dependencyRead handles whether the terminal record of a dependency could be read, and
-// has it read again if it is still wanted.
-func (g *DependencyGraph) dependencyRead(id string, result LookupResult) {
+// handleDependencyRead handles the result of reading the terminal record of a dependency. If
+// the read failed and the outcome is still needed, the record is queued to be read again.
+func (g *DependencyGraph) handleDependencyRead(id string, result LookupResult) {
 	if result == JobKnown || !g.isOutcomeUnknown(id) {
 		return
 	}
@@ -72,34 +73,35 @@
 	g.nextOutcomeReadAt = g.Now + g.Jitter(outcomeRetryInterval)
 }
 
-// readOutcome reads a terminal record for a dependency, of which maxOutcomeReads are read
-// at a time. What users ask of jobs that have ended does not count.
-func (g *DependencyGraph) readOutcome(id string, whenRead func(LookupResult)) {
+// readOutcome reads the terminal record of a dependency and counts the read in outcomeReads.
+// Reads for users' queries about ended jobs use ReadTerminalRecord and are not counted.
+func (g *DependencyGraph) readOutcome(id string, onRead func(LookupResult)) {
 	g.outcomeReads++
 	g.ReadTerminalRecord(id, func(result LookupResult) {
 		g.outcomeReads--
-		whenRead(result)
+		onRead(result)
 	})
 }
 
-// ReadTerminalRecord reads a job's terminal record, and records what it says before it
-// calls whenRead.
-func (g *DependencyGraph) ReadTerminalRecord(id string, whenRead func(LookupResult)) {
+// ReadTerminalRecord reads a job's terminal record from the store and stores its content in
+// the graph. It then calls onRead with the result.
+func (g *DependencyGraph) ReadTerminalRecord(id string, onRead func(LookupResult)) {
 	call := message.StoreCall{Op: message.OpGet, Key: records.TerminalPrefix + id}
 	g.CallStore(call, func(reply *message.StoreReply) {
-		whenRead(g.terminalRecordRead(id, reply))
+		onRead(g.handleTerminalReply(id, reply))
 	})
 }
 
-// terminalRecordRead handles the store's reply to the read of a job's terminal record.
-func (g *DependencyGraph) terminalRecordRead(id string, reply *message.StoreReply) LookupResult {
+// handleTerminalReply handles the store's reply to the read of a job's terminal record.
+// It returns the result of the read.
+func (g *DependencyGraph) handleTerminalReply(id string, reply *message.StoreReply) LookupResult {
 	if reply.Status == message.StatusNotFound {
 		return JobNeverAccepted
 	}
 	if reply.Status != message.StatusOK {
 		return LookupFailed
 	}
-	var record records.TerminalRecord
+	var record records.TerminalJob
 	if err := json.Unmarshal(reply.Item.Value, &record); err != nil || record.State == "" {
 		return LookupFailed
 	}
@@ -107,24 +109,24 @@
 	return JobKnown
 }
 
-// outcomeBatch reads the terminal records of several jobs.
+// outcomeBatch collects the results of reading the terminal records of several jobs.
 type outcomeBatch struct {
-	left         int    // how many are not read yet
-	missing      string // one that was never accepted; empty: none
-	failed       bool   // some could not be read
-	whenComplete func(*outcomeBatch)
+	remaining  int    // number of records not read yet
+	missing    string // id of a job that was never accepted; empty: none
+	failed     bool   // a record could not be read
+	onComplete func(*outcomeBatch)
 }
 
-// readOutcomes reads the terminal records of jobs, at least one, and then calls
-// whenComplete.
-func (g *DependencyGraph) readOutcomes(ids []string, whenComplete func(*outcomeBatch)) {
-	batch := &outcomeBatch{left: len(ids), whenComplete: whenComplete}
+// readOutcomes reads the terminal records of one or more jobs, and calls onComplete after the
+// last result.
+func (g *DependencyGraph) readOutcomes(ids []string, onComplete func(*outcomeBatch)) {
+	batch := &outcomeBatch{remaining: len(ids), onComplete: onComplete}
 	for _, id := range ids {
-		g.readOutcome(id, func(result LookupResult) { batch.outcomeRead(id, result) })
+		g.readOutcome(id, func(result LookupResult) { batch.handleRead(id, result) })
 	}
 }
 
-func (b *outcomeBatch) outcomeRead(id string, result LookupResult) {
+func (b *outcomeBatch) handleRead(id string, result LookupResult) {
 	switch result {
 	case JobNeverAccepted:
 		b.missing = id
@@ -132,8 +134,8 @@
 		b.failed = true
 	case JobKnown:
 	}
-	b.left--
-	if b.left == 0 {
-		b.whenComplete(b)
+	b.remaining--
+	if b.remaining == 0 {
+		b.onComplete(b)
 	}
 }
--- a/internal/cluster/partition.go
+++ b/internal/cluster/partition.go
@@ -6,37 +6,37 @@
 	"spurmoor/internal/micros"
 )
 
-// Partition is a share of the teams, with their jobs and machines. One controller leads
-// it at a time.
+// Partition is a group of teams with their jobs and machines. At most one controller leads it
+// at a time.
 type Partition struct {
-	// Who leads it, at which term. Written by coordination.
+	// The leader and its term. Written by coordination.
 	*leadership.RoleState
 
 	Index int
 
-	// Its log, in the order of the sequences. Written by State.
+	// The partition's log, sorted by sequence number. Written by State.
 	Log []LogEntry
 
-	// What is to be committed. Written by State, planning and provisioning.
-	ChangedJobs    map[string]bool // by id
-	RecordChanges  []*Machine      // machines whose records are to change
-	MachineBatches []*MachineBatch // machines to be recorded
+	// Changes to commit. Written by State, planning and provisioning.
+	ChangedJobs    map[string]bool // by job id
+	RecordChanges  []*Machine      // machines with a requested change of their record
+	MachineBatches []*MachineBatch // new machines to record
 
-	// The commit whose outcome is awaited, nil: none. Written by the partition log, and
-	// by core as leadership is lost.
+	// The commit whose outcome is awaited, nil if there is none. Written by the partition log,
+	// and by core when leadership is lost.
 	CommitInFlight *LogCommit
 	lastCommitAt   micros.Micros // when the last commit was sent
-	sizeReductions int           // how often its commits were too large: each halves their size
+	sizeReductions int           // how many times its commits were too large; each time halves their size
 
 	// Exchange of machines between partitions. Written by planning.
-	HasBlockedJobs bool   // jobs waited after the last scheduling cycle
-	RequestedSpare string // machine of another partition that we are to get once it is empty
+	HasBlockedJobs bool   // jobs still waited after the last scheduling cycle
+	RequestedSpare string // machine that another partition is to transfer to this one once it is empty
 }
 
-// Key returns the key of the partition's leadership in the store.
+// Key returns the partition's leadership key in the store.
 func (p *Partition) Key() string { return coordination.RoleKey(p.Role) }
 
-// hasChanges reports whether anything is to be committed.
+// hasChanges reports whether there is anything to commit.
 func (p *Partition) hasChanges() bool {
 	return len(p.ChangedJobs) > 0 || len(p.RecordChanges) > 0 || len(p.MachineBatches) > 0
 }
--- a/internal/cluster/partition_log.go
+++ b/internal/cluster/partition_log.go
@@ -6,33 +6,35 @@
 )
 
 const (
-	// commitInterval is the least time between two commits of a partition: what is decided
-	// in between goes together.
+	// commitInterval is the minimum time between two commits of a partition. It lets the changes
+	// of that time share one commit.
 	commitInterval = micros.Second / 10
-	// minCommitBudget is how many writes the budget must have for a commit to be sent.
+	// minCommitBudget is how many writes the budget must hold before a commit is sent.
 	minCommitBudget = 4
 )
 
-// Shares of the writes a second that the store admits to all controllers together.
+// Shares of the write rate that the store admits for all controllers together.
 const (
 	// baseRateShare is the share of a controller that leads no partition.
 	baseRateShare = 0.1
-	// partitionsRateShare is divided among the partitions, for their leaders. With the base
-	// shares of three controllers that makes 0.95.
+	// partitionsRateShare is divided equally among the partitions, for their leaders. Together
+	// with the base shares of three controllers it adds up to 0.95.
 	partitionsRateShare = 0.65
-	// usableRateShare is what all controllers together may use, where the rates of all
-	// others are known.
+	// usableRateShare is the share that all controllers together may use while the rates of all
+	// other controllers are known.
 	usableRateShare = 0.9
-	// maxRateShare bounds what one controller may use.
+	// maxRateShare bounds the share of one controller.
 	maxRateShare = 0.8
-	// peerRateHeadroom is by how much another controller's rate may exceed what it said.
+	// peerRateHeadroom is the factor by which another controller's rate may exceed the rate that
+	// it reported.
 	peerRateHeadroom = 1.2
-	// peerRateTimeout is for how long a rate that another controller said holds.
+	// peerRateTimeout is how long a rate that another controller reported is valid.
 	peerRateTimeout = 3 * micros.Second
 )
 
-// PartitionLog commits what was decided of the partitions that we lead: each partition's
-// changes as entries of its log, several in one transaction, within the write budget.
+// PartitionLog commits the changes to the partitions that this controller leads. It writes the
+// changes of each partition as entries of its log, several in one transaction, within the
+// write budget.
 type PartitionLog struct {
 	*coordination.Environment
 	budget       *coordination.WriteBudget
@@ -47,7 +49,7 @@
 	nextPartition int // offset of the partition that may commit first
 }
 
-// NewPartitionLog returns a partition log with nothing to commit.
+// NewPartitionLog returns a partition log for the partitions in cluster.
 func NewPartitionLog(
 	env *coordination.Environment, budget *coordination.WriteBudget, cache *coordination.WatchCache, cluster *State,
 	dependencies *DependencyGraph, peers *coordination.PeerTracker, registry *MachineRegistry,
@@ -59,18 +61,20 @@
 	}
 }
 
-// CommitChanges sends the next commit of each partition that we lead, if there is something
-// to commit, the outcome of the last is known and the budget permits it.
+// CommitChanges sends the next commit of each partition that this controller leads, if the
+// partition has changes, the outcome of its last commit is known and the budget permits it. It
+// also resends transactions whose outcome is unknown.
 func (l *PartitionLog) CommitChanges() {
 	l.transactions.ResendTransactions()
 	if !l.cache.Synced {
 		return
 	}
-	l.budget.RefillBudget(l.writeRateShare())
+	l.budget.RefillBudget(l.allowedWriteRate())
 	partitions := l.cluster.Partitions
 	for offset := range partitions {
-		// Each commit moves nextPartition on, so that all partitions come first in turn. As
-		// that takes effect at once, a partition may be passed over until the next call.
+		// Each commit advances nextPartition, so that the partitions take turns in being first.
+		// Since that takes effect within this loop, a partition may be skipped until the next
+		// call.
 		partition := partitions[(offset+l.nextPartition)%len(partitions)]
 		if !l.mayCommit(partition) {
 			continue
@@ -90,7 +94,7 @@
 	}
 }
 
-// mayCommit reports whether a partition has something to commit and may do so now.
+// mayCommit reports whether a partition has changes and may commit them now.
 func (l *PartitionLog) mayCommit(partition *Partition) bool {
 	if !partition.Leads() || partition.CommitInFlight != nil {
 		return false
@@ -101,11 +105,12 @@
 	return partition.hasChanges() && l.storeLease.LeaseValid()
 }
 
-// writeRateShare returns how many writes a second we may make: a fixed share, by the
-// partitions that we lead, and of the rest what the others said they do not use. All may
-// want that at once: then some transactions are refused, and repeated until each
-// controller has heard of the others' rates.
-func (l *PartitionLog) writeRateShare() float64 {
+// allowedWriteRate returns how many writes per second this controller may make. It is at least
+// a fixed share, which grows with the number of partitions that it leads. If other controllers
+// report lower rates than their shares, it may also use the difference. Several controllers may
+// claim the same difference at once. The store then refuses some transactions, which are
+// repeated until each controller knows the others' rates.
+func (l *PartitionLog) allowedWriteRate() float64 {
 	led := 0
 	for _, partition := range l.cluster.Partitions {
 		if partition.Leads() {
@@ -121,7 +126,7 @@
 		}
 		peer := l.peers.ByNode[node]
 		if peer == nil || l.Now > peer.LastHeartbeatAt+peerRateTimeout || peer.WriteRate == 0 {
-			return fixed // its rate is not known: it may use its share
+			return fixed // its rate is not known: it may use its whole share
 		}
 		free -= max(peer.WriteRate*peerRateHeadroom, baseRateShare*admitted)
 	}
--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -13,28 +13,30 @@
 	"spurmoor/internal/scheduler"
 )
 
-// State is the replica of partitions, jobs and machines. It changes by what the watch
-// cache reads, in the order of the revisions, by our own writes once they were answered,
-// and by what is decided of the partitions that we lead and still to be committed.
+// State is the replica of partitions, jobs and machines. Three kinds of changes are applied
+// to it: changes that the watch cache reads, in the order of their revisions; this
+// controller's own writes, once the store has answered them; and decisions about the
+// partitions that this controller leads, before they are committed.
 type State struct {
 	*coordination.Environment
 	cache *coordination.WatchCache
 
 	Partitions []*Partition
 	Jobs       map[string]*Job                 // by id
-	TeamUsage  map[string]*scheduler.Resources // of tasks placed, by team
+	TeamUsage  map[string]*scheduler.Resources // resources of placed tasks, by team
 
 	Machines       map[string]*Machine
-	MachinesByName []*Machine // in the order of their names
-	// tombstones are the records by which machines were deleted, while some log still
-	// names the machines; logReferences counts the entries of all logs that do.
+	MachinesByName []*Machine // sorted by name
+	// tombstones holds the origins of records that deleted machines, by machine name. A
+	// tombstone is kept while some log entry still names the machine; logReferences counts
+	// those entries in all logs.
 	tombstones    map[string]RecordOrigin
 	logReferences map[string]int
-	// adoptionVersion is of the key that every adoption changes.
+	// adoptionVersion is the version of records.AdoptionKey, which every adoption changes.
 	adoptionVersion api.Revision
 }
 
-// NewState returns a replica that knows nothing yet.
+// NewState returns a replica without jobs or machines.
 func NewState(env *coordination.Environment, cache *coordination.WatchCache, roles *coordination.RoleManager) *State {
 	state := &State{
 		Environment: env, cache: cache,
@@ -51,7 +53,7 @@
 	return state
 }
 
-// Reset forgets all jobs and machines, before everything is read again.
+// Reset removes all jobs and machines, before everything is read again.
 func (s *State) Reset() {
 	clear(s.Machines)
 	clear(s.Jobs)
@@ -63,7 +65,7 @@
 	}
 }
 
-// LedPartition returns a machine's partition, or nil unless we lead it.
+// LedPartition returns a machine's partition, or nil if this controller does not lead it.
 func (s *State) LedPartition(machine *Machine) *Partition {
 	index := machine.Record.Partition
 	if index < 0 || index >= len(s.Partitions) || !s.Partitions[index].Leads() {
@@ -72,14 +74,15 @@
 	return s.Partitions[index]
 }
 
-// FencingToken returns the token that a machine's worker must obey: the later of the term
-// of its partition's leader and the lowest that its record permits. Both are revisions of
-// the store, which only rise.
+// FencingToken returns the token of the commands that a machine's worker must obey. It is
+// the higher of the term of its partition's leader and the minimum token of its record.
+// Both are revisions of the store, which never decrease.
 func (s *State) FencingToken(machine *Machine) api.FencingToken {
 	return max(api.FencingToken(s.Partitions[machine.Record.Partition].Term), machine.Record.MinToken)
 }
 
-// AddJob adds a job of which nothing was known.
+// AddJob adds a job that the replica does not have. The caller sets its Spec and the rest
+// of its record.
 func (s *State) AddJob(id string, spec api.Job) *Job {
 	job := &Job{
 		ID:             id,
@@ -93,34 +96,36 @@
 	return job
 }
 
-// RemoveJob forgets a job whose key is gone.
+// RemoveJob removes a job whose key was deleted from the store.
 func (s *State) RemoveJob(job *Job) {
 	delete(s.Jobs, job.ID)
 	delete(s.Partitions[job.Partition].ChangedJobs, job.ID)
 }
 
-// addMachine adds a machine of which the first record was read. Its age counts from now:
-// the record's launch time is by the clock of the controller that launched it, which is
-// not compared with ours. By a clock that is hours off, a machine that boots would be
-// overdue at once. The cloud's list corrects its age later.
-func (s *State) addMachine(record records.MachineRecord) *Machine {
+// addMachine adds a machine whose first record was read. Its age counts from now, not from
+// the launch time in the record: that is a reading of another controller's clock, and with a
+// clock that is hours off a booting machine would be overdue at once. The cloud's list
+// corrects the age later.
+func (s *State) addMachine(record records.Machine) *Machine {
 	machine := &Machine{
 		Name:                   record.Name,
 		Record:                 record,
-		DepartedJobs:           map[string]bool{},
+		UncommittedRemovals:    map[string]bool{},
 		LaunchedAt:             s.Now,
 		AwaitingHeartbeatSince: s.Now,
-		Failures:               FailureEvidence{Unattributed: map[string]bool{}},
+		Failures:               MachineFailures{Unattributed: map[string]bool{}},
 		MoveToPartition:        noPartition,
 	}
 	s.Machines[record.Name] = machine
 	at, _ := slices.BinarySearchFunc(s.MachinesByName, machine.Name, compareMachineName)
 	s.MachinesByName = slices.Insert(s.MachinesByName, at, machine)
-	// Another leader may have renewed its worker's lease until now.
+	// Another leader may have renewed the worker's lease until now.
 	machine.LeaseExpiresAt = s.Now + s.Settings.FormerLeaderLeaseBound()
-	if !s.cache.Synced { // once it is, a start is committed after its machine's record
+	// While the cache is being filled, tasks may be read before their machine's record. Once
+	// it is synced, a start is always committed after that record.
+	if !s.cache.Synced {
 		for _, id := range slices.Sorted(maps.Keys(s.Jobs)) {
-			s.countTasksOn(s.Jobs[id], machine)
+			s.addPlacedTasks(s.Jobs[id], machine)
 		}
 	}
 	return machine
@@ -130,14 +135,15 @@
 	return strings.Compare(machine.Name, name)
 }
 
-// forgetMachine forgets a machine whose record is deleted.
-func (s *State) forgetMachine(machine *Machine) {
+// removeMachine removes a machine whose record was deleted.
+func (s *State) removeMachine(machine *Machine) {
 	delete(s.Machines, machine.Name)
 	s.MachinesByName = slices.DeleteFunc(s.MachinesByName, func(other *Machine) bool { return other == machine })
 }
 
-// ResetObservations starts over with a machine that came to us from another leader, which
-// may have renewed its worker's lease until now.
+// ResetObservations discards what was observed of a machine that comes from another leader,
+// and the requested change of its record. The former leader may have renewed the lease of the
+// machine's worker until now.
 func (s *State) ResetObservations(machine *Machine) {
 	machine.TokenConfirmed = false
 	machine.NextCommandAt, machine.CommandInFlight = s.Now, false
@@ -145,35 +151,35 @@
 	machine.LastSeenAt = max(machine.LastSeenAt, s.Now)
 	machine.AwaitingHeartbeatSince = s.Now
 	machine.IdleSince = s.Now
-	// The former leader may have started them anew, in an incarnation of the worker that we
-	// know nothing of. Had we gone on taking them for observed, that incarnation would have
-	// proven them gone while they ran (found by random scenarios).
+	// The former leader may have restarted the tasks in an incarnation of the worker that
+	// this controller has not seen. If they still counted as observed, a report of that
+	// incarnation would seem to prove them gone while they run.
 	for _, id := range machine.TaskIDs {
 		task := s.Jobs[id.Job].Task(id.Index)
 		task.Observed, task.ReportedState = false, ""
 	}
 	machine.DeleteSent, machine.DeleteConfirmed = false, false
-	machine.lastCommands, machine.IgnoringSince = nil, 0
+	machine.lastCommands, machine.IgnoringCommandsSince = nil, 0
 	machine.PendingChange = NoRecordChange
 	machine.MoveToPartition = noPartition
 }
 
-// setTombstone notes that a machine is deleted by a record in some log.
+// setTombstone records that a machine was deleted by the record of that origin.
 func (s *State) setTombstone(name string, origin RecordOrigin) { s.tombstones[name] = origin }
 
-// clearTombstone notes that a machine has a record again.
+// clearTombstone removes the tombstone of a machine that has a record again.
 func (s *State) clearTombstone(name string) { delete(s.tombstones, name) }
 
-// ObserveAdoption records the version of the key that every adoption changes.
+// ObserveAdoption records a version of the adoption key. Older versions are ignored.
 func (s *State) ObserveAdoption(version api.Revision) {
 	s.adoptionVersion = max(s.adoptionVersion, version)
 }
 
-// RecordLogEntry adds an entry to a partition's log, in the place of the one that its slot
-// held before.
-func (s *State) RecordLogEntry(partition *Partition, entry LogEntry) {
-	// The new entry's machines are counted first, so that those which both entries name
-	// keep their tombstones.
+// AddLogEntry adds an entry to a partition's log. It replaces the entry that its slot held
+// before.
+func (s *State) AddLogEntry(partition *Partition, entry LogEntry) {
+	// The machines of the new entry are counted first, so that the tombstones of machines
+	// that both entries name are kept.
 	for _, record := range entry.Machines {
 		s.logReferences[record.Name]++
 	}
@@ -188,8 +194,8 @@
 	partition.Log = slices.Insert(partition.Log, at, entry)
 }
 
-// releaseLogReferences notes that an entry is overwritten. A tombstone is kept only while
-// some entry could still bring its machine back.
+// releaseLogReferences drops the references of an entry that is overwritten. A tombstone is
+// kept only while some entry could still recreate its machine.
 func (s *State) releaseLogReferences(entry LogEntry) {
 	for _, record := range entry.Machines {
 		s.logReferences[record.Name]--
@@ -204,38 +210,39 @@
 	return cmp.Compare(entry.Sequence, sequence)
 }
 
-// RequestRecordChange requests a change of a machine's record, to be committed.
+// RequestRecordChange queues a change of a machine's record for the next commit of its
+// partition.
 func (s *State) RequestRecordChange(machine *Machine, kind RecordChangeKind) {
 	machine.PendingChange = kind
 	partition := s.Partitions[machine.Record.Partition]
 	partition.RecordChanges = append(partition.RecordChanges, machine)
 }
 
-// IsEmptyAndCommitted reports whether a machine has no tasks and that is committed. A
-// machine that was transferred while the log still named a task on it started that task
-// for its new leader, after its old one had placed the task elsewhere.
+// IsEmptyAndCommitted reports whether a machine has no tasks and the removal of its last
+// tasks is committed. If a machine is transferred while the log still names a task on it,
+// its new leader starts that task, although the former leader has placed it elsewhere.
 //
-// Every job whose tasks left is examined: stopping at the first that is not committed
-// left it to the order of a map which of them were examined later (found by random
-// scenarios).
+// The loop examines every job: stopping at the first uncommitted one would make the
+// remaining set depend on the iteration order of the map.
 func (s *State) IsEmptyAndCommitted(machine *Machine) bool {
 	if len(machine.TaskIDs) > 0 {
 		return false
 	}
-	for id := range machine.DepartedJobs {
-		if job := s.Jobs[id]; job == nil || job.Terminal || job.ChangedTasks == 0 {
-			delete(machine.DepartedJobs, id)
+	for id := range machine.UncommittedRemovals {
+		if job := s.Jobs[id]; job == nil || job.Terminal || job.UncommittedTasks == 0 {
+			delete(machine.UncommittedRemovals, id)
 		}
 	}
-	return len(machine.DepartedJobs) == 0
+	return len(machine.UncommittedRemovals) == 0
 }
 
-// delayedHeartbeatAllowance is how much later than usual a heartbeat may come: two
-// controllers that are cut off may hold it up for five seconds each.
+// delayedHeartbeatAllowance is how much later than usual a heartbeat may arrive: two
+// controllers that are cut off from the store may delay it by five seconds each.
 const delayedHeartbeatAllowance = 10 * micros.Second
 
-// HeartbeatsMissing reports whether a machine's heartbeats, which came once, have long
-// failed to come. Its lease will expire, even if it answers direct commands.
+// HeartbeatsMissing reports whether a machine that has sent heartbeats has stopped sending
+// them for longer than the contact timeout and the allowance for delays. Its lease will
+// expire, even if it answers direct commands.
 func (s *State) HeartbeatsMissing(machine *Machine) bool {
 	if machine.LastHeartbeatAt <= 0 {
 		return false
--- a/internal/cluster/task.go
+++ b/internal/cluster/task.go
@@ -10,67 +10,69 @@
 	"spurmoor/internal/records"
 )
 
-// TaskRecord is what the log keeps of a task.
+// TaskRecord holds the fields of a task that the log records.
 type TaskRecord struct {
 	State   records.TaskState
 	Attempt api.Attempt
-	// Machine is the name of the machine that the task is placed on, else empty.
+	// Machine is the name of the machine that the task is placed on, empty if it is not placed.
 	Machine string
 }
 
-// Task is one task of a job: what is decided and committed of it, and what was observed
-// since this controller leads its partition.
+// Task is one task of a job: its decided and its committed state, and the observations of it
+// since this controller began to lead the partition. The zero Task is pending.
 type Task struct {
-	// As decided. Written by SetTask alone.
+	// The decided state, committed or not. Written only by SetTask.
 	TaskRecord
 
-	// What the log holds. Written with the commit of an entry, or as another
-	// controller's entry is applied.
+	// The committed state. Written when an entry is committed, or when an entry of another
+	// controller is applied.
 	Committed TaskRecord
-	// LogSequence is the sequence of the log entry that last held the task; 0: none.
+	// LogSequence is the sequence number of the latest log entry that holds the task; 0 means
+	// none.
 	LogSequence uint64
 
-	// What is still to be committed. Written by State as the task changes.
-	changed    bool   // differs from what is committed, or is being committed
-	generation uint32 // counts changes, so that a commit can tell a later one
+	// Changes to commit. Written by State when the task changes.
+	uncommitted bool   // a change is not committed yet, or its commit is in flight
+	generation  uint32 // counts changes, so that a commit can detect a later change
 
-	// What its machine's worker showed of it since this controller leads the partition.
+	// Reports of its machine's worker since this controller began to lead the partition.
 	// Written by reconciliation in core, and reset by State after a failover.
 	Observed      bool          // the worker has reported it
-	ReportedState api.TaskState // as last reported
+	ReportedState api.TaskState // last reported state
 	RunningSince  micros.Micros
 
-	// How it is to start and stop. PlacedAt is written by SetTask, DirectStartToken by
-	// planning and reconciliation in core, the rest by the task lifecycle.
+	// Starting and stopping. PlacedAt is written by SetTask, DirectStartToken by planning and
+	// reconciliation in core, the rest by the task lifecycle.
 	PlacedAt        micros.Micros
-	StopRequestedAt micros.Micros // 0: it may go on
-	// GraceS is how many seconds the task has to save a checkpoint once it must stop.
+	StopRequestedAt micros.Micros // 0: no stop is requested
+	// GraceS is how many seconds the task has to save a checkpoint after a requested stop.
 	GraceS    float64
-	notBefore micros.Micros // not to be placed before
-	// DirectStartToken is the fencing token of a direct start that may still be on its
-	// way; 0: there is none.
+	notBefore micros.Micros // the task is not placed before
+	// DirectStartToken is the fencing token of a direct start that may still be in flight; 0
+	// means none.
 	DirectStartToken api.FencingToken
 }
 
-// mayBePlaced reports whether a task waits to be placed and need not wait longer.
+// mayBePlaced reports whether a task is pending and its delay is over.
 func (t *Task) mayBePlaced(now micros.Micros) bool {
 	return t.State == records.TaskPending && now >= t.notBefore
 }
 
-// TaskID names a task by its job and its index in it.
+// TaskID identifies a task by its job's id and its index in the job.
 type TaskID struct {
 	Job   string
 	Index int
 }
 
-// String returns the name that the protocol gives a task.
+// String returns the task's name in the worker protocol, such as wk-000001/0.
 func (t TaskID) String() string { return t.Job + "/" + strconv.Itoa(t.Index) }
 
 func (t TaskID) compare(other TaskID) int {
 	return cmp.Or(strings.Compare(t.Job, other.Job), cmp.Compare(t.Index, other.Index))
 }
 
-// ParseTaskID reads a name that TaskID.String returns; false: it is not of that form.
+// ParseTaskID parses a name as returned by TaskID.String. It returns false if the name does
+// not have that form.
 func ParseTaskID(name string) (TaskID, bool) {
 	job, number, ok := strings.Cut(name, "/")
 	index, err := strconv.Atoi(number)
--- a/internal/cluster/task_accounting.go
+++ b/internal/cluster/task_accounting.go
@@ -6,7 +6,8 @@
 	"spurmoor/internal/records"
 )
 
-// MarkChanged has a job examined for what is to be committed of it.
+// MarkChanged adds a job to the changed jobs of its partition, so that the next commit
+// examines it. It has no effect if this controller does not lead the partition.
 func (s *State) MarkChanged(job *Job) {
 	partition := s.Partitions[job.Partition]
 	if partition.Leads() && s.Jobs[job.ID] == job && !job.Terminal {
@@ -14,41 +15,41 @@
 	}
 }
 
-// ChangeTask decides what a task becomes, to be committed. Which states may follow on
-// which, records.TaskState.CanBecome says.
+// ChangeTask sets the state of a task and marks the change as uncommitted. The caller ensures
+// that records.TaskState.CanBecome permits the transition.
 func (s *State) ChangeTask(job *Job, index int, record TaskRecord) {
 	task := job.EnsureTask(index)
 	if machine := s.Machines[task.Machine]; machine != nil && machine.Name != record.Machine {
-		machine.DepartedJobs[job.ID] = true
+		machine.UncommittedRemovals[job.ID] = true
 	}
 	s.SetTask(job, index, record)
 	task.generation++
-	if !task.changed {
-		task.changed = true
-		job.ChangedTasks++
+	if !task.uncommitted {
+		task.uncommitted = true
+		job.UncommittedTasks++
 	}
 	s.MarkChanged(job)
 }
 
-// RevertUncommitted discards what was decided of a job's tasks but is not committed.
+// RevertUncommitted resets all tasks of a job to their committed state.
 func (s *State) RevertUncommitted(job *Job) {
 	job.StartUncommitted = false
 	for index, task := range job.knownTasks() {
-		if task.changed {
+		if task.uncommitted {
 			s.SetTask(job, index, task.Committed)
 		}
 	}
 }
 
-// SetTask sets what a task is, and every count that depends on it. What was observed of it
-// and what was to be committed is forgotten.
+// SetTask sets the state of a task and updates every count that depends on it. It discards
+// the observations of the task and its uncommitted change.
 func (s *State) SetTask(job *Job, index int, record TaskRecord) {
 	task := job.EnsureTask(index)
-	if task.changed {
-		task.changed = false
-		job.ChangedTasks--
+	if task.uncommitted {
+		task.uncommitted = false
+		job.UncommittedTasks--
 	}
-	s.countTask(job, index, task, -1)
+	s.updateCounts(job, index, task, -1)
 	*task = Task{
 		TaskRecord:  record,
 		Committed:   task.Committed,
@@ -57,14 +58,15 @@
 		PlacedAt:    s.Now,
 		notBefore:   task.notBefore,
 	}
-	s.countTask(job, index, task, 1)
+	s.updateCounts(job, index, task, 1)
 	if job.PlacedTasks == 0 {
-		job.attemptSpoiled = false
+		job.needsNewAttempt = false
 	}
 }
 
-// countTask adds a task, as it is, to all counts (delta 1) or takes it out of them (-1).
-func (s *State) countTask(job *Job, index int, task *Task, delta int) {
+// updateCounts adds a task in its current state to all counts (delta 1) or removes it from
+// them (delta -1).
+func (s *State) updateCounts(job *Job, index int, task *Task, delta int) {
 	switch task.State {
 	case records.TaskPending:
 	case records.TaskDone:
@@ -75,13 +77,14 @@
 			*usage = usage.AddScaled(job.Request, int64(delta))
 		}
 		if machine := s.Machines[task.Machine]; machine != nil {
-			s.countOnMachine(job, index, machine, delta)
+			s.updateMachineCounts(job, index, machine, delta)
 		}
 	}
 }
 
-// countOnMachine adds a task to what is on a machine (delta 1) or takes it off (-1).
-func (s *State) countOnMachine(job *Job, index int, machine *Machine, delta int) {
+// updateMachineCounts adds a task to a machine's tasks and allocated resources (delta 1) or
+// removes it from them (delta -1).
+func (s *State) updateMachineCounts(job *Job, index int, machine *Machine, delta int) {
 	machine.Allocated = machine.Allocated.AddScaled(job.Request, int64(delta))
 	job.TasksPerZone[machine.Record.Zone] += delta
 	id := TaskID{Job: job.ID, Index: index}
@@ -97,16 +100,18 @@
 	}
 }
 
-// countTasksOn counts the tasks of a job on a machine whose record was read after theirs.
-func (s *State) countTasksOn(job *Job, machine *Machine) {
+// addPlacedTasks adds the placed tasks of a job to a machine whose record was read after the
+// tasks were.
+func (s *State) addPlacedTasks(job *Job, machine *Machine) {
 	for index, task := range job.knownTasks() {
 		if task.State == records.TaskPlaced && task.Machine == machine.Name {
-			s.countOnMachine(job, index, machine, 1)
+			s.updateMachineCounts(job, index, machine, 1)
 		}
 	}
 }
 
-// RequestJobStop has a job's machines notified at once that it must not run any more.
+// RequestJobStop requests that the machines of a job are sent commands at once, since its
+// tasks must not run any more.
 func (s *State) RequestJobStop(job *Job) {
 	if job.StopRequiredSince == 0 {
 		job.StopRequiredSince = s.cache.CurrentAsOf
@@ -119,7 +124,8 @@
 	}
 }
 
-// requestCommand has a machine, if it is known, sent direct commands as soon as possible.
+// requestCommand requests that direct commands are sent to a machine as soon as possible. It
+// has no effect if the replica does not have the machine.
 func (s *State) requestCommand(name string) {
 	if machine := s.Machines[name]; machine != nil {
 		machine.NextCommandAt = min(machine.NextCommandAt, s.Now)
--- a/internal/cluster/task_lifecycle.go
+++ b/internal/cluster/task_lifecycle.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	// graceOverrunS is how many seconds longer than its grace a task may take to save its
-	// checkpoint before it is stopped without.
+	// graceOverrunS is how many seconds longer than its grace period a task may take to save
+	// its checkpoint. After that it is stopped without one.
 	graceOverrunS = 10
-	// refusedStartDelay is how long a task that a worker refused to start waits before it
-	// may be placed again.
+	// refusedStartDelay is how long a task waits to be placed again after a worker refused to
+	// start it.
 	refusedStartDelay = 3 * micros.Second
 )
 
-// TaskLifecycle is what becomes of tasks: which may start, which must stop, and what
-// follows from their ends and failures.
+// TaskLifecycle decides which tasks may start and which must stop, and handles the ends and
+// failures of tasks.
 type TaskLifecycle struct {
 	*coordination.Environment
 	cluster    *State
@@ -29,21 +29,22 @@
 	trigger    *CycleTrigger
 }
 
-// NewTaskLifecycle returns a task lifecycle.
+// NewTaskLifecycle returns a task lifecycle for the tasks in cluster. It requests scheduling
+// cycles from trigger.
 func NewTaskLifecycle(
 	env *coordination.Environment, cluster *State, lease *coordination.StoreLease, trigger *CycleTrigger,
 ) *TaskLifecycle {
 	return &TaskLifecycle{Environment: env, cluster: cluster, storeLease: lease, trigger: trigger}
 }
 
-// MustStop reports whether a task must not go on running.
+// MustStop reports whether a task must not continue to run.
 func (l *TaskLifecycle) MustStop(job *Job, task *Task) bool {
 	return job.MustNotRun() || task.StopRequestedAt > 0 || job.isBroken()
 }
 
-// GraceFor returns how many seconds a task that must stop may take to save a checkpoint.
-// That of a cancelled job or a broken gang is of no use.
-func (l *TaskLifecycle) GraceFor(job *Job, task *Task) float64 {
+// GraceSeconds returns how many seconds a task that must stop has to save a checkpoint. It is
+// 0 for cancelled jobs and broken gangs, whose checkpoints would be useless.
+func (l *TaskLifecycle) GraceSeconds(job *Job, task *Task) float64 {
 	if job.MustNotRun() || job.isBroken() {
 		return 0
 	}
@@ -53,33 +54,33 @@
 	return task.GraceS
 }
 
-// MayStartOn reports whether a job's committed tasks on a machine may be started.
+// MayStartOn reports whether a job's committed tasks may be started on a machine.
 func (l *TaskLifecycle) MayStartOn(machine *Machine, job *Job) bool {
 	if !l.storeLease.MayStartTasks() || !machine.TokenConfirmed {
 		return false
 	}
-	if machine.Record.Condemned || machine.InterruptionAt != 0 {
+	if machine.Record.MarkedForDeletion || machine.InterruptionAt != 0 {
 		return false
 	}
 	return job.Spec.Kind != api.Gang || job.isPlacedWhole()
 }
 
-// TaskExited applies a worker's report of how a task ended.
-func (l *TaskLifecycle) TaskExited(job *Job, index int, task *Task, machine *Machine, report api.TaskStatus) {
+// HandleExit handles a worker's report that a task has exited.
+func (l *TaskLifecycle) HandleExit(job *Job, index int, task *Task, machine *Machine, report api.TaskStatus) {
 	attempt := task.Attempt
 	if report.ExitReason == api.ExitDone && !job.Cancelled {
 		machine.CacheImage(job.Spec.Image, job.Spec.ImageGB)
-		l.TaskSucceeded(job, machine)
+		l.RecordSuccess(job, machine)
 		l.cluster.ChangeTask(job, index, TaskRecord{State: records.TaskDone, Attempt: attempt, Machine: ""})
-		l.trigger.RequestCycleWithin(0)
+		l.trigger.RequestWithin(0)
 		return
 	}
 	l.cluster.ChangeTask(job, index, TaskRecord{State: records.TaskPending, Attempt: attempt, Machine: ""})
-	// Its worker still holds this attempt, so it must not be used again.
-	job.attemptSpoiled = job.PlacedTasks > 0
+	// The worker still holds this attempt, so its number must not be used again.
+	job.needsNewAttempt = job.PlacedTasks > 0
 	switch report.ExitReason {
 	case api.ExitFailed:
-		l.TaskFailed(job, machine, report.Task)
+		l.RecordFailure(job, machine, report.Task)
 	case api.ExitNoRoom, api.ExitBusy, api.ExitNoSuch:
 		job.Task(index).notBefore = l.Now + refusedStartDelay
 		l.LogInfo(
@@ -87,25 +88,25 @@
 			logkey.Reason, report.ExitReason,
 		)
 	default:
-		// It was stopped, or its gang did not stay whole: nothing speaks against its job or
-		// its machine.
+		// The task was stopped, or its gang lost a task. That is no evidence against its job
+		// or its machine.
 	}
-	l.trigger.RequestCycleWithin(0)
+	l.trigger.RequestWithin(0)
 }
 
-// TaskGone records that a task is proven to be on its machine no more.
-func (l *TaskLifecycle) TaskGone(job *Job, index int, reason string) {
+// Release makes a task pending again after it is proven that it is no longer on its machine.
+func (l *TaskLifecycle) Release(job *Job, index int, reason string) {
 	task := job.Task(index)
 	l.LogDebug(
 		"task gone", logkey.Job, job.ID, logkey.Task, index, logkey.Machine, task.Machine, logkey.Reason, reason,
 	)
 	l.cluster.ChangeTask(job, index, TaskRecord{State: records.TaskPending, Attempt: task.Attempt, Machine: ""})
-	l.trigger.RequestCycleWithin(0)
+	l.trigger.RequestWithin(0)
 }
 
-// RequestTaskStop has a task save a checkpoint, if it can, and stop. It has no effect on
-// one that is stopping already.
-func (l *TaskLifecycle) RequestTaskStop(job *Job, task *Task, reason string) {
+// RequestStop requests that a task saves a checkpoint, if its job can, and stops. It has no
+// effect on a task that is already stopping.
+func (l *TaskLifecycle) RequestStop(job *Job, task *Task, reason string) {
 	if task.StopRequestedAt > 0 {
 		return
 	}
@@ -122,8 +123,8 @@
 	l.cluster.requestCommand(task.Machine)
 }
 
-// requestGangStop has all placed tasks of a gang stop together: an orderly stop reaches all
-// of them at once.
+// requestGangStop requests that all placed tasks of a gang stop together, with the same grace
+// period.
 func (l *TaskLifecycle) requestGangStop(job *Job, graceS float64) {
 	for _, task := range job.knownTasks() {
 		if task.State == records.TaskPlaced {
@@ -133,9 +134,9 @@
 	}
 }
 
-// ReleaseTasksWithoutMachine takes tasks off machines that have no record: a record is
-// deleted only once all on the machine is proven gone.
-func (l *TaskLifecycle) ReleaseTasksWithoutMachine() {
+// ReleaseWithoutMachine releases all tasks whose machine has no record. A record is deleted
+// only after all tasks on the machine are proven gone.
+func (l *TaskLifecycle) ReleaseWithoutMachine() {
 	for _, id := range slices.Sorted(maps.Keys(l.cluster.Jobs)) {
 		job := l.cluster.Jobs[id]
 		if !l.cluster.Partitions[job.Partition].Leads() || job.PlacedTasks == 0 {
@@ -143,18 +144,19 @@
 		}
 		for index, task := range job.knownTasks() {
 			if task.State == records.TaskPlaced && l.cluster.Machines[task.Machine] == nil {
-				l.TaskGone(job, index, "its machine's record is gone")
+				l.Release(job, index, "its machine's record is gone")
 			}
 		}
 	}
 }
 
-// ReleaseTasks records that all tasks on a machine are gone.
-func (l *TaskLifecycle) ReleaseTasks(machine *Machine, reason string) {
+// ReleaseAll releases all tasks on a machine that are in partitions which this controller
+// leads.
+func (l *TaskLifecycle) ReleaseAll(machine *Machine, reason string) {
 	for _, id := range machine.TaskIDsCopy() {
 		job := l.cluster.Jobs[id.Job]
 		if job != nil && l.cluster.Partitions[job.Partition].Leads() {
-			l.TaskGone(job, id.Index, reason)
+			l.Release(job, id.Index, reason)
 		}
 	}
 }
--- a/internal/cluster/task_lifecycle_test.go
+++ b/internal/cluster/task_lifecycle_test.go
@@ -7,14 +7,14 @@
 	"spurmoor/internal/records"
 )
 
-// TestTaskTransitions has a placed task end in every way, and makes sure that the task
-// becomes what it should and that the transition is a permitted one.
+// TestTaskTransitions ends a placed task in every way and checks that the task gets the right
+// state and that CanBecome permits the transition.
 func TestTaskTransitions(t *testing.T) {
 	t.Parallel()
 	exits := func(reason api.ExitReason) func(*TaskLifecycle, *Job, *Machine) {
 		return func(tasks *TaskLifecycle, job *Job, machine *Machine) {
 			report := api.TaskStatus{Task: "wk-000001/0", State: api.TaskExited, ExitReason: reason}
-			tasks.TaskExited(job, 0, job.Task(0), machine, report)
+			tasks.HandleExit(job, 0, job.Task(0), machine, report)
 		}
 	}
 	for _, tc := range []struct {
@@ -32,7 +32,7 @@
 		{"no room", false, exits(api.ExitNoRoom), records.TaskPending},
 		{"busy", false, exits(api.ExitBusy), records.TaskPending},
 		{"no such", false, exits(api.ExitNoSuch), records.TaskPending},
-		{"gone", false, func(tasks *TaskLifecycle, job *Job, _ *Machine) { tasks.TaskGone(job, 0, "test") }, records.TaskPending},
+		{"gone", false, func(tasks *TaskLifecycle, job *Job, _ *Machine) { tasks.Release(job, 0, "test") }, records.TaskPending},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
@@ -43,19 +43,19 @@
 			job.Cancelled = tc.cancelled
 			machine := addTestMachine(t, state, "n-1", "g4")
 			if !job.EnsureTask(0).State.CanBecome(records.TaskPlaced) {
-				t.Fatal("a new task cannot be placed")
+				t.Fatal("a new task can become placed: got false, want true")
 			}
 			state.ChangeTask(job, 0, TaskRecord{State: records.TaskPlaced, Attempt: 1, Machine: "n-1"})
 			if job.PlacedTasks != 1 || len(machine.TaskIDs) != 1 {
-				t.Fatalf("%d tasks placed, %v on the machine", job.PlacedTasks, machine.TaskIDs)
+				t.Fatalf("after placing: got %d placed tasks and %v on the machine, want 1 of each", job.PlacedTasks, machine.TaskIDs)
 			}
 			tc.end(tasks, job, machine)
 			got := job.Task(0).State
 			if got != tc.want || !records.TaskPlaced.CanBecome(got) {
-				t.Errorf("it becomes %v, want %v; permitted: %t", got, tc.want, records.TaskPlaced.CanBecome(got))
+				t.Errorf("got state %v, want %v; got permitted %t, want true", got, tc.want, records.TaskPlaced.CanBecome(got))
 			}
-			if job.PlacedTasks != 0 || len(machine.TaskIDs) != 0 || !machine.DepartedJobs[job.ID] {
-				t.Errorf("%d tasks placed, %v on the machine", job.PlacedTasks, machine.TaskIDs)
+			if job.PlacedTasks != 0 || len(machine.TaskIDs) != 0 || !machine.UncommittedRemovals[job.ID] {
+				t.Errorf("got %d tasks placed, %v on the machine, want none and its removal recorded", job.PlacedTasks, machine.TaskIDs)
 			}
 		})
 	}
--- a/internal/cluster/terminal_cache.go
+++ b/internal/cluster/terminal_cache.go
@@ -2,21 +2,22 @@
 
 import "spurmoor/internal/records"
 
-// terminalCache keeps the terminal states of jobs that ended lately. Once it is full, each
-// that is added evicts the one added first.
+// terminalCache holds the terminal states of jobs that ended recently. When it is full, each
+// new one evicts the one that was added first.
 type terminalCache struct {
-	Records map[string]records.TerminalRecord // by job
-	order   []string                          // a ring, in the order of adding
-	oldest  int                               // index in order, once it is full
+	Records map[string]records.TerminalJob // by job id
+	order   []string                       // ids as a ring buffer, in the order they were added
+	oldest  int                            // index of the oldest id in order, once it is full
 }
 
 // newTerminalCache returns a cache of at most capacity terminal states.
 func newTerminalCache(capacity int) *terminalCache {
-	return &terminalCache{Records: map[string]records.TerminalRecord{}, order: make([]string, 0, capacity)}
+	return &terminalCache{Records: map[string]records.TerminalJob{}, order: make([]string, 0, capacity)}
 }
 
-// add keeps a job's terminal state, unless one is kept already: it never changes.
-func (c *terminalCache) add(id string, record records.TerminalRecord) {
+// add adds a job's terminal state. It has no effect if the cache has one for the job, since a
+// terminal state never changes.
+func (c *terminalCache) add(id string, record records.TerminalJob) {
 	if _, ok := c.Records[id]; ok {
 		return
 	}
--- a/internal/coordination/schema.go
+++ b/internal/coordination/schema.go
@@ -95,7 +95,7 @@
 // announcement returns the transaction that writes which schema version we read.
 func (s *SchemaTracker) announcement() *api.Transaction {
 	key := records.SchemaPrefix + s.Settings.Node
-	record := records.SchemaRecord{SchemaVersion: records.SchemaVersion, Release: records.Version}
+	record := records.NodeSchema{SchemaVersion: records.SchemaVersion, Release: records.Version}
 	return &api.Transaction{
 		Compares: []api.Compare{{Key: key, Version: s.schemaKeyVersion}},
 		Writes:   []api.Write{{Put: key, Value: records.MustMarshal(record)}},
--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -61,7 +61,7 @@
 	if why, ok := a.checkSchedulable(spec); !ok {
 		return why, false
 	}
-	record := records.JobRecord{Spec: withoutDependencies(*spec), AcceptedAt: a.Now}
+	record := records.Job{Spec: withoutDependencies(*spec), AcceptedAt: a.Now}
 	if len(records.MustMarshal(record)) > a.Settings.MaxValueBytes() {
 		return refusalTooLong, false
 	}
--- a/internal/core/cancellation.go
+++ b/internal/core/cancellation.go
@@ -66,7 +66,7 @@
 // writeCancellation marks a job's record as cancelled, if it is still the one that was read.
 func (h *cancellationHandler) writeCancellation(request *cancellation, job *cluster.Job) {
 	// Nobody needs to know any more what a cancelled job depended on.
-	record := records.JobRecord{Spec: withoutDependencies(job.Spec), AcceptedAt: job.AcceptedAt, Cancelled: true}
+	record := records.Job{Spec: withoutDependencies(job.Spec), AcceptedAt: job.AcceptedAt, Cancelled: true}
 	unchanged := []api.Compare{{Key: records.JobPrefix + job.ID, Version: job.Version}}
 	request.writesLeft--
 	h.writer.putJob(job.ID, records.MustMarshal(record), unchanged, func(outcome writeOutcome) {
--- a/internal/core/command_reply.go
+++ b/internal/core/command_reply.go
@@ -81,7 +81,7 @@
 		task.DirectStartToken = 0 // direct starts name the incarnation
 		isOurs := h.cluster.LedPartition(machine) != nil && job.Partition == machine.Record.Partition
 		if task.Observed && isOurs {
-			h.tasks.TaskGone(job, id.Index, "its worker's incarnation ended")
+			h.tasks.Release(job, id.Index, "its worker's incarnation ended")
 		}
 	}
 }
--- a/internal/core/explanation_test.go
+++ b/internal/core/explanation_test.go
@@ -22,7 +22,7 @@
 		fixture.recordMachine(name)
 		fixture.cluster.SetTask(fixture.job, 0, cluster.TaskRecord{State: records.TaskPlaced, Attempt: attempt, Machine: name})
 		exited := api.TaskStatus{Task: testTask, Attempt: attempt, State: api.TaskExited, ExitReason: api.ExitFailed}
-		fixture.tasks.TaskExited(fixture.job, 0, fixture.job.Task(0), fixture.cluster.Machines[name], exited)
+		fixture.tasks.HandleExit(fixture.job, 0, fixture.job.Task(0), fixture.cluster.Machines[name], exited)
 	}
 	effects := fixture.answerReads(fixture.Now, fixture.Step(fixture.Now, message.Explain{RequestID: 9, ID: fixture.job.ID}))
 	answer, _ := answerTo(effects, 9)
--- a/internal/core/failover.go
+++ b/internal/core/failover.go
@@ -50,9 +50,9 @@
 			partition.ChangedJobs[id] = true
 		}
 	}
-	f.tasks.ReleaseTasksWithoutMachine()
+	f.tasks.ReleaseWithoutMachine()
 	f.provisioning.AdoptOpenRequests(partition)
-	f.trigger.RequestCycleWithin(failoverPlanDelay)
+	f.trigger.RequestWithin(failoverPlanDelay)
 }
 
 // PartitionLost ceases to act for a partition: what was not committed of it is reverted.
--- a/internal/core/failure_attribution_test.go
+++ b/internal/core/failure_attribution_test.go
@@ -69,10 +69,10 @@
 				jobs[id].DoneTasks = 1
 			}
 			for _, failed := range tc.failures {
-				controller.tasks.TaskFailed(jobs[failed.job], machines[failed.machine], failed.job+"/0")
+				controller.tasks.RecordFailure(jobs[failed.job], machines[failed.machine], failed.job+"/0")
 			}
 			for _, id := range tc.proven {
-				controller.tasks.TaskSucceeded(jobs[id], machines["m-4"])
+				controller.tasks.RecordSuccess(jobs[id], machines["m-4"])
 			}
 			for name, machine := range machines {
 				if want := slices.Contains(tc.quarantined, name); machine.Quarantined != want {
--- a/internal/core/fixtures_test.go
+++ b/internal/core/fixtures_test.go
@@ -39,7 +39,7 @@
 	spec := api.Job{
 		ID: testJob, Class: "c", Team: "norte", Kind: api.Array, Priority: "standard", Tasks: 1, CPUs: 1, Image: "i", EstimateS: 5,
 	}
-	record := records.MustMarshal(records.JobRecord{Spec: spec, AcceptedAt: 1})
+	record := records.MustMarshal(records.Job{Spec: spec, AcceptedAt: 1})
 	fixture := &syncedFixture{
 		Controller: controller,
 		submission: submissionOf(t, spec),
@@ -124,8 +124,8 @@
 
 // recordMachine has the partition's log tell of a machine.
 func (f *leaderFixture) recordMachine(name string) {
-	record := records.MachineRecord{Name: name, Type: "g4", Zone: "alta", Partition: 0, Epoch: 1, MinToken: 11}
-	f.registry.ApplyMachineRecord(record, cluster.RecordOrigin{Epoch: 1, Partition: 0, Sequence: 1}, 11)
+	record := records.Machine{Name: name, Type: "g4", Zone: "alta", Partition: 0, Epoch: 1, MinToken: 11}
+	f.registry.ApplyRecord(record, cluster.RecordOrigin{Epoch: 1, Partition: 0, Sequence: 1}, 11)
 }
 
 // clearTask takes the job's task off its machine, as committed.
@@ -169,7 +169,7 @@
 	t.Helper()
 	controller := New(&settings.Settings{Operators: settings.Defaults()}, 1, rand.New(rand.NewPCG(1, 1)))
 	for _, name := range []string{"m-0", "m-1", "m-2", "m-3", "m-4"} {
-		evidence := cluster.FailureEvidence{Unattributed: map[string]bool{}}
+		evidence := cluster.MachineFailures{Unattributed: map[string]bool{}}
 		controller.cluster.Machines[name] = &cluster.Machine{Name: name, Failures: evidence}
 	}
 	for _, id := range []string{"a", "b", "c", "d"} {
--- a/internal/core/heartbeat_reconciliation.go
+++ b/internal/core/heartbeat_reconciliation.go
@@ -114,7 +114,7 @@
 	}
 	if !machine.TokenConfirmed {
 		machine.TokenConfirmed = true
-		r.trigger.RequestCycleWithin(0)
+		r.trigger.RequestWithin(0)
 	}
 	if heartbeat.InterruptionNoticeS != nil && machine.InterruptionAt == 0 {
 		r.observeInterruptionNotice(*heartbeat.InterruptionNoticeS)
@@ -126,14 +126,14 @@
 	machine := r.machine
 	machine.FirstHeartbeatAt = r.Now
 	machine.IdleSince = r.Now
-	r.boots.RecordBoot(machine)
+	r.boots.Record(machine)
 	r.LogInfo("machine up",
 		logkey.Machine, machine.Name,
 		logkey.Type, machine.Record.Type,
 		logkey.Zone, machine.Record.Zone,
 		logkey.Spot, machine.Record.Spot,
 		logkey.AfterS, (r.Now - machine.LaunchedAt).WholeSeconds())
-	r.trigger.RequestCycleWithin(0)
+	r.trigger.RequestWithin(0)
 }
 
 // observeInterruptionNotice takes in that the cloud takes a spot instance back in so many
@@ -145,7 +145,7 @@
 		logkey.Machine, machine.Name,
 		logkey.InS, noticeS,
 		logkey.Tasks, len(machine.TaskIDs))
-	r.trigger.RequestCycleWithin(0)
+	r.trigger.RequestWithin(0)
 }
 
 // decideForgetting works out whether exited tasks may be forgotten. A direct start may be
@@ -216,14 +216,14 @@
 	r.observed[id] = true
 	task.Observed = true
 	if reported.State == api.TaskExited {
-		r.tasks.TaskExited(job, id.Index, task, r.machine, reported)
+		r.tasks.HandleExit(job, id.Index, task, r.machine, reported)
 		return
 	}
 	r.observeTaskState(job, task, reported)
 	if !r.tasks.MustStop(job, task) {
 		return
 	}
-	graceS := r.tasks.GraceFor(job, task)
+	graceS := r.tasks.GraceSeconds(job, task)
 	// A task that is saving its checkpoint was told to stop already.
 	if reported.State != api.TaskCheckpointing || graceS == 0 {
 		r.addStop(id, reported.Attempt, graceS)
@@ -262,7 +262,7 @@
 	case !task.Observed && directStartMayCome && mustStop:
 		// It counts as here until the direct start is ruled out.
 	case task.Observed || mustStop:
-		r.tasks.TaskGone(job, id.Index, "no longer reported")
+		r.tasks.Release(job, id.Index, "no longer reported")
 	case r.tasks.MayStartOn(r.machine, job) && (task.DirectStartToken == 0 || !directStartMayCome):
 		// Not while a direct copy of the start may come after this one was forgotten.
 		r.addStart(id, task.Attempt)
--- a/internal/core/heartbeat_reconciliation_test.go
+++ b/internal/core/heartbeat_reconciliation_test.go
@@ -81,7 +81,7 @@
 	if commit == nil || !slices.ContainsFunc(commit.Entries, fixture.raisesToken) {
 		t.Fatalf("no new token is recorded: %+v", commit)
 	}
-	fixture.partitionLog.CommitSucceeded(fixture.partition, 40)
+	fixture.partitionLog.HandleCommitted(fixture.partition, 40)
 	if fixture.cluster.FencingToken(fixture.machine) != 40 {
 		t.Errorf("the token is %d, was %d", fixture.cluster.FencingToken(fixture.machine), token)
 	}
@@ -89,7 +89,7 @@
 
 // raisesToken tells whether a log entry has the revision of its write as the machine's token.
 func (f *leaderFixture) raisesToken(entry cluster.LogEntry) bool {
-	return slices.ContainsFunc(entry.Machines, func(record records.MachineRecord) bool {
+	return slices.ContainsFunc(entry.Machines, func(record records.Machine) bool {
 		return record.Name == f.machine.Name && record.MinToken == 0
 	})
 }
--- a/internal/core/job_lookup.go
+++ b/internal/core/job_lookup.go
@@ -94,7 +94,7 @@
 }
 
 // terminalStatus is what users are told of a job that ended.
-func terminalStatus(id string, record records.TerminalRecord) api.JobStatus {
+func terminalStatus(id string, record records.TerminalJob) api.JobStatus {
 	running := 0
 	return api.JobStatus{ID: id, State: record.State, Done: &record.DoneTasks, Running: &running}
 }
--- a/internal/core/job_record_test.go
+++ b/internal/core/job_record_test.go
@@ -40,9 +40,9 @@
 	} {
 		t.Run(fmt.Sprintf("%d IDs of %d digits", tc.count, tc.digits), func(t *testing.T) {
 			want := randomJobIDs(rng, tc.count, tc.digits)
-			record := records.JobRecord{Spec: api.Job{ID: "wk-1", Dependencies: slices.Clone(want)}}
+			record := records.Job{Spec: api.Job{ID: "wk-1", Dependencies: slices.Clone(want)}}
 			record.PackDependencies()
-			alone := len(records.MustMarshal(records.JobRecord{Spec: api.Job{ID: "wk-1"}}))
+			alone := len(records.MustMarshal(records.Job{Spec: api.Job{ID: "wk-1"}}))
 			if packed := len(records.MustMarshal(record)) - alone; packed > tc.maxBytes+60 {
 				t.Errorf("%d IDs take %d bytes", len(want), packed)
 			}
@@ -75,7 +75,7 @@
 	f.Add([]byte{6, 2, 1, 1})
 	f.Add([]byte{1, 0xff, 0xff, 0xff, 0xff, 0x0f, 1})
 	f.Fuzz(func(t *testing.T, packed []byte) {
-		record := records.JobRecord{PackedDependencies: packed}
+		record := records.Job{PackedDependencies: packed}
 		if ids := record.Dependencies(); len(ids) > len(packed) {
 			t.Errorf("%d bytes give %d IDs", len(packed), len(ids))
 		}
--- a/internal/core/log_applier.go
+++ b/internal/core/log_applier.go
@@ -20,9 +20,9 @@
 		a.observeOwnSlot(partition, slot, version)
 		return nil
 	}
-	record, err := decodeRecord[records.LogRecord](value)
+	record, err := decodeRecord[records.LogEntry](value)
 	if err != nil {
-		record = records.LogRecord{}
+		record = records.LogEntry{}
 	}
 	a.applyLogEntry(partition, cluster.LogEntry{
 		Sequence: record.Sequence, Slot: slot, Version: version, Runs: record.Runs, Machines: record.Machines,
@@ -46,7 +46,7 @@
 func (a *recordApplier) observeOwnSlot(partition *cluster.Partition, slot int, version api.Revision) {
 	commit := partition.CommitInFlight
 	if commit != nil && slot == commit.Entries[0].Slot && version > commit.PreviousSlotVersion {
-		a.partitionLog.CommitSucceeded(partition, version)
+		a.partitionLog.HandleCommitted(partition, version)
 	}
 	for i := range partition.Log {
 		if entry := &partition.Log[i]; entry.Slot == slot {
@@ -58,10 +58,10 @@
 
 // applyLogEntry takes in an entry of a log that another controller writes.
 func (a *recordApplier) applyLogEntry(partition *cluster.Partition, entry cluster.LogEntry) {
-	a.cluster.RecordLogEntry(partition, entry)
+	a.cluster.AddLogEntry(partition, entry)
 	for _, machine := range entry.Machines {
 		origin := cluster.RecordOrigin{Epoch: machine.Epoch, Partition: partition.Index, Sequence: entry.Sequence}
-		a.registry.ApplyMachineRecord(machine, origin, entry.Version)
+		a.registry.ApplyRecord(machine, origin, entry.Version)
 	}
 	for _, run := range entry.Runs {
 		a.applyTaskRun(run, entry.Sequence)
--- a/internal/core/machine_records_test.go
+++ b/internal/core/machine_records_test.go
@@ -18,20 +18,20 @@
 	controller := newMachinesFixture(t)
 	jobs := controller.cluster.Jobs
 	machine := controller.cluster.Machines["m-0"]
-	machine.DepartedJobs = map[string]bool{"a": true}
-	jobs["a"].ChangedTasks = 1
+	machine.UncommittedRemovals = map[string]bool{"a": true}
+	jobs["a"].UncommittedTasks = 1
 	for i := range 30 {
 		id := strconv.Itoa(i)
 		jobs[id] = &cluster.Job{ID: id}
-		machine.DepartedJobs[id] = true
+		machine.UncommittedRemovals[id] = true
 	}
 	if controller.cluster.IsEmptyAndCommitted(machine) {
 		t.Error("a task's leaving is not committed, and the machine counts as empty")
 	}
 	for i := range 30 {
-		jobs[strconv.Itoa(i)].ChangedTasks = 1 // something else of them is being committed
+		jobs[strconv.Itoa(i)].UncommittedTasks = 1 // something else of them is being committed
 	}
-	jobs["a"].ChangedTasks = 0
+	jobs["a"].UncommittedTasks = 0
 	if !controller.cluster.IsEmptyAndCommitted(machine) {
 		t.Error("what left was committed, and the machine does not count as empty")
 	}
@@ -43,13 +43,13 @@
 	fixture := newSyncedFixture(t)
 	fixture.Now = 1000 * micros.Second
 	for i := range 6000 {
-		fixture.deletions.RecordDeletion(fmt.Sprintf("n-%06d", i))
+		fixture.deletions.Record(fmt.Sprintf("n-%06d", i))
 	}
 	if !fixture.deletions.RecentlyDeleted("n-000000") || !fixture.deletions.RecentlyDeleted("n-005999") {
 		t.Error("a deletion is forgotten at once")
 	}
-	fixture.Now += cluster.DeletionMemory + 1
-	fixture.deletions.RecordDeletion("n-006000")
+	fixture.Now += cluster.DeletionRetention + 1
+	fixture.deletions.Record("n-006000")
 	if len(fixture.deletions.DeletedAt) != 1 || len(fixture.deletions.ByTime) != 1 || !fixture.deletions.RecentlyDeleted("n-006000") {
 		t.Errorf("%d deletions are kept, %d in order", len(fixture.deletions.DeletedAt), len(fixture.deletions.ByTime))
 	}
@@ -60,10 +60,10 @@
 func TestMachineAgeIsNotByAnotherClock(t *testing.T) {
 	fixture := newLeaderFixture(t)
 	fixture.Now = 20_000 * micros.Second
-	record := records.MachineRecord{
+	record := records.Machine{
 		Name: "n-2", Type: "g4", Zone: "alta", Epoch: 1, MinToken: 12, LaunchedAt: fixture.Now - 10_800*micros.Second,
 	}
-	fixture.registry.ApplyMachineRecord(record, cluster.RecordOrigin{Epoch: 1, Partition: 0, Sequence: 2}, 12)
+	fixture.registry.ApplyRecord(record, cluster.RecordOrigin{Epoch: 1, Partition: 0, Sequence: 2}, 12)
 	machine := fixture.cluster.Machines["n-2"]
 	if machine.LaunchedAt != fixture.Now {
 		t.Errorf("read now, it counts as %d s old", (fixture.Now - machine.LaunchedAt).WholeSeconds())
--- a/internal/core/provisioning_test.go
+++ b/internal/core/provisioning_test.go
@@ -100,7 +100,7 @@
 		t.Fatalf("%d deletions before the tombstone is committed", n)
 	}
 	fixture.machine.PendingChange = cluster.NoRecordChange // committed
-	fixture.machine.Record.Condemned = true
+	fixture.machine.Record.MarkedForDeletion = true
 	renewed := fixture.storeLease.Lease.RenewalSentAt
 	fixture.storeLease.Lease.RenewalSentAt = fixture.Now - fixture.Settings.LeaseTTL()
 	fixture.deleter.DeleteInstances()
--- a/internal/core/record_applier.go
+++ b/internal/core/record_applier.go
@@ -174,7 +174,7 @@
 	if name != "" && !isFurther {
 		return nil // not a page
 	}
-	record, err := decodeRecord[records.CatalogRecord](value)
+	record, err := decodeRecord[records.CatalogPage](value)
 	if err != nil {
 		return err
 	}
@@ -187,7 +187,7 @@
 	if node == a.Settings.Node {
 		a.schema.ObserveSchemaKey(version)
 	}
-	record, err := decodeRecord[records.SchemaRecord](value)
+	record, err := decodeRecord[records.NodeSchema](value)
 	if err != nil {
 		return err
 	}
@@ -230,7 +230,7 @@
 	if job != nil && job.Version >= version {
 		return nil
 	}
-	record, err := decodeRecord[records.JobRecord](value)
+	record, err := decodeRecord[records.Job](value)
 	if err != nil {
 		return err
 	}
@@ -244,14 +244,14 @@
 	job.Version = version
 	if job.Dependencies == nil && !record.Cancelled {
 		job.Dependencies = record.Dependencies()
-		a.dependencies.LinkDependencies(job)
+		a.dependencies.Link(job)
 	}
 	if job.Cancelled && !wasCancelled {
 		a.cluster.RequestJobStop(job)
-		a.dependencies.SettleOutcome(id, cluster.OutcomeCancelled, 0)
+		a.dependencies.SetOutcome(id, cluster.OutcomeCancelled, 0)
 	}
 	a.cluster.MarkChanged(job)
-	a.trigger.RequestCycleWithin(newJobPlanDelay)
+	a.trigger.RequestWithin(newJobPlanDelay)
 	return nil
 }
 
@@ -276,19 +276,19 @@
 	a.clearTasks(job)
 	record, isKnown := a.dependencies.TerminalOutcome(job)
 	a.cluster.RemoveJob(job)
-	a.dependencies.UnlinkDependencies(job)
+	a.dependencies.Unlink(job)
 	if isKnown {
 		a.dependencies.RecordTerminalState(job.ID, record)
 		return
 	}
-	a.dependencies.SettleOutcome(job.ID, cluster.OutcomeUnknown, 0)
+	a.dependencies.SetOutcome(job.ID, cluster.OutcomeUnknown, 0)
 }
 
 // clearTasks takes a job's tasks off their machines and out of all counts.
 func (a *recordApplier) clearTasks(job *cluster.Job) {
 	for _, chunk := range job.ChunkIndexes() {
 		for offset := range job.Chunks[chunk] {
-			a.cluster.SetTask(job, chunk*cluster.ChunkSize+offset, cluster.TaskRecord{})
+			a.cluster.SetTask(job, chunk*cluster.TasksPerChunk+offset, cluster.TaskRecord{})
 		}
 	}
 }
--- a/internal/core/roles_test.go
+++ b/internal/core/roles_test.go
@@ -89,7 +89,7 @@
 func TestSchemaIsAnnouncedAfterUpgrade(t *testing.T) {
 	fixture := newProvisioningFixture(t)
 	key := records.SchemaPrefix + fixture.Settings.Node
-	previous := records.SchemaRecord{SchemaVersion: records.SchemaDependencies, Release: "1.0"}
+	previous := records.NodeSchema{SchemaVersion: records.SchemaDependencies, Release: "1.0"}
 	fixture.applier.ApplyPut(key, records.MustMarshal(previous), 33)
 	fixture.Effects = nil
 	fixture.schema.NextSchemaAnnouncementAt = 0
--- a/internal/core/submission.go
+++ b/internal/core/submission.go
@@ -65,7 +65,7 @@
 		h.submitWithDependencies(admitted)
 		return
 	}
-	h.recordJob(admitted, records.MustMarshal(records.JobRecord{Spec: *spec, AcceptedAt: admitted.receivedAt}))
+	h.recordJob(admitted, records.MustMarshal(records.Job{Spec: *spec, AcceptedAt: admitted.receivedAt}))
 }
 
 // submitWithDependencies accepts a job that depends on others, once all of those are known
@@ -76,7 +76,7 @@
 		return
 	}
 	h.admission.inFlight++
-	h.dependencies.VerifyDependencies(job.spec, func(status int, reason string) {
+	h.dependencies.Verify(job.spec, func(status int, reason string) {
 		h.admission.inFlight--
 		if status != 0 {
 			h.answerDuplicateOrRefuse(job.requestID, job.spec.ID, refusalByDependencies(status, reason))
@@ -89,8 +89,8 @@
 // recordJobWithDependencies records a job whose dependencies are known, as a list if that
 // fits into a value of the store and packed otherwise.
 func (h *submissionHandler) recordJobWithDependencies(job *submission) {
-	record := records.JobRecord{Spec: *job.spec, AcceptedAt: job.receivedAt}
-	h.dependencies.DropSettledDependencies(&record)
+	record := records.Job{Spec: *job.spec, AcceptedAt: job.receivedAt}
+	h.dependencies.DropEnded(&record)
 	value := records.MustMarshal(record)
 	if len(value) > h.Settings.MaxValueBytes() {
 		record.PackDependencies()
--- a/internal/planning/direct_commands.go
+++ b/internal/planning/direct_commands.go
@@ -59,7 +59,7 @@
 			machine.HighestStartToken = max(machine.HighestStartToken, task.DirectStartToken)
 			commands = append(commands, api.Command{Op: api.CommandStart, Task: id.String(), Attempt: task.Attempt})
 		case m.shouldStopDirectly(job, task):
-			grace := m.tasks.GraceFor(job, task)
+			grace := m.tasks.GraceSeconds(job, task)
 			commands = append(commands, api.Command{Op: api.CommandStop, Task: id.String(), Attempt: task.Attempt, GraceS: &grace})
 		}
 	}
--- a/internal/planning/fixture_test.go
+++ b/internal/planning/fixture_test.go
@@ -71,7 +71,7 @@
 	longAgo := f.env.Now - 300*micros.Second
 	machine := &cluster.Machine{
 		Name:                   "n-1",
-		Record:                 records.MachineRecord{Name: "n-1", Type: "g4", Zone: "alta"},
+		Record:                 records.Machine{Name: "n-1", Type: "g4", Zone: "alta"},
 		MachineType:            &api.MachineType{Name: "g4", GPUs: 4, BootS: bootS},
 		TokenConfirmed:         true,
 		LaunchedAt:             longAgo,
--- a/internal/planning/isolation.go
+++ b/internal/planning/isolation.go
@@ -125,7 +125,7 @@
 	sent := 0
 	for offset := range machines {
 		machine := machines[(m.nextProbeIndex+offset)%len(machines)]
-		if machine.Address == "" || machine.Record.Condemned {
+		if machine.Address == "" || machine.Record.MarkedForDeletion {
 			continue
 		}
 		m.Emit(message.ProbeCommand(machine.Name, machine.Address, max(1, machine.Incarnation)))
--- a/internal/planning/lending.go
+++ b/internal/planning/lending.go
@@ -121,12 +121,12 @@
 // staysInService reports whether a machine is neither condemned nor quarantined, and no
 // interruption is announced for it.
 func staysInService(machine *cluster.Machine) bool {
-	return !machine.Record.Condemned && !machine.Quarantined && machine.InterruptionAt == 0
+	return !machine.Record.MarkedForDeletion && !machine.Quarantined && machine.InterruptionAt == 0
 }
 
 // isResponsive reports whether a machine was heard from recently and obeys its commands.
 func (l *MachineLender) isResponsive(machine *cluster.Machine) bool {
-	return machine.IgnoringSince == 0 && l.Now < machine.LastSeenAt+l.Settings.ContactTimeout()
+	return machine.IgnoringCommandsSince == 0 && l.Now < machine.LastSeenAt+l.Settings.ContactTimeout()
 }
 
 // claimedByOwnPartition reports whether a job of the machine's own partition has claimed
