--- a/internal/planning/lending_test.go
+++ b/internal/planning/lending_test.go
@@ -23,21 +23,21 @@
 	{name: "token not confirmed", change: func(_ *fixture, machine *cluster.Machine) { machine.TokenConfirmed = false }},
 	{name: "with a task", change: func(f *fixture, machine *cluster.Machine) { f.placeTask(machine, "wk-1", api.Job{Kind: api.Array}) }},
 	{name: "task left, not committed", change: func(f *fixture, machine *cluster.Machine) {
-		machine.DepartedJobs = map[string]bool{"wk-1": true}
-		f.state.AddJob("wk-1", api.Job{}).ChangedTasks = 1
+		machine.UncommittedRemovals = map[string]bool{"wk-1": true}
+		f.state.AddJob("wk-1", api.Job{}).UncommittedTasks = 1
 	}},
 	{name: "task left, committed", change: func(f *fixture, machine *cluster.Machine) {
-		machine.DepartedJobs = map[string]bool{"wk-1": true}
+		machine.UncommittedRemovals = map[string]bool{"wk-1": true}
 		f.state.AddJob("wk-1", api.Job{})
 	}, lendable: true, offered: true},
 	{name: "worker still shows a task", change: func(_ *fixture, machine *cluster.Machine) {
 		machine.ReportedTasks = []api.TaskStatus{{Task: "wk-1/0", State: api.TaskRunning}}
 	}},
 	{name: "record changes", change: func(_ *fixture, machine *cluster.Machine) { machine.PendingChange = cluster.CopyRecord }},
-	{name: "condemned", change: func(_ *fixture, machine *cluster.Machine) { machine.Record.Condemned = true }},
+	{name: "condemned", change: func(_ *fixture, machine *cluster.Machine) { machine.Record.MarkedForDeletion = true }},
 	{name: "quarantined", change: func(_ *fixture, machine *cluster.Machine) { machine.Quarantined = true }},
 	{name: "to be interrupted", change: func(f *fixture, machine *cluster.Machine) { machine.InterruptionAt = f.env.Now }},
-	{name: "ignores commands", change: func(f *fixture, machine *cluster.Machine) { machine.IgnoringSince = f.env.Now }},
+	{name: "ignores commands", change: func(f *fixture, machine *cluster.Machine) { machine.IgnoringCommandsSince = f.env.Now }},
 	{name: "not heard", change: func(f *fixture, machine *cluster.Machine) {
 		machine.LastSeenAt = f.env.Now - f.env.Settings.ContactTimeout()
 	}},
--- a/internal/planning/machine_manager.go
+++ b/internal/planning/machine_manager.go
@@ -97,9 +97,9 @@
 	leaseValid := m.storeLease.LeaseValid()
 	if leaseValid && m.Now > machine.LeaseExpiresAt && len(machine.TaskIDs) > 0 {
 		m.LogInfo("machine lease expired", logkey.Machine, machine.Name, logkey.Tasks, len(machine.TaskIDs))
-		m.tasks.ReleaseTasks(machine, "its lease expired")
+		m.tasks.ReleaseAll(machine, "its lease expired")
 	}
-	if machine.Record.Condemned {
+	if machine.Record.MarkedForDeletion {
 		m.dropDeletedRecord(machine)
 		return
 	}
@@ -118,9 +118,9 @@
 	if !machine.DeleteConfirmed || machine.RecordChangePending() {
 		return
 	}
-	m.tasks.ReleaseTasks(machine, "deleted")
+	m.tasks.ReleaseAll(machine, "deleted")
 	if m.cluster.IsEmptyAndCommitted(machine) {
-		m.cluster.RequestRecordChange(machine, cluster.DropRecord)
+		m.cluster.RequestRecordChange(machine, cluster.DeleteRecord)
 	}
 }
 
@@ -159,7 +159,7 @@
 func (m *MachineManager) drain(machine *cluster.Machine) {
 	for job, task := range tasksOn(m.cluster, machine) {
 		if !machine.Quarantined && job.Spec.CheckpointIntervalS > 0 && task.StopRequestedAt == 0 {
-			m.tasks.RequestTaskStop(job, task, "the machine is about to be interrupted")
+			m.tasks.RequestStop(job, task, "the machine is about to be interrupted")
 		}
 	}
 	if len(machine.TaskIDs) == 0 && machine.AllTasksEnded() {
@@ -172,11 +172,11 @@
 func (m *MachineManager) advanceTransfer(machine *cluster.Machine) {
 	if machine.PreemptForMove {
 		for job, task := range tasksOn(m.cluster, machine) {
-			m.tasks.RequestTaskStop(job, task, "the machine goes to another partition")
+			m.tasks.RequestStop(job, task, "the machine goes to another partition")
 		}
 	}
 	if len(machine.TaskIDs) == 0 && machine.TokenConfirmed {
-		m.registry.TransferMachine(machine, machine.MoveToPartition)
+		m.registry.Transfer(machine, machine.MoveToPartition)
 	}
 }
 
--- a/internal/planning/machine_requests.go
+++ b/internal/planning/machine_requests.go
@@ -18,7 +18,7 @@
 			continue
 		}
 		if l.isLendable(machine) {
-			l.registry.TransferMachine(machine, request.Partition)
+			l.registry.Transfer(machine, request.Partition)
 		} else if l.mayScheduleTransfer(machine) {
 			l.scheduleTransfer(machine, request)
 		}
--- a/internal/planning/plan_execution.go
+++ b/internal/planning/plan_execution.go
@@ -115,7 +115,7 @@
 		logkey.Tasks, len(preemption.Victims))
 	for _, victim := range preemption.Victims {
 		job := c.cluster.Jobs[victim.Job.ID]
-		c.tasks.RequestTaskStop(job, job.Task(victim.TaskIndex), "preempted for "+preemption.ForJob.ID)
+		c.tasks.RequestStop(job, job.Task(victim.TaskIndex), "preempted for "+preemption.ForJob.ID)
 	}
 }
 
--- a/internal/planning/reservation.go
+++ b/internal/planning/reservation.go
@@ -136,7 +136,7 @@
 	if job.Spec.Kind != api.Gang || !mayRun(job) || job.HasStarted() {
 		return false
 	}
-	if r.tasks.Deprioritized(job) || r.Now < job.NotBefore || r.cluster.Partitions[job.Partition].Term == 0 {
+	if r.tasks.IsDeprioritized(job) || r.Now < job.NotBefore || r.cluster.Partitions[job.Partition].Term == 0 {
 		return false
 	}
 	return r.Now >= job.EligibleAt()+micros.FromSeconds(r.Settings.Operators.BeginWithinS/reserveAfterDivisor)
@@ -168,10 +168,10 @@
 // isReservable reports whether a machine of any partition is usable for a gang. Whether
 // the boot of a machine that another controller manages is overdue is not known here.
 func (r *ReservationPlanner) isReservable(machine *cluster.Machine) bool {
-	if machine.MachineType == nil || !staysInService(machine) || machine.IgnoringSince > 0 {
+	if machine.MachineType == nil || !staysInService(machine) || machine.IgnoringCommandsSince > 0 {
 		return false
 	}
-	return r.cluster.LedPartition(machine) == nil || !r.boots.BootOverdue(machine)
+	return r.cluster.LedPartition(machine) == nil || !r.boots.IsOverdue(machine)
 }
 
 // isUp reports whether a machine of any partition has come up. For a machine that another
@@ -228,7 +228,7 @@
 	}
 	for job, task := range tasksOn(r.cluster, machine) {
 		if r.urgencies.effectiveTier(job) < reservation.Job.Spec.Priority.Tier() {
-			r.tasks.RequestTaskStop(job, task, "the machine is reserved for "+reservation.Job.ID)
+			r.tasks.RequestStop(job, task, "the machine is reserved for "+reservation.Job.ID)
 		}
 	}
 }
@@ -239,6 +239,6 @@
 	target := r.reservedForPartition(machine)
 	intervalPassed := r.Now > machine.AwaitingHeartbeatSince+minTransferInterval
 	if target != machine.Record.Partition && machine.TokenConfirmed && intervalPassed {
-		r.registry.TransferMachine(machine, target)
+		r.registry.Transfer(machine, target)
 	}
 }
--- a/internal/planning/scale_in.go
+++ b/internal/planning/scale_in.go
@@ -59,7 +59,7 @@
 // has waited for it long enough to know that it has not.
 func (m *MachineManager) isBootOverdue(machine *cluster.Machine) bool {
 	awaitedSince := m.storeLease.MissedHeartbeatsCountFrom(machine.AwaitingHeartbeatSince)
-	return m.Now > awaitedSince+m.Settings.HeartbeatTimeout()+firstHeartbeatMargin && m.boots.BootOverdue(machine)
+	return m.Now > awaitedSince+m.Settings.HeartbeatTimeout()+firstHeartbeatMargin && m.boots.IsOverdue(machine)
 }
 
 // isSilent reports whether a machine that was up has sent nothing for too long.
@@ -72,8 +72,8 @@
 // commands for too long, which means that no answer reaches it.
 func (m *MachineManager) ignoresCommands(machine *cluster.Machine) bool {
 	heartbeatInterval := micros.FromSeconds(m.Settings.Deployment.Workers.ReportS)
-	ignoringSince := m.storeLease.MissedHeartbeatsCountFrom(machine.IgnoringSince)
-	return machine.IgnoringSince > 0 && m.Now > ignoringSince+m.Settings.HeartbeatTimeout()+heartbeatInterval
+	ignoringSince := m.storeLease.MissedHeartbeatsCountFrom(machine.IgnoringCommandsSince)
+	return machine.IgnoringCommandsSince > 0 && m.Now > ignoringSince+m.Settings.HeartbeatTimeout()+heartbeatInterval
 }
 
 // isPastIdleTimeout reports whether a machine has been idle for so long that it is scaled
--- a/internal/planning/scale_in_test.go
+++ b/internal/planning/scale_in_test.go
@@ -24,7 +24,7 @@
 		return func(f *fixture, machine *cluster.Machine) { machine.LastSeenAt = f.env.Now - ago }
 	}
 	ignoring := func(ago micros.Micros) func(*fixture, *cluster.Machine) {
-		return func(f *fixture, machine *cluster.Machine) { machine.IgnoringSince = f.env.Now - ago }
+		return func(f *fixture, machine *cluster.Machine) { machine.IgnoringCommandsSince = f.env.Now - ago }
 	}
 	for _, tc := range []struct {
 		name       string
--- a/internal/planning/scheduler_view.go
+++ b/internal/planning/scheduler_view.go
@@ -61,7 +61,7 @@
 		Deadline:       v.urgencies.byJob[job.ID].deadline,
 		TasksPerZone:   map[string]int{},
 		FailedMachines: job.FailedMachines,
-		Deprioritized:  v.tasks.Deprioritized(job),
+		Deprioritized:  v.tasks.IsDeprioritized(job),
 		Started:        job.HasStarted(),
 	}
 	maps.Copy(schedulerJob.TasksPerZone, job.TasksPerZone)
--- a/internal/planning/snapshot.go
+++ b/internal/planning/snapshot.go
@@ -90,7 +90,7 @@
 		}
 		schedulerJob := b.view.schedulerJob(job)
 		if b.Now >= job.NotBefore && !isRestarting(job) {
-			schedulerJob.PendingTasks = len(job.Placeable(b.Now, b.tasks.PlaceableTasks(job)))
+			schedulerJob.PendingTasks = len(job.Placeable(b.Now, b.tasks.PlaceableLimit(job)))
 		}
 		b.jobs[id] = job
 		b.schedulerJobs[id] = schedulerJob
@@ -111,7 +111,7 @@
 	for _, machine := range b.cluster.MachinesByName {
 		index := machine.Record.Partition
 		known := machine.MachineType != nil && index >= 0 && index < len(b.priceByPartition)
-		if known && !machine.Record.Condemned {
+		if known && !machine.Record.MarkedForDeletion {
 			b.priceByPartition[index] += machine.MachineType.Price
 		}
 	}
@@ -224,7 +224,7 @@
 		schedulerMachine.Schedulable = true
 	case wasUp && responds:
 		schedulerMachine.ReadyAt = b.Now + tokenConfirmationTime
-	case !wasUp && !b.boots.BootOverdue(machine):
+	case !wasUp && !b.boots.IsOverdue(machine):
 		schedulerMachine.ReadyAt = max(b.Now+minRemainingBootTime, machine.LaunchedAt+bootTime(machine))
 	default:
 		return false
--- a/internal/planning/spare_machine.go
+++ b/internal/planning/spare_machine.go
@@ -70,7 +70,7 @@
 // single machine would help it.
 func (c *SchedulingCycle) needsSpare(job *cluster.Job) bool {
 	oneMachineHelps := job.Spec.Kind == api.Array || job.Spec.Tasks == 1
-	if !oneMachineHelps || job.HasStarted() || c.tasks.Deprioritized(job) {
+	if !oneMachineHelps || job.HasStarted() || c.tasks.IsDeprioritized(job) {
 		return false
 	}
 	wait := micros.FromSeconds(c.Settings.Operators.BeginWithinS / spareAfterDivisor)
@@ -105,7 +105,7 @@
 // mayRequestSpare reports whether a machine of another partition may be requested for a
 // job.
 func (c *SchedulingCycle) mayRequestSpare(machine *cluster.Machine, partition *cluster.Partition, job *cluster.Job) bool {
-	if machine.Record.Partition == partition.Index || machine.MachineType == nil || machine.Record.Condemned {
+	if machine.Record.Partition == partition.Index || machine.MachineType == nil || machine.Record.MarkedForDeletion {
 		return false
 	}
 	if machine.ClaimedBy != "" || job.FailedMachines[machine.Name] || c.reservations.isReserved(machine) {
--- a/internal/provisioning/catalog.go
+++ b/internal/provisioning/catalog.go
@@ -47,7 +47,7 @@
 
 // storedCatalogPage is a page of the catalog as the store has it.
 type storedCatalogPage struct {
-	records.CatalogRecord
+	records.CatalogPage
 	version api.Revision
 }
 
@@ -119,8 +119,8 @@
 
 // ObserveCatalogPage records a page of the copy in the store, whose key has a version. The
 // copy is known once all its pages are.
-func (c *MachineCatalog) ObserveCatalogPage(name string, record records.CatalogRecord, version api.Revision) {
-	c.catalogPages[name] = storedCatalogPage{CatalogRecord: record, version: version}
+func (c *MachineCatalog) ObserveCatalogPage(name string, record records.CatalogPage, version api.Revision) {
+	c.catalogPages[name] = storedCatalogPage{CatalogPage: record, version: version}
 	first := c.catalogPages[""]
 	types := slices.Clone(first.Types)
 	for n := 1; n <= first.Pages; n++ {
@@ -138,14 +138,14 @@
 }
 
 // paginateCatalog splits the catalog into pages of which each fits into a value.
-func (c *MachineCatalog) paginateCatalog() []records.CatalogRecord {
-	pages := []records.CatalogRecord{{}}
+func (c *MachineCatalog) paginateCatalog() []records.CatalogPage {
+	pages := []records.CatalogPage{{}}
 	for _, machineType := range c.MachineTypes {
 		last := &pages[len(pages)-1]
 		// The number of pages, which is not known yet, has no more digits than that of types.
-		longer := records.CatalogRecord{Types: append(slices.Clip(last.Types), machineType), Pages: len(c.MachineTypes)}
+		longer := records.CatalogPage{Types: append(slices.Clip(last.Types), machineType), Pages: len(c.MachineTypes)}
 		if len(last.Types) > 0 && len(records.MustMarshal(longer)) > c.Settings.MaxValueBytes() {
-			pages = append(pages, records.CatalogRecord{Types: []api.MachineType{machineType}})
+			pages = append(pages, records.CatalogPage{Types: []api.MachineType{machineType}})
 			continue
 		}
 		last.Types = longer.Types
@@ -182,7 +182,7 @@
 
 // catalogTransaction writes the pages of the catalog, unless the copy has changed or
 // another controller keeps it now.
-func (c *MachineCatalog) catalogTransaction(grant leadership.Grant, pages []records.CatalogRecord) *api.Transaction {
+func (c *MachineCatalog) catalogTransaction(grant leadership.Grant, pages []records.CatalogPage) *api.Transaction {
 	transaction := &api.Transaction{Compares: []api.Compare{{Key: records.CatalogKey, Version: c.catalogVersion}}}
 	if grant.Term() > 0 {
 		key := coordination.RoleKey(leadership.Role{Kind: leadership.CatalogKeeper})
--- a/internal/provisioning/instance_deletion.go
+++ b/internal/provisioning/instance_deletion.go
@@ -80,7 +80,7 @@
 // awaitsDeletion tells whether a machine is known to be condemned for good, and the cloud
 // was not told yet.
 func awaitsDeletion(machine *cluster.Machine) bool {
-	return machine.Record.Condemned && !machine.RecordChangePending() && !machine.DeleteSent
+	return machine.Record.MarkedForDeletion && !machine.RecordChangePending() && !machine.DeleteSent
 }
 
 // sendDelete sends one request, if there is a grant for it now.
--- a/internal/provisioning/instance_list.go
+++ b/internal/provisioning/instance_list.go
@@ -162,7 +162,7 @@
 		machine.Address = instance.Address
 	}
 	machine.LaunchedAt = min(machine.LaunchedAt, l.Now-micros.FromSeconds(instance.AgeS))
-	if instance.State == api.InstanceFailed && !machine.Record.Condemned {
+	if instance.State == api.InstanceFailed && !machine.Record.MarkedForDeletion {
 		l.handleFailedInstance(machine)
 	}
 }
--- a/internal/provisioning/instance_list_test.go
+++ b/internal/provisioning/instance_list_test.go
@@ -116,7 +116,7 @@
 	if len(partition.MachineBatches) != 1 || !partition.MachineBatches[0].Adopt {
 		t.Fatalf("%d batches to record, want one", len(partition.MachineBatches))
 	}
-	list.deletions.RecordDeletion("n-2")
+	list.deletions.Record("n-2")
 	if !list.AdoptOrphan(peer.Orphan{Machine: "n-2"}, sourceListed) || len(partition.MachineBatches) != 1 {
 		t.Error("adopted although it was just deleted")
 	}
--- a/internal/provisioning/launched_machines.go
+++ b/internal/provisioning/launched_machines.go
@@ -30,7 +30,7 @@
 	if len(names) < request.launch.Count {
 		p.unavailableUntil[request.kind] = p.Now + p.refusalMemory()
 		p.ledger(partition).countPendingMachines(request.kind, len(names)-request.launch.Count)
-		p.trigger.RequestCycleWithin(shortfallPlanDelay)
+		p.trigger.RequestWithin(shortfallPlanDelay)
 	}
 	for batch := range slices.Chunk(names, p.machineBatchSize()) {
 		p.addMachineBatch(partition, request, batch)
@@ -42,7 +42,7 @@
 
 // machineBatchSize is how many machines are recorded at a time.
 func (p *Provisioner) machineBatchSize() int {
-	return max(1, p.Settings.MaxValueBytes()/machineBatchDivisor/cluster.MachineRecordBytes)
+	return max(1, p.Settings.MaxValueBytes()/machineBatchDivisor/cluster.MaxMachineRecordBytes)
 }
 
 // addMachineBatch has some of the machines of a request recorded. The request is withdrawn
@@ -66,13 +66,13 @@
 // and deleted before the answer came.
 func (p *Provisioner) launchedRecords(
 	partition *cluster.Partition, request *provisioningRequest, names []string,
-) []records.MachineRecord {
-	var list []records.MachineRecord
+) []records.Machine {
+	var list []records.Machine
 	for _, name := range names {
 		if p.deletions.RecentlyDeleted(name) {
 			continue
 		}
-		list = append(list, records.MachineRecord{
+		list = append(list, records.Machine{
 			Name:          name,
 			Type:          request.kind.Type,
 			Zone:          request.kind.Zone,
--- a/internal/provisioning/list_findings.go
+++ b/internal/provisioning/list_findings.go
@@ -94,7 +94,7 @@
 // any more. A machine of ours is scaled in only if it sent nothing for as long either.
 func (l *InstanceList) handleUnlistedInstance(name string) {
 	machine := l.cluster.Machines[name]
-	if machine == nil || machine.Record.Condemned {
+	if machine == nil || machine.Record.MarkedForDeletion {
 		return
 	}
 	if l.cluster.LedPartition(machine) == nil {
--- a/internal/provisioning/orphan_adoption.go
+++ b/internal/provisioning/orphan_adoption.go
@@ -62,7 +62,7 @@
 		logkey.Machine, orphan.Machine,
 		logkey.Type, orphan.Type,
 		logkey.Source, source)
-	record := records.MachineRecord{
+	record := records.Machine{
 		Name:          orphan.Machine,
 		Type:          orphan.Type,
 		Zone:          orphan.Zone,
@@ -72,7 +72,7 @@
 		LaunchedAt:    l.Now,
 	}
 	partition.MachineBatches = append(partition.MachineBatches, &cluster.MachineBatch{
-		Records:    []records.MachineRecord{record},
+		Records:    []records.Machine{record},
 		Adopt:      true,
 		OnRecorded: func() {},
 	})
@@ -91,7 +91,7 @@
 
 // isBeingRecorded tells whether a machine's first record waits to be committed.
 func (l *InstanceList) isBeingRecorded(name string) bool {
-	hasName := func(record records.MachineRecord) bool { return record.Name == name }
+	hasName := func(record records.Machine) bool { return record.Name == name }
 	for _, partition := range l.cluster.Partitions {
 		for _, batch := range partition.MachineBatches {
 			if slices.ContainsFunc(batch.Records, hasName) {
--- a/internal/provisioning/request_sending.go
+++ b/internal/provisioning/request_sending.go
@@ -91,7 +91,7 @@
 func (p *Provisioner) handleRefusal(partition *cluster.Partition, request *provisioningRequest, status int) {
 	ledger := p.ledger(partition)
 	ledger.countPendingMachines(request.kind, -request.launch.Count)
-	p.trigger.RequestCycleWithin(refusalPlanDelay)
+	p.trigger.RequestWithin(refusalPlanDelay)
 	if p.schema.RecordsRequests() {
 		ledger.deferRequest(request)
 	} else {
--- a/internal/records/dependency_packing.go
+++ b/internal/records/dependency_packing.go
@@ -8,17 +8,18 @@
 	"strings"
 )
 
-// jobIDPrefix begins the id of every job; a number follows.
+// jobIDPrefix is the prefix of all job ids. A number follows it.
 const jobIDPrefix = "wk-"
 
-// maxIDDigits bounds the digits of an id's number that are read from a packed list, so
-// that a damaged one cannot ask for an id of any length.
+// maxIDDigits bounds the digits of the ids that are read from a packed list, so that a damaged
+// list cannot produce ids of unbounded length.
 const maxIDDigits = 18
 
-// PackDependencies moves a job's dependencies into a form that takes a quarter of the
-// bytes: for the ids of each length their number of digits, how many there are, and the
-// difference of each number to the one before, all as variable-length integers.
-func (r *JobRecord) PackDependencies() {
+// PackDependencies moves the dependencies from Spec to PackedDependencies, a sorted form that
+// takes a quarter of the bytes. For the ids of each length it holds the number of digits, the
+// number of ids, and the difference of each id's number to the one before, all as
+// variable-length integers.
+func (r *Job) PackDependencies() {
 	ids := slices.Clone(r.Spec.Dependencies)
 	slices.SortFunc(ids, compareJobIDs)
 	r.Spec.Dependencies = nil
@@ -32,28 +33,29 @@
 	}
 }
 
-// compareJobIDs orders ids by length, since leading zeros tell ids apart, then as numbers.
+// compareJobIDs orders ids by length, since ids that differ only in leading zeros are distinct,
+// then by number.
 func compareJobIDs(a, b string) int {
 	return cmp.Or(cmp.Compare(len(a), len(b)), cmp.Compare(a, b))
 }
 
-// packIDs appends ids of one length, in order, to the packed dependencies.
-func (r *JobRecord) packIDs(ids []string) {
+// packIDs appends sorted ids of the same length to the packed dependencies.
+func (r *Job) packIDs(ids []string) {
 	packed := r.PackedDependencies
 	packed = binary.AppendUvarint(packed, uint64(len(ids[0])-len(jobIDPrefix)))
 	packed = binary.AppendUvarint(packed, uint64(len(ids)))
 	last := uint64(0)
 	for _, id := range ids {
-		number, _ := strconv.ParseUint(id[len(jobIDPrefix):], 10, 64) // its form was checked
+		number, _ := strconv.ParseUint(id[len(jobIDPrefix):], 10, 64) // ids were validated before
 		packed = binary.AppendUvarint(packed, number-last)
 		last = number
 	}
 	r.PackedDependencies = packed
 }
 
-// Dependencies returns the ids of the jobs that a job depends on, in whichever form they
-// are kept. Of a damaged packed list it returns what can be read.
-func (r *JobRecord) Dependencies() []string {
+// Dependencies returns the ids of the jobs that a job depends on, from the packed and the plain
+// form. If the packed list is damaged, it returns the ids that can be read.
+func (r *Job) Dependencies() []string {
 	ids := r.Spec.Dependencies
 	packed := &uvarintReader{rest: r.PackedDependencies}
 	for !packed.atEnd() {
@@ -67,7 +69,8 @@
 	return ids
 }
 
-// formatJobID returns the id of a number, padded with zeros to so many digits.
+// formatJobID returns the job id with that number, padded with zeros to digits digits but at
+// most to maxIDDigits.
 func formatJobID(number uint64, digits int) string {
 	text := strconv.FormatUint(number, 10)
 	zeros := max(0, min(digits, maxIDDigits)-len(text))
@@ -79,8 +82,8 @@
 
 func (r *uvarintReader) atEnd() bool { return len(r.rest) == 0 }
 
-// next returns the next integer. Past the end or at a damaged one it returns 0, and
-// nothing is left to be read.
+// next returns the next integer. At the end or at a damaged integer it returns 0 and discards
+// the remaining bytes.
 func (r *uvarintReader) next() uint64 {
 	value, length := binary.Uvarint(r.rest)
 	if length <= 0 {
--- a/internal/records/dependency_packing_test.go
+++ b/internal/records/dependency_packing_test.go
@@ -12,7 +12,7 @@
 	for _, tc := range []struct {
 		name string
 		ids  []string
-		want []string // in order
+		want []string // sorted
 	}{
 		{"none", nil, nil},
 		{"one", []string{"wk-000001"}, []string{"wk-000001"}},
@@ -21,32 +21,32 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			record := JobRecord{Spec: api.Job{Dependencies: tc.ids}}
+			record := Job{Spec: api.Job{Dependencies: tc.ids}}
 			record.PackDependencies()
 			if record.Spec.Dependencies != nil {
-				t.Errorf("the list %q stays", record.Spec.Dependencies)
+				t.Errorf("got plain dependencies %q, want nil", record.Spec.Dependencies)
 			}
 			if got := record.Dependencies(); !slices.Equal(got, tc.want) {
-				t.Errorf("read %q, want %q", got, tc.want)
+				t.Errorf("got dependencies %q, want %q", got, tc.want)
 			}
 		})
 	}
 }
 
-// TestDependenciesOfDamagedList makes sure that reading comes to an end, with ids of a
+// TestDependenciesOfDamagedList checks that reading a damaged list terminates and returns ids of
 // bounded length.
 func TestDependenciesOfDamagedList(t *testing.T) {
 	t.Parallel()
 	for _, packed := range [][]byte{
-		{0x80},                      // an integer without an end
+		{0x80},                      // an unterminated integer
 		{6},                         // no count
-		{6, 0xff, 0xff, 0xff, 0x7f}, // a count of millions, and no numbers
+		{6, 0xff, 0xff, 0xff, 0x7f}, // a count of millions without numbers
 		{0xff, 0x7f, 1, 5},          // thousands of digits
 	} {
-		record := JobRecord{PackedDependencies: packed}
+		record := Job{PackedDependencies: packed}
 		for _, id := range record.Dependencies() {
 			if len(id) > len(jobIDPrefix)+maxIDDigits {
-				t.Errorf("%x gives an id of %d bytes", packed, len(id))
+				t.Errorf("%x: got an id of %d bytes, want at most the prefix and maxIDDigits", packed, len(id))
 			}
 		}
 	}
--- a/internal/records/encoding_test.go
+++ b/internal/records/encoding_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// TestEncodedSize compares the sizes that entries are filled by with what is written.
+// TestEncodedSize compares the computed sizes of runs and machine records with their encoded
+// sizes.
 func TestEncodedSize(t *testing.T) {
 	t.Parallel()
 	for _, run := range []TaskRun{
@@ -13,13 +14,13 @@
 		{Job: "wk-000001", First: 12_345, Tasks: 678, State: TaskPlaced, Attempt: 1 << 40, Machine: "n-000412"},
 	} {
 		if got, want := run.EncodedSize(), len(MustMarshal(run))+1; got != want {
-			t.Errorf("%+v takes %d bytes with its comma, counted as %d", run, want, got)
+			t.Errorf("%+v: want %d bytes with its comma, got %d", run, want, got)
 		}
 	}
-	machine := MachineRecord{Name: "n-000412", Type: "g4", Zone: "alta", Epoch: 1}
-	one, two := []MachineRecord{machine}, []MachineRecord{machine, machine}
+	machine := Machine{Name: "n-000412", Type: "g4", Zone: "alta", Epoch: 1}
+	one, two := []Machine{machine}, []Machine{machine, machine}
 	if got, want := machine.EncodedSize(), len(MustMarshal(two))-len(MustMarshal(one)); got != want {
-		t.Errorf("a second machine takes %d bytes in a list, counted as %d", want, got)
+		t.Errorf("second machine of a list: want %d bytes, got %d", want, got)
 	}
 }
 
@@ -34,7 +35,7 @@
 		{12, 12_345, "live/l/12/12345"},
 	} {
 		if got := SlotKey(tc.partition, tc.slot); got != tc.want {
-			t.Errorf("slot %d of partition %d: %s, want %s", tc.slot, tc.partition, got, tc.want)
+			t.Errorf("slot %d of partition %d: got %s, want %s", tc.slot, tc.partition, got, tc.want)
 		}
 	}
 }
--- a/internal/records/task_state.go
+++ b/internal/records/task_state.go
@@ -2,8 +2,8 @@
 
 import "strconv"
 
-// TaskState is the state of a task as the log records it: a number, whose values are read
-// by other versions of the program and never change.
+// TaskState is the state of a task in the log. Other versions of the program read the numbers,
+// so they never change.
 //
 //	pending ──placed on a machine──▶ placed ──exited with success──▶ done
 //	   ▲                               │
@@ -14,18 +14,17 @@
 const (
 	// TaskPending is the state of a task that waits to be placed.
 	TaskPending TaskState = iota
-	// TaskPlaced is the state of a task bound to a machine. It holds until the task is
-	// proven to be gone from there, whether or not it has started.
+	// TaskPlaced is the state of a task that is assigned to a machine, whether or not it has
+	// started. The task stays in it until it is proven that it is no longer on the machine.
 	TaskPlaced
 	// TaskDone is the state of a task that has succeeded. It is terminal.
 	TaskDone
 )
 
-// CanBecome reports whether a partition's leader may decide that a task goes from one
-// state to the next. It speaks of decisions alone: the replica of a partition that
-// another controller leads may skip states, since a slot of a log that is written again
-// tells the latest of a task only, and a leader that discards what was not committed goes
-// back to what was.
+// CanBecome reports whether the leader of a partition may move a task from one state to the
+// next. It does not apply to two other changes of a replica. The replica of a partition that
+// another controller leads may skip states, since an overwritten slot of the log holds only the
+// latest state of a task. A leader that discards uncommitted changes returns to earlier states.
 func (s TaskState) CanBecome(next TaskState) bool {
 	switch s {
 	case TaskPending:
@@ -37,7 +36,7 @@
 	}
 }
 
-// String returns the name of a state, for test failures and debugging.
+// String returns the name of the state, for test failures and debugging.
 func (s TaskState) String() string {
 	switch s {
 	case TaskPending:
--- a/internal/records/task_state_test.go
+++ b/internal/records/task_state_test.go
@@ -6,8 +6,7 @@
 	"github.com/go-json-experiment/json"
 )
 
-// TestTaskStateTransitions lists every pair of states, so that a transition that is not
-// permitted is recognized.
+// TestTaskStateTransitions checks every pair of states, including one that is not defined.
 func TestTaskStateTransitions(t *testing.T) {
 	t.Parallel()
 	permitted := map[[2]TaskState]bool{
@@ -20,13 +19,13 @@
 	for _, from := range states {
 		for _, to := range states {
 			if got, want := from.CanBecome(to), permitted[[2]TaskState{from, to}]; got != want {
-				t.Errorf("%v can become %v: %t, want %t", from, to, got, want)
+				t.Errorf("%v can become %v: got %t, want %t", from, to, got, want)
 			}
 		}
 	}
 }
 
-// TestTaskStateEncoding guards the bytes in the store, which other versions read.
+// TestTaskStateEncoding checks the encoding in the store, which other versions read.
 func TestTaskStateEncoding(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
@@ -39,11 +38,11 @@
 	} {
 		encoded := MustMarshal(TaskRun{Job: "wk-1", State: tc.state})
 		if string(encoded) != tc.want {
-			t.Errorf("%v is encoded as %s, want %s", tc.state, encoded, tc.want)
+			t.Errorf("encoding %v: got %s, want %s", tc.state, encoded, tc.want)
 		}
 		var run TaskRun
 		if err := json.Unmarshal([]byte(tc.want), &run); err != nil || run.State != tc.state {
-			t.Errorf("%s is read as %v, %v", tc.want, run.State, err)
+			t.Errorf("decoding %s: got state %v and error %v, want the state of the case and no error", tc.want, run.State, err)
 		}
 	}
 }
