--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -79,7 +79,7 @@
 // Do carries out a call and returns its reply, whose status is 0 where none came and 429
 // where the budget did not allow the call.
 func (c *Client) Do(ctx context.Context, call message.CloudCall) *message.CloudReply {
-	reply := &message.CloudReply{Call: call.Call}
+	reply := &message.CloudReply{CallID: call.CallID}
 	read := func(status int, body []byte) error { return decode(call.Op, status, body, reply) }
 	err := c.http.Do(ctx, c.request(call), read)
 	var notSent *jsonhttp.NotSentError
--- a/internal/coordination/environment.go
+++ b/internal/coordination/environment.go
@@ -65,16 +65,16 @@
 // later step.
 func (e *Environment) CallStore(call message.StoreCall, handle func(*message.StoreReply)) {
 	e.NextCall++
-	call.Call = e.NextCall
-	e.StoreCalls[call.Call] = handle
+	call.CallID = e.NextCall
+	e.StoreCalls[call.CallID] = handle
 	e.Emit(call)
 }
 
 // CallCloud sends a request to the cloud and gives its reply to handle, in a later step.
 func (e *Environment) CallCloud(call message.CloudCall, handle func(*message.CloudReply)) {
 	e.NextCall++
-	call.Call = e.NextCall
-	e.CloudCalls[call.Call] = handle
+	call.CallID = e.NextCall
+	e.CloudCalls[call.CallID] = handle
 	e.Emit(call)
 }
 
--- a/internal/coordination/environment_test.go
+++ b/internal/coordination/environment_test.go
@@ -50,9 +50,9 @@
 
 // replyTo gives a call its reply.
 func replyTo(env *Environment, call message.StoreCall, reply message.StoreReply) {
-	handle := env.StoreCalls[call.Call]
-	delete(env.StoreCalls, call.Call)
-	reply.Call = call.Call
+	handle := env.StoreCalls[call.CallID]
+	delete(env.StoreCalls, call.CallID)
+	reply.CallID = call.CallID
 	handle(&reply)
 }
 
--- a/internal/coordination/store_lease.go
+++ b/internal/coordination/store_lease.go
@@ -71,7 +71,7 @@
 	if l.Lease.ID == 0 {
 		return message.StoreCall{Op: message.OpGrantLease, TTLMs: l.Settings.LeaseTTL().Milliseconds(), Urgent: true}
 	}
-	return message.StoreCall{Op: message.OpRenewLease, Lease: l.Lease.ID, Urgent: true}
+	return message.StoreCall{Op: message.OpRenewLease, LeaseID: l.Lease.ID, Urgent: true}
 }
 
 // handleRenewal takes in the reply to a renewal. The lease counts from when the renewal
@@ -82,7 +82,7 @@
 	switch reply.Status {
 	case message.StatusOK:
 		if l.Lease.ID == 0 {
-			l.Lease.ID = reply.Lease
+			l.Lease.ID = reply.LeaseID
 		}
 		l.Lease.RenewalSentAt = sentAt
 	case message.StatusNotFound:
--- a/internal/coordination/store_lease_test.go
+++ b/internal/coordination/store_lease_test.go
@@ -19,7 +19,7 @@
 	lease.RenewLease()
 	sentAt := env.Now
 	call := takeStoreCall(t, env)
-	if call.Op != message.OpRenewLease || call.Lease != 5 {
+	if call.Op != message.OpRenewLease || call.LeaseID != 5 {
 		t.Fatalf("renewed by %+v", call)
 	}
 	env.Now += micros.Second
--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -13,14 +13,14 @@
 	"spurmoor/internal/scheduler"
 )
 
-// maxSubmissionsInFlight bounds the submissions that are being recorded at a time.
+// maxSubmissionsInFlight bounds the submissions that are recorded concurrently.
 const maxSubmissionsInFlight = 100
 
-// storeUnavailableTimeout is how long the store must not answer before submissions are
-// refused without asking it.
-const storeUnavailableTimeout = 2 * micros.Second
+// admissionStoreTimeout is how long the store must be unavailable before submissions are
+// refused without a request to it.
+const admissionStoreTimeout = 2 * micros.Second
 
-// admissionControl decides which submissions are refused, and why.
+// admissionControl decides which submissions are refused and for what reason.
 type admissionControl struct {
 	*coordination.Environment
 	catalog      *provisioning.MachineCatalog
@@ -29,7 +29,7 @@
 	schema       *coordination.SchemaTracker
 	storeHealth  *coordination.StoreHealth
 
-	inFlight int // submissions whose dependencies are looked up or that are being recorded
+	inFlight int // submissions being recorded or waiting for a lookup of their dependencies
 }
 
 func newAdmissionControl(
@@ -45,30 +45,30 @@
 	}
 }
 
-// storeIsUnavailable tells whether the store has not answered for so long that asking it
-// would only keep the user waiting.
-func (a *admissionControl) storeIsUnavailable() bool {
+// storeUnavailable reports whether the store has not answered for so long that another
+// request to it would only keep the user waiting.
+func (a *admissionControl) storeUnavailable() bool {
 	since := a.storeHealth.UnavailableSince
-	return since > 0 && a.Now > since+storeUnavailableTimeout
+	return since > 0 && a.Now > since+admissionStoreTimeout
 }
 
-// check tells whether a job may be accepted as far as that can be said without asking the
-// store; if not, it gives the refusal.
+// check reports whether a job may be accepted, as far as that is known without a request to
+// the store. If not, it returns the refusal.
 func (a *admissionControl) check(spec *api.Job) (refusal, bool) {
 	if len(a.catalog.MachineTypes) == 0 {
 		return refusalCatalogUnknown, false
 	}
-	if why, ok := a.checkSchedulable(spec); !ok {
-		return why, false
+	if reason, ok := a.checkSchedulable(spec); !ok {
+		return reason, false
 	}
 	record := records.Job{Spec: withoutDependencies(*spec), AcceptedAt: a.Now}
 	if len(records.MustMarshal(record)) > a.Settings.MaxValueBytes() {
-		return refusalTooLong, false
+		return refusalJobTooLong, false
 	}
 	if outcome, _ := a.dependencies.KnownOutcome(spec.ID); outcome != cluster.OutcomeUnknown {
-		// The replica knows the job: a transaction that is sure to fail would count
-		// against the store's budget of changes all the same. A repeated submission
-		// is answered as such instead of with this refusal.
+		// The replica has the job, so a transaction is certain to fail, yet it would
+		// count against the store's write limit. The user gets the job's state instead
+		// of this refusal.
 		return refusalStoreBusy, false
 	}
 	if len(a.cluster.Jobs) >= a.Settings.MaxUnfinishedJobs() || a.inFlight >= maxSubmissionsInFlight {
@@ -77,19 +77,19 @@
 	return refusal{}, true
 }
 
-// checkDependencies tells whether a job with these dependencies may be accepted as far as
-// that can be said without looking them up; if not, it gives the refusal.
+// checkDependencies reports whether a job with these dependencies may be accepted, as far
+// as that is known without looking them up. If not, it returns the refusal.
 func (a *admissionControl) checkDependencies(spec *api.Job) (refusal, bool) {
 	if slices.Contains(spec.Dependencies, spec.ID) {
 		return refusalDependsOnItself, false
 	}
 	if !a.schema.AllReadSchema(records.SchemaDependencies) {
-		return refusalDependenciesUnreadable, false
+		return refusalDependenciesUnsupported, false
 	}
 	return refusal{}, true
 }
 
-// checkSchedulable tells whether a job can ever run; if not, it gives the refusal.
+// checkSchedulable reports whether a job can ever run. If not, it returns the refusal.
 func (a *admissionControl) checkSchedulable(spec *api.Job) (refusal, bool) {
 	if _, ok := a.Settings.TeamPartition[spec.Team]; !ok {
 		return refusalUnknownTeam, false
@@ -104,7 +104,7 @@
 	return refusal{}, true
 }
 
-// fitsSomeMachineType tells whether one task fits an on-demand machine that the job allows.
+// fitsSomeMachineType reports whether one task fits an on-demand machine that the job allows.
 func (a *admissionControl) fitsSomeMachineType(spec *api.Job, task scheduler.Resources) bool {
 	return slices.ContainsFunc(a.catalog.MachineTypes, func(machineType api.MachineType) bool {
 		capacity := scheduler.NewResources(machineType.CPUs, machineType.GPUs, machineType.MemoryGB)
@@ -114,26 +114,27 @@
 	})
 }
 
-// exceedsTeamLimit tells whether the tasks of a job that must run together, of an array
-// one alone, need more than its team may ever use.
+// exceedsTeamLimit reports whether the tasks of a job that must run at the same time need
+// more than its team's limit. For an array that is one task, for other jobs all tasks.
 func (a *admissionControl) exceedsTeamLimit(spec *api.Job, task scheduler.Resources) bool {
-	together := int64(1)
+	concurrentTasks := int64(1)
 	if spec.Kind != api.Array {
-		together = int64(spec.Tasks)
+		concurrentTasks = int64(spec.Tasks)
 	}
 	for _, team := range a.Settings.Deployment.Teams {
 		if team.Name != spec.Team {
 			continue
 		}
 		limit := scheduler.NewResources(team.MaxCPUs, team.MaxGPUs, 0)
-		if limit.MilliCPU > 0 && task.MilliCPU*together > limit.MilliCPU || limit.MilliGPU > 0 && task.MilliGPU*together > limit.MilliGPU {
+		if limit.MilliCPU > 0 && task.MilliCPU*concurrentTasks > limit.MilliCPU ||
+			limit.MilliGPU > 0 && task.MilliGPU*concurrentTasks > limit.MilliGPU {
 			return true
 		}
 	}
 	return false
 }
 
-// withoutDependencies gives a job without its dependencies.
+// withoutDependencies returns a copy of a job without its dependencies.
 func withoutDependencies(spec api.Job) api.Job {
 	spec.Dependencies = nil
 	return spec
--- a/internal/core/command_reply.go
+++ b/internal/core/command_reply.go
@@ -8,10 +8,11 @@
 	"spurmoor/internal/peer"
 )
 
-// unsentCommandRetry is how soon commands are sent again that never left this process.
+// unsentCommandRetry is the delay before commands that never left this process are sent
+// again.
 const unsentCommandRetry = micros.Second / 5
 
-// handleCommandReply takes in a worker's reply to direct commands, or that none came.
+// handleCommandReply handles a worker's reply to direct commands, or the lack of one.
 func (h *workerHandler) handleCommandReply(reply message.CommandReply) {
 	if reply.Status != 0 {
 		h.workerReach.ObserveWorkerReply()
@@ -34,7 +35,7 @@
 		return
 	}
 	if reply.Status == message.StatusConflict {
-		// We did not know the worker's incarnation: again with the right one.
+		// The commands named an outdated incarnation. They are sent again with the current one.
 		h.observeIncarnation(machine, heartbeat.Incarnation)
 		machine.NextCommandAt = h.Now
 		return
@@ -44,8 +45,8 @@
 	}
 }
 
-// heartbeatOf gives the heartbeat that a reply carries; nil: it has none of the machine
-// that was asked.
+// heartbeatOf returns the heartbeat in a reply, or nil if there is none from the machine
+// that the commands were sent to.
 func heartbeatOf(reply message.CommandReply) *api.Heartbeat {
 	answered := reply.Status == message.StatusOK || reply.Status == message.StatusConflict
 	if !answered || reply.Heartbeat == nil || reply.Heartbeat.Machine != reply.Machine {
@@ -54,7 +55,7 @@
 	return reply.Heartbeat
 }
 
-// adoptOrphan has an instance recorded that answers and has no record.
+// adoptOrphan has an instance recorded that replied to commands but has no record.
 func (h *workerHandler) adoptOrphan(reply message.CommandReply) {
 	heartbeat := heartbeatOf(reply)
 	if heartbeat == nil {
@@ -64,11 +65,11 @@
 	h.instances.AdoptOrphan(orphan, "reported")
 }
 
-// observeIncarnation takes in the incarnation that a worker says it is in. They only rise,
-// so a higher one proves gone whatever was observed in an earlier one, whoever says it and
-// however late; no command of the earlier one is carried out any more. When only
-// heartbeats were taken as proof, tasks on a machine that nothing but direct commands
-// reached were taken to run on for as long as that lasted.
+// observeIncarnation applies the incarnation that a worker reports. Incarnations only
+// increase. A higher one proves that all tasks observed in an earlier one are gone, even if
+// the report is late, and that commands to the earlier one no longer take effect. Replies
+// to direct commands count as well as heartbeats: otherwise tasks count as running for as
+// long as a restarted machine is reachable only by direct commands.
 func (h *workerHandler) observeIncarnation(machine *cluster.Machine, incarnation api.Incarnation) {
 	if incarnation <= machine.Incarnation {
 		return
@@ -79,8 +80,8 @@
 		job := h.cluster.Jobs[id.Job]
 		task := job.Task(id.Index)
 		task.DirectStartToken = 0 // direct starts name the incarnation
-		isOurs := h.cluster.LedPartition(machine) != nil && job.Partition == machine.Record.Partition
-		if task.Observed && isOurs {
+		ledHere := h.cluster.LedPartition(machine) != nil && job.Partition == machine.Record.Partition
+		if task.Observed && ledHere {
 			h.tasks.Release(job, id.Index, "its worker's incarnation ended")
 		}
 	}
--- a/internal/core/commit_test.go
+++ b/internal/core/commit_test.go
@@ -9,32 +9,32 @@
 	"spurmoor/internal/records"
 )
 
-// TestCommitOfStartComparesJob guards against a start that is committed after its job's
-// cancellation was: each commit with a start of a job compares that job's key.
+// TestCommitOfStartComparesJob guards against a start that is committed after its job was
+// cancelled: a commit with a start must compare the job's key.
 func TestCommitOfStartComparesJob(t *testing.T) {
 	fixture := newLeaderFixture(t)
-	fixture.clearTask()
+	fixture.removeTask()
 	fixture.cluster.ChangeTask(fixture.job, 0, cluster.TaskRecord{State: records.TaskPlaced, Attempt: 2, Machine: fixture.machine.Name})
 	commit := fixture.partitionLog.BuildCommit(fixture.partition, 10)
 	if commit == nil || !slices.Contains(commit.Request.Compares, fixture.jobCompare()) {
-		t.Errorf("a start is committed without its job's key: %+v", commit)
+		t.Errorf("commit of a start: got %+v, want one that compares the job's key", commit)
 	}
 }
 
-// TestCommitOfEndComparesJob guards against an end that is recorded after its job's
-// cancellation was told, by a transaction that comes late: it compares the version of the
-// job's key that it follows.
+// TestCommitOfEndComparesJob guards against a late transaction that records a job as done
+// after its cancellation was confirmed to the user: the transaction must compare the version
+// of the job's key that it is based on.
 func TestCommitOfEndComparesJob(t *testing.T) {
 	fixture := newLeaderFixture(t)
 	fixture.cluster.ChangeTask(fixture.job, 0, cluster.TaskRecord{State: records.TaskDone, Attempt: 1, Machine: ""})
 	commit := fixture.partitionLog.BuildCommit(fixture.partition, 10)
 	if commit == nil || len(commit.TerminalJobs) != 1 || !slices.Contains(commit.Request.Compares, fixture.jobCompare()) {
-		t.Errorf("an end is recorded without its job's key: %+v", commit)
+		t.Errorf("commit of a job's end: got %+v, want one that ends one job and compares its key", commit)
 	}
 }
 
-// TestCommitComparesTermAndSlot guards against a commit that is carried out after its
-// partition was taken by another controller, or after a newer commit of the same term.
+// TestCommitComparesTermAndSlot guards against a commit that is carried out after another
+// controller acquired the partition, or after a newer commit of the same term.
 func TestCommitComparesTermAndSlot(t *testing.T) {
 	fixture := newLeaderFixture(t)
 	fixture.cluster.SetTask(fixture.job, 0, cluster.TaskRecord{})
@@ -46,12 +46,12 @@
 		{Key: slotKey, Version: commit.PreviousSlotVersion},
 	} {
 		if !slices.Contains(commit.Request.Compares, compare) {
-			t.Errorf("a commit does not compare %+v: %+v", compare, commit.Request.Compares)
+			t.Errorf("compares of the commit: want %+v among them, got %+v", compare, commit.Request.Compares)
 		}
 	}
 }
 
-// jobCompare is the condition that the job's key is as it was read.
+// jobCompare returns the condition that the job's key has not changed since it was read.
 func (f *leaderFixture) jobCompare() api.Compare {
 	return api.Compare{Key: records.JobPrefix + f.job.ID, Version: f.job.Version}
 }
--- a/internal/core/components.go
+++ b/internal/core/components.go
@@ -12,13 +12,14 @@
 	"spurmoor/internal/settings"
 )
 
-// Controller is the state machine of one controller. It hands each input to the component
-// that handles it, and then has every component do what time made due. The components are
-// in the order in which they are made: each knows only those before it.
+// Controller is the state machine of one controller. It passes each input to the component
+// that handles it, and then runs the periodic work of all components. The components are
+// listed in the order in which they are created: each depends only on those before it.
+// A Controller is not safe for concurrent use.
 type Controller struct {
 	*coordination.Environment
 
-	// The store, the lease on it, and the roles that hang on the lease.
+	// The store, the lease on it, and the roles that depend on the lease.
 	storeHealth  *coordination.StoreHealth
 	trigger      *cluster.CycleTrigger
 	workerReach  *coordination.WorkerReach
@@ -33,7 +34,7 @@
 	storeLease   *coordination.StoreLease
 	roles        *coordination.RoleManager
 
-	// The replica and what commits changes of it.
+	// The replica, and the components that change it and commit the changes.
 	cluster      *cluster.State
 	tasks        *cluster.TaskLifecycle
 	dependencies *cluster.DependencyGraph
@@ -46,7 +47,7 @@
 	instances    *provisioning.InstanceList
 	deleter      *provisioning.InstanceDeleter
 
-	// Planning, and the care for machines by the plans.
+	// Scheduling, and the management of machines according to the plans.
 	isolation    *planning.IsolationMonitor
 	urgencies    *planning.UrgencyIndex
 	view         *planning.SchedulerView
@@ -55,7 +56,7 @@
 	manager      *planning.MachineManager
 	scheduling   *planning.SchedulingCycle
 
-	// Handlers of what others send.
+	// Handlers for requests and messages.
 	workers       *workerHandler
 	condition     *conditionTracker
 	messenger     *peerMessenger
@@ -73,27 +74,27 @@
 	nextPeriodicAt micros.Micros
 }
 
-// New makes a controller. incarnation tells this process from earlier ones of the same
-// name; random serves jitter alone.
+// New returns a controller whose replica is empty. incarnation distinguishes this process
+// from earlier ones of the same node. random is used only for jitter.
 func New(set *settings.Settings, incarnation leadership.Incarnation, random *rand.Rand) *Controller {
 	env := coordination.NewEnvironment(set, incarnation, random)
 	controller := &Controller{Environment: env}
-	controller.makeCoordination(env)
-	controller.makeReplica(env)
-	controller.makeProvisioning(env)
-	controller.makePlanning(env)
-	controller.makeHandlers(env)
-	controller.makeUserHandlers(env)
-	// These are notified by components made before them.
+	controller.initCoordination(env)
+	controller.initReplica(env)
+	controller.initProvisioning(env)
+	controller.initPlanning(env)
+	controller.initHandlers(env)
+	controller.initUserHandlers(env)
+	// These are notified by components that were created before them.
 	controller.cache.Sink = controller.applier
 	controller.roles.Observer = controller.failover
 	controller.storeLease.Observer = controller.roles
 	return controller
 }
 
-// makeCoordination makes what knows nothing of jobs and machines, and the small records of
-// jobs and machines that depend on no other component.
-func (c *Controller) makeCoordination(env *coordination.Environment) {
+// initCoordination creates the components that do not depend on jobs and machines, and
+// those that track jobs and machines without depending on any other component.
+func (c *Controller) initCoordination(env *coordination.Environment) {
 	c.storeHealth = coordination.NewStoreHealth(env)
 	c.trigger = cluster.NewCycleTrigger(env)
 	c.workerReach = coordination.NewWorkerReach(env)
@@ -111,8 +112,8 @@
 	)
 }
 
-// makeReplica makes the replica and what commits changes of it.
-func (c *Controller) makeReplica(env *coordination.Environment) {
+// initReplica creates the replica and the components that commit changes to it.
+func (c *Controller) initReplica(env *coordination.Environment) {
 	c.cluster = cluster.NewState(env, c.cache, c.roles)
 	c.tasks = cluster.NewTaskLifecycle(env, c.cluster, c.storeLease, c.trigger)
 	c.dependencies = cluster.NewDependencyGraph(env, c.cache, c.cluster, c.trigger)
@@ -123,8 +124,8 @@
 	)
 }
 
-// makeProvisioning makes what deals with the cloud.
-func (c *Controller) makeProvisioning(env *coordination.Environment) {
+// initProvisioning creates the components that send requests to the cloud.
+func (c *Controller) initProvisioning(env *coordination.Environment) {
 	c.provisioning = provisioning.NewProvisioner(
 		env, c.budget, c.cluster, c.deletions, c.schema, c.storeLease, c.transactions, c.trigger,
 	)
@@ -132,8 +133,8 @@
 	c.deleter = provisioning.NewInstanceDeleter(env, c.cluster, c.storeLease)
 }
 
-// makePlanning makes what plans, and what looks after machines by the plans.
-func (c *Controller) makePlanning(env *coordination.Environment) {
+// initPlanning creates the components that schedule jobs and manage machines.
+func (c *Controller) initPlanning(env *coordination.Environment) {
 	c.isolation = planning.NewIsolationMonitor(env, c.cluster, c.peers, c.roles, c.workerReach)
 	c.urgencies = planning.NewUrgencyIndex(env, c.catalog, c.cluster, c.dependencies)
 	c.view = planning.NewSchedulerView(env, c.cluster, c.tasks, c.urgencies)
@@ -152,8 +153,9 @@
 	)
 }
 
-// makeHandlers makes what takes in what workers, other controllers and the store say.
-func (c *Controller) makeHandlers(env *coordination.Environment) {
+// initHandlers creates the handlers for messages from workers, other controllers and the
+// store.
+func (c *Controller) initHandlers(env *coordination.Environment) {
 	c.workers = newWorkerHandler(
 		env, c.boots, c.cache, c.cluster, c.instances, c.manager, c.storeLease, c.tasks, c.trigger, c.workerReach,
 	)
@@ -172,8 +174,8 @@
 	)
 }
 
-// makeUserHandlers makes what answers users and health checks.
-func (c *Controller) makeUserHandlers(env *coordination.Environment) {
+// initUserHandlers creates the handlers for requests of users and health checks.
+func (c *Controller) initUserHandlers(env *coordination.Environment) {
 	c.admission = newAdmissionControl(env, c.catalog, c.cluster, c.dependencies, c.schema, c.storeHealth)
 	c.jobs = newJobLookup(env, c.cache, c.cluster, c.dependencies)
 	c.writer = newJobWriter(env, c.applier, c.budget, c.cache)
--- a/internal/core/condition.go
+++ b/internal/core/condition.go
@@ -8,33 +8,36 @@
 	"spurmoor/internal/planning"
 )
 
-// condition is what a controller can tell of what it has lost. Each is one line in the
-// log when it begins and ends, and stands on /ready. The texts are for operators.
+// condition describes which connections a controller has lost, as far as it can tell.
+// Changes are logged, and /ready returns the current condition. Operators read the texts.
 type condition string
 
 const (
-	conditionHealthy          condition = "well"
-	conditionNotSynced        condition = "reading the state service"
-	conditionRefusedAlone     condition = "the state service refuses this controller, others have it"
-	conditionUnansweredAlone  condition = "the state service does not answer this controller, others have it"
-	conditionStoreUnavailable condition = "the state service is away, for other controllers too"
-	conditionOnlyWorkers      condition = "neither the state service nor other controllers answer, workers do"
-	conditionIsolated         condition = "nothing answers: this controller is cut off"
-	conditionNoWorkers        condition = "no worker reaches this controller"
+	conditionHealthy                   condition = "well"
+	conditionNotSynced                 condition = "reading the state service"
+	conditionStoreRefusesThisNode      condition = "the state service refuses this controller, others have it"
+	conditionStoreNotAnsweringThisNode condition = "the state service does not answer this controller, others have it"
+	conditionStoreUnavailable          condition = "the state service is away, for other controllers too"
+	conditionOnlyWorkersReachable      condition = "neither the state service nor other controllers answer, workers do"
+	conditionIsolated                  condition = "nothing answers: this controller is cut off"
+	conditionNoWorkers                 condition = "no worker reaches this controller"
 )
 
-// storeSilenceTolerance is how long the store must not answer before that is a condition.
-const storeSilenceTolerance = 3 * micros.Second / 2
+// conditionStoreTimeout is how long the store must be unavailable before the condition
+// changes.
+const conditionStoreTimeout = 3 * micros.Second / 2
 
-// conditionDelay is how long a condition must last before it is logged.
-const conditionDelay = micros.Second
+// conditionLogDelay is how long a condition must last before it is logged. Shorter changes
+// are not logged.
+const conditionLogDelay = micros.Second
 
-// minMachinesForSilence is how many machines a controller must know before it concludes
-// anything from their silence: without machines none can be heard, and one alone may
-// itself have failed.
-const minMachinesForSilence = 2
+// minMachinesToDetectSilence is how many machines a controller must know before missing
+// heartbeats mean that no worker reaches it. Without machines there are no heartbeats, and
+// a single machine may have failed itself.
+const minMachinesToDetectSilence = 2
 
-// conditionTracker tells the log and health checks what this controller has lost.
+// conditionTracker determines the condition of this controller for the log and for health
+// checks.
 type conditionTracker struct {
 	*coordination.Environment
 	cache       *coordination.WatchCache
@@ -44,9 +47,9 @@
 	storeHealth *coordination.StoreHealth
 	workerReach *coordination.WorkerReach
 
-	reported      condition // that was logged last
-	reportedSince micros.Micros
-	observed      condition // now, perhaps not for long enough to be logged
+	lastLogged    condition // logged last; the first one that lasts is set without a log line
+	lastLoggedAt  micros.Micros
+	observed      condition // current; may not have lasted long enough to be logged
 	observedSince micros.Micros
 }
 
@@ -65,11 +68,11 @@
 	}
 }
 
-// currentCondition works out the condition now.
+// currentCondition returns the condition at this time.
 func (t *conditionTracker) currentCondition() condition {
 	since := t.storeHealth.UnavailableSince
 	switch {
-	case since > 0 && t.Now > since+storeSilenceTolerance:
+	case since > 0 && t.Now > since+conditionStoreTimeout:
 		return t.conditionWithoutStore()
 	case !t.cache.Synced:
 		return conditionNotSynced
@@ -79,39 +82,41 @@
 	return conditionHealthy
 }
 
-// conditionWithoutStore tells what else a controller lost that the store does not answer.
+// conditionWithoutStore returns the condition while the store does not answer: it depends
+// on whether other controllers and workers can be heard.
 func (t *conditionTracker) conditionWithoutStore() condition {
-	workersSilent := len(t.cluster.Machines) >= minMachinesForSilence &&
+	workersSilent := len(t.cluster.Machines) >= minMachinesToDetectSilence &&
 		t.Now > t.workerReach.LastWorkerContactAt+t.Settings.HeartbeatTimeout()
 	switch {
 	case t.peers.HealthyPeerKnown() && t.storeHealth.Refusing:
-		return conditionRefusedAlone
+		return conditionStoreRefusesThisNode
 	case t.peers.HealthyPeerKnown():
-		return conditionUnansweredAlone
+		return conditionStoreNotAnsweringThisNode
 	case t.peers.AnyPeerAlive():
 		return conditionStoreUnavailable
 	case workersSilent:
 		return conditionIsolated
 	}
-	return conditionOnlyWorkers
+	return conditionOnlyWorkersReachable
 }
 
-// trackCondition logs changes of the condition, except those that pass quickly.
+// trackCondition logs a change of the condition once the new one has lasted
+// conditionLogDelay.
 func (t *conditionTracker) trackCondition() {
 	current := t.currentCondition()
 	if current != t.observed {
 		t.observed = current
 		t.observedSince = t.Now
 	}
-	if current == t.reported || t.Now < t.observedSince+conditionDelay {
+	if current == t.lastLogged || t.Now < t.observedSince+conditionLogDelay {
 		return
 	}
-	if t.reported != "" {
+	if t.lastLogged != "" {
 		t.LogWarn("condition changed",
 			logkey.Condition, string(current),
-			logkey.PreviousCondition, string(t.reported),
-			logkey.ForS, (t.Now - t.reportedSince).WholeSeconds())
+			logkey.PreviousCondition, string(t.lastLogged),
+			logkey.ForS, (t.Now - t.lastLoggedAt).WholeSeconds())
 	}
-	t.reported = current
-	t.reportedSince = t.Now
+	t.lastLogged = current
+	t.lastLoggedAt = t.Now
 }
--- a/internal/core/controller.go
+++ b/internal/core/controller.go
@@ -1,14 +1,15 @@
 // Package core is the controller's state machine: Step takes an input and the time, and
-// gives the effects to carry out. It does no input or output, reads no clock and uses no
-// randomness but a generator handed to it, so that it can be run in simulated time.
+// returns the effects to carry out. It does no I/O, reads no clock, and takes all its
+// randomness from a generator that the caller provides, so it can run in simulated time.
 //
-// All that must last is in the key-value store, and every controller keeps a replica of
-// it: the leaders of partitions, machine records, unfinished jobs and their tasks.
-// Decisions are made on that replica and take effect only once a conditional write of
-// them was answered.
+// All durable state is in the key-value store. Every controller keeps a replica of it:
+// partition leaders, machine records, unfinished jobs and their tasks. Decisions are made
+// on the replica. They take effect only once the store has confirmed the conditional write
+// that records them.
 //
-// This package dispatches inputs and answers users, workers and the other controllers;
-// what is decided about the cluster is in the packages whose components Controller joins.
+// This package dispatches inputs and answers users, workers and the other controllers.
+// Decisions about the cluster are made by the components, from other packages, that
+// Controller connects.
 package core
 
 import (
@@ -16,12 +17,12 @@
 	"spurmoor/internal/micros"
 )
 
-// periodicInterval is how often the periodic work is done; the parts of it that are due
-// less often keep their own times.
+// periodicInterval is the interval between runs of the periodic work. Parts of it that run
+// less often keep their own schedules.
 const periodicInterval = micros.Second / 10
 
-// Step takes one input at a time that never runs backwards, and gives the effects to be
-// carried out, in their order.
+// Step handles one input and returns the effects to carry out, in order. If now is earlier
+// than the time of a previous step, the time of that step is used.
 func (c *Controller) Step(now micros.Micros, in message.Input) []message.Effect {
 	previous := c.Now
 	c.Now = max(c.Now, now)
@@ -32,10 +33,10 @@
 	return c.Effects
 }
 
-// dispatch hands an input to the component that handles it.
+// dispatch passes an input to the component that handles it.
 func (c *Controller) dispatch(in message.Input) {
 	switch input := in.(type) {
-	case message.Tick: // only the periodic work
+	case message.Tick: // triggers only the periodic work
 	case message.Submit:
 		c.submissions.handleSubmit(input)
 	case message.GetStatus:
@@ -44,7 +45,7 @@
 		c.cancellations.handleCancel(input)
 	case message.Explain:
 		c.explainer.handleExplain(input)
-	case message.Ready:
+	case message.CheckReadiness:
 		c.readiness.handleReady(input)
 	case message.WorkerHeartbeat:
 		c.workers.handleHeartbeat(input)
@@ -65,8 +66,8 @@
 	}
 }
 
-// runPeriodicWork does what time and the last input made due. The order matters: each
-// step decides on what those before it left.
+// runPeriodicWork does the work that is due after an input. The order matters: each step
+// uses the results of the steps before it.
 func (c *Controller) runPeriodicWork() {
 	c.runAfterEveryInput()
 	if c.Now < c.nextPeriodicAt {
@@ -76,48 +77,48 @@
 	c.runOnInterval()
 }
 
-// runAfterEveryInput does what must not wait for the interval.
+// runAfterEveryInput does the work that must not wait for the next interval.
 func (c *Controller) runAfterEveryInput() {
-	// First the watch: users wait for reads, and all else relies on a replica that is new.
+	// The watch comes first: users wait for reads, and all other steps need a current replica.
 	c.cache.MaintainWatch()
-	// The lease next: without one that is known to hold, nothing is decided or committed.
+	// The lease is next: without a valid lease, nothing is decided or committed.
 	c.storeLease.RenewLease()
-	// Jobs may wait for outcomes that the input left unknown: these are read right away.
+	// Jobs may wait for dependencies with unknown outcomes, so these are read at once.
 	c.dependencies.ReadUnknownOutcomes()
-	// Changes that the input made last, so that one commit holds all of them.
+	// Changes are committed last, so that one commit holds all changes made by the input.
 	c.partitionLog.CommitChanges()
 }
 
-// runOnInterval does what is due every periodicInterval.
+// runOnInterval does the work that is due every periodicInterval.
 func (c *Controller) runOnInterval() {
-	// What works and what is lost is found out before anything is decided on it.
+	// The following steps depend on which connections of this controller work.
 	c.condition.trackCondition()
 	c.storeLease.TrackAnswering()
-	// Before the roles: which records may be written, and whether the fleet's roles have
-	// one leader each, depends on what all controllers read.
+	// The schema comes before the roles: the schema that all controllers can read
+	// determines which records may be written and whether fleet roles are exclusive.
 	c.schema.AnnounceSchema()
 	c.roles.TrackExclusiveRoles()
 	c.provisioning.TrackRequestRecording()
-	// Roles before machines: only the machines of partitions that are led are looked after.
+	// Roles come before machines: a controller manages only machines of partitions it leads.
 	c.roles.ReconcileRoles()
 	c.manager.ReconcileMachines()
-	// Whether workers reach us was judged with the machines; if none does, some are probed.
+	// ReconcileMachines has checked whether workers reach us. If none does, some are probed.
 	c.isolation.ProbeWorkers()
-	// What was already requested of the cloud is repeated before the plan requests more.
+	// Open requests to the cloud are repeated before the scheduler makes new ones.
 	c.reconcileCloud()
 	c.scheduling.RunIfDue()
-	// What was just planned is committed at once, not with the next input.
+	// The new plan is committed at once instead of after the next input.
 	c.partitionLog.CommitChanges()
-	// The heartbeat tells the other controllers what the plan wants of them and leaves idle.
+	// The heartbeat carries the machine requests and idle machines of the new plan.
 	c.messenger.broadcastHeartbeat()
-	// Logs tell what all of this led to.
+	// The logs describe the state after all the steps above.
 	c.summary.logSummary()
 	c.audit.LogRefusedOrders()
-	// At the very end: a stop is complete once all that the steps above sent is settled.
+	// This comes last: a stop is complete once everything sent above is settled.
 	c.roles.CompleteStop()
 }
 
-// reconcileCloud asks the cloud for what is due, one request of a kind at a time.
+// reconcileCloud sends the requests to the cloud that are due, one of each kind at a time.
 func (c *Controller) reconcileCloud() {
 	c.catalog.ReadCatalogWhenDue()
 	c.instances.TrackSweeping()
@@ -129,8 +130,8 @@
 	c.deleter.DeleteInstancesWhenDue()
 }
 
-// handleStop gives up all roles. The other controllers are told before the roles go, so
-// that they take them at once instead of waiting for the lease to expire.
+// handleStop resigns all roles. The other controllers are notified first, so that they
+// acquire the roles at once instead of waiting for the lease to expire.
 func (c *Controller) handleStop() {
 	c.roles.BeginStop()
 	c.peers.RequestBroadcast()
@@ -138,23 +139,23 @@
 	c.roles.ReconcileRoles()
 }
 
-// handleStoreReply hands a reply of the store to what awaits it.
+// handleStoreReply passes a reply from the store to the callback of its call.
 func (c *Controller) handleStoreReply(reply *message.StoreReply) {
-	receive := c.StoreCalls[reply.Call]
-	if receive == nil {
+	callback := c.StoreCalls[reply.CallID]
+	if callback == nil {
 		return
 	}
-	delete(c.StoreCalls, reply.Call)
+	delete(c.StoreCalls, reply.CallID)
 	c.storeHealth.ObserveStoreReply(reply)
-	receive(reply)
+	callback(reply)
 }
 
-// handleCloudReply hands a reply of the cloud to what awaits it.
+// handleCloudReply passes a reply from the cloud to the callback of its call.
 func (c *Controller) handleCloudReply(reply *message.CloudReply) {
-	receive := c.CloudCalls[reply.Call]
-	if receive == nil {
+	callback := c.CloudCalls[reply.CallID]
+	if callback == nil {
 		return
 	}
-	delete(c.CloudCalls, reply.Call)
-	receive(reply)
+	delete(c.CloudCalls, reply.CallID)
+	callback(reply)
 }
--- a/internal/core/explanation.go
+++ b/internal/core/explanation.go
@@ -14,7 +14,7 @@
 	"spurmoor/internal/planning"
 )
 
-// jobExplainer says why jobs wait and when they should be done.
+// jobExplainer answers why jobs wait and when they are expected to be done.
 type jobExplainer struct {
 	*coordination.Environment
 	catalog      *provisioning.MachineCatalog
@@ -37,23 +37,23 @@
 	}
 }
 
-// Reasons why a job waits, where the scheduler does not give one.
+// Reasons why a job waits, for jobs without a reason from the scheduler.
 const (
 	reasonDependencies = "waits for other jobs to be done"
 	reasonNoLeader     = "no controller holds its team's partition at the moment"
 )
 
-// maxNamedDependencies bounds the jobs named in an explanation.
-const maxNamedDependencies = 100
+// maxListedDependencies bounds the unfinished dependencies listed in an explanation.
+const maxListedDependencies = 100
 
-// Estimates of how long tasks run are often wrong by half, so an expected end is given
-// with a range that is this much shorter and longer.
+// Estimated durations of tasks are often wrong by half. An explanation therefore gives a
+// range around the expected end: the expected duration multiplied by these factors.
 const (
-	earliestShare = 0.5
-	latestShare   = 1.5
+	earliestEndFactor = 0.5
+	latestEndFactor   = 1.5
 )
 
-// handleExplain answers GET /why/{id}: why a job waits and when it should be done.
+// handleExplain answers GET /why/{id}: why a job waits and when it is expected to be done.
 func (x *jobExplainer) handleExplain(request message.Explain) {
 	x.jobs.lookUpOrRefuse(request.RequestID, request.ID, refusalNoSuchJob, func(status api.JobStatus) {
 		job := x.cluster.Jobs[request.ID]
@@ -65,7 +65,7 @@
 	})
 }
 
-// explainUnfinished tells what is known of an unfinished job.
+// explainUnfinished returns the explanation for an unfinished job.
 func (x *jobExplainer) explainUnfinished(job *cluster.Job, state api.JobState) api.Explanation {
 	partition := x.cluster.Partitions[job.Partition]
 	explanation := api.Explanation{
@@ -86,15 +86,16 @@
 	case job.Suspect:
 		explanation.Reason = x.explainSuspect(job)
 	}
-	x.explainExpectedEnd(&explanation, job)
+	x.setExpectedEnd(&explanation, job)
 	return explanation
 }
 
-// unfinishedDependencies names the jobs that a job still depends on, up to maxNamedDependencies.
+// unfinishedDependencies returns the IDs of the unfinished jobs that a job depends on, at
+// most maxListedDependencies of them.
 func (x *jobExplainer) unfinishedDependencies(job *cluster.Job) []string {
 	var unfinished []string
 	for _, id := range job.Dependencies {
-		if len(unfinished) == maxNamedDependencies {
+		if len(unfinished) == maxListedDependencies {
 			break
 		}
 		if x.dependencies.ByJob[id].Outcome != cluster.OutcomeDone {
@@ -104,8 +105,9 @@
 	return unfinished
 }
 
-// explainSuspect tells the owner of a job that fails wherever it runs, so most likely by a
-// mistake of its own, how often it failed and when it is tried again.
+// explainSuspect returns the reason for a job that fails on every machine, most likely
+// because of a fault in the job itself. It tells the owner the number of failures and when
+// the job is retried.
 func (x *jobExplainer) explainSuspect(job *cluster.Job) string {
 	reason := fmt.Sprintf("it fails on every machine that it is tried on: %d failures so far", job.FailureCount)
 	if x.Now < job.NotBefore {
@@ -114,20 +116,20 @@
 	return reason
 }
 
-// explainExpectedEnd tells when a job should be done, and whether that is in time.
-func (x *jobExplainer) explainExpectedEnd(explanation *api.Explanation, job *cluster.Job) {
+// setExpectedEnd sets when a job is expected to be done and whether it meets its deadline.
+func (x *jobExplainer) setExpectedEnd(explanation *api.Explanation, job *cluster.Job) {
 	end := x.expectedJobEnd(job, map[string]micros.Micros{})
 	if end > x.Now && job.Spec.Kind != api.Service {
 		explanation.ExpectedInS = (end - x.Now).Seconds()
-		explanation.EarliestS = explanation.ExpectedInS * earliestShare
-		explanation.LatestS = explanation.ExpectedInS * latestShare
+		explanation.EarliestS = explanation.ExpectedInS * earliestEndFactor
+		explanation.LatestS = explanation.ExpectedInS * latestEndFactor
 	}
 	if job.Spec.DeadlineS <= 0 {
 		return
 	}
 	explanation.DeadlineInS = job.Spec.DeadlineS - explanation.WaitedS
 	switch {
-	case end == 0: // it cannot be said
+	case end == 0: // unknown
 	case explanation.LatestS <= explanation.DeadlineInS:
 		explanation.InTime = api.InTimeYes
 	case explanation.EarliestS > explanation.DeadlineInS:
@@ -137,47 +139,48 @@
 	}
 }
 
-// expectedJobEnd estimates when a job should be done: as the scheduler planned it here,
-// or, where another controller plans it or dependencies are pending, as long after the
-// last of those as one task takes. 0: it cannot be said. known holds what was worked out
-// for other jobs of the same question, so that a job that many depend on counts once.
-func (x *jobExplainer) expectedJobEnd(job *cluster.Job, known map[string]micros.Micros) micros.Micros {
-	if end, ok := known[job.ID]; ok {
+// expectedJobEnd estimates when a job will be done; 0 means unknown. If this controller's
+// scheduler has planned the job, the plan's end is used. If another controller plans it or
+// it has pending dependencies, the estimate is the end of its last dependency plus the
+// duration of one task. endByJob caches the estimates of one request, so that a job with
+// many dependents is estimated once.
+func (x *jobExplainer) expectedJobEnd(job *cluster.Job, endByJob map[string]micros.Micros) micros.Micros {
+	if end, ok := endByJob[job.ID]; ok {
 		return end
 	}
-	known[job.ID] = x.estimateJobEnd(job, known)
-	return known[job.ID]
+	endByJob[job.ID] = x.estimateJobEnd(job, endByJob)
+	return endByJob[job.ID]
 }
 
-// estimateJobEnd works out what expectedJobEnd gives.
-func (x *jobExplainer) estimateJobEnd(job *cluster.Job, known map[string]micros.Micros) micros.Micros {
-	dependenciesEnd, ok := x.expectedDependenciesEnd(job, known)
+// estimateJobEnd computes the estimate for expectedJobEnd.
+func (x *jobExplainer) estimateJobEnd(job *cluster.Job, endByJob map[string]micros.Micros) micros.Micros {
+	dependenciesEnd, ok := x.expectedDependenciesEnd(job, endByJob)
 	if !ok {
 		return 0
 	}
 	planned := x.scheduling.ExpectedEnds[job.ID]
 	switch {
 	case job.Spec.Kind == api.Service:
-		return 0 // it has no end
+		return 0 // a service runs until it is cancelled
 	case planned > x.Now:
 		return planned
 	case job.PendingDependencies == 0 && x.cluster.Partitions[job.Partition].Leads():
-		return 0 // the scheduler of this controller has not planned it yet
+		return 0 // this controller's scheduler has not planned it yet
 	}
 	taskS := job.Spec.EstimateS + job.Spec.ImageGB*x.catalog.SlowestFetchSecondsPerGB()
 	return max(dependenciesEnd, x.Now) + micros.FromSeconds(taskS)
 }
 
-// expectedDependenciesEnd estimates when the last unfinished dependency of a job is done;
-// 0: there is none. False: it cannot be said of one of them.
-func (x *jobExplainer) expectedDependenciesEnd(job *cluster.Job, known map[string]micros.Micros) (micros.Micros, bool) {
+// expectedDependenciesEnd estimates when the last unfinished dependency of a job will be
+// done. It returns 0 if there is none, and false if the end of one of them is unknown.
+func (x *jobExplainer) expectedDependenciesEnd(job *cluster.Job, endByJob map[string]micros.Micros) (micros.Micros, bool) {
 	var last micros.Micros
 	for _, id := range job.Dependencies {
 		dependency := x.cluster.Jobs[id]
 		if dependency == nil || dependency.Terminal {
 			continue
 		}
-		end := x.expectedJobEnd(dependency, known)
+		end := x.expectedJobEnd(dependency, endByJob)
 		if end == 0 {
 			return 0, false
 		}
--- a/internal/core/explanation_test.go
+++ b/internal/core/explanation_test.go
@@ -11,8 +11,8 @@
 	"spurmoor/internal/records"
 )
 
-// TestExplanationOfSuspectJob guards that the owner of a job with a mistake is told so, and
-// how often it failed.
+// TestExplanationOfSuspectJob checks that the owner of a job that fails on every machine is
+// told so, with the number of failures and the time of the next attempt.
 func TestExplanationOfSuspectJob(t *testing.T) {
 	fixture := newLeaderFixture(t)
 	fixture.cluster.SetTask(fixture.job, 0, cluster.TaskRecord{})
@@ -28,11 +28,11 @@
 	answer, _ := answerTo(effects, 9)
 	explanation, ok := answer.Body.(api.Explanation)
 	if !ok {
-		t.Fatalf("answered %+v", answer)
+		t.Fatalf("got answer %+v, want an explanation", answer)
 	}
 	for _, part := range []string{"fails on every machine", "3 failures", "tried again in"} {
 		if !strings.Contains(explanation.Reason, part) {
-			t.Errorf("the owner is told %q, without %q", explanation.Reason, part)
+			t.Errorf("got reason %q, want it to contain %q", explanation.Reason, part)
 		}
 	}
 }
--- a/internal/core/failover.go
+++ b/internal/core/failover.go
@@ -11,12 +11,12 @@
 	"spurmoor/internal/provisioning"
 )
 
-// failoverPlanDelay is how soon after a failover a scheduling cycle is to run, so that
-// partitions that are acquired together are planned together.
+// failoverPlanDelay is the longest time from a failover to the next scheduling cycle. The
+// delay lets partitions that are acquired together be planned together.
 const failoverPlanDelay = micros.Second / 5
 
-// failoverHandler begins and ceases to act for a partition when its leader changes. It is
-// notified by the role manager.
+// failoverHandler prepares the replica for leading a partition, and cleans up after a lost
+// one. The role manager calls it when this controller acquires or loses a partition.
 type failoverHandler struct {
 	*coordination.Environment
 	cluster      *cluster.State
@@ -35,8 +35,8 @@
 	return &failoverHandler{Environment: env, cluster: cluster, provisioning: provisioning, tasks: tasks, trigger: trigger}
 }
 
-// PartitionAcquired begins to act for a partition. What is recorded is known from the
-// replica; what was only observed starts over.
+// PartitionAcquired begins to act as the leader of a partition. The replica has all
+// recorded state. Observations of machines are reset, as they were not recorded.
 func (f *failoverHandler) PartitionAcquired(index int) {
 	partition := f.cluster.Partitions[index]
 	f.LogInfo("partition acquired", logkey.Partition, partition.Index, logkey.Term, partition.Term)
@@ -55,10 +55,11 @@
 	f.trigger.RequestWithin(failoverPlanDelay)
 }
 
-// PartitionLost ceases to act for a partition: what was not committed of it is reverted.
-func (f *failoverHandler) PartitionLost(index int, why string) {
+// PartitionLost stops acting as the leader of a partition and reverts its uncommitted
+// changes. reason is logged.
+func (f *failoverHandler) PartitionLost(index int, reason string) {
 	partition := f.cluster.Partitions[index]
-	f.LogInfo("partition lost", logkey.Partition, partition.Index, logkey.Reason, why)
+	f.LogInfo("partition lost", logkey.Partition, partition.Index, logkey.Reason, reason)
 	f.abandonCommit(partition)
 	f.abandonRecordChanges(partition)
 	f.provisioning.AbandonRequests(partition)
@@ -69,8 +70,8 @@
 	}
 }
 
-// abandonCommit stops repeating a partition's commit: it was carried out before the
-// partition was lost, or never will be, for it compares the partition's key.
+// abandonCommit stops retrying a partition's commit. Either it was carried out before the
+// partition was lost, or it never will be, because it compares the partition's key.
 func (f *failoverHandler) abandonCommit(partition *cluster.Partition) {
 	if partition.CommitInFlight == nil {
 		return
@@ -79,7 +80,8 @@
 	partition.CommitInFlight = nil
 }
 
-// abandonRecordChanges drops the changes of a partition's records that wait for a commit.
+// abandonRecordChanges drops the uncommitted changes to records of a partition's machines.
+// For batches of machines that are dropped, OnRecorded is called as if they were recorded.
 func (f *failoverHandler) abandonRecordChanges(partition *cluster.Partition) {
 	for _, machine := range partition.RecordChanges {
 		machine.PendingChange = cluster.NoRecordChange
--- a/internal/core/failure_attribution_test.go
+++ b/internal/core/failure_attribution_test.go
@@ -5,17 +5,18 @@
 	"testing"
 )
 
-// attributionCase is a sequence of failures and whom they are attributed to.
+// attributionCase is a sequence of failures, and the machines and jobs that they are
+// attributed to.
 type attributionCase struct {
-	name        string
-	sound       []string // jobs of which a task was done before
-	failures    []failure
-	proven      []string // jobs of which a task is done on m-4 afterwards
-	quarantined []string
-	suspect     []string
+	name            string
+	succeededBefore []string // jobs with a task that succeeded before the failures
+	failures        []failure
+	succeededAfter  []string // jobs with a task that succeeds on m-4 after the failures
+	quarantined     []string
+	suspect         []string
 }
 
-// failure is that of a task of a job on a machine.
+// failure is the failure of a job's task on a machine.
 type failure struct{ job, machine string }
 
 var attributionCases = []attributionCase{
@@ -39,10 +40,10 @@
 		quarantined: []string{"m-0"},
 	},
 	{
-		name:        "two tasks of a sound job",
-		sound:       []string{"a"},
-		failures:    []failure{{"a", "m-0"}, {"a", "m-0"}},
-		quarantined: []string{"m-0"},
+		name:            "two tasks of a sound job",
+		succeededBefore: []string{"a"},
+		failures:        []failure{{"a", "m-0"}, {"a", "m-0"}},
+		quarantined:     []string{"m-0"},
 	},
 	{
 		name:        "three jobs that failed elsewhere too, one after the other",
@@ -50,38 +51,38 @@
 		quarantined: []string{"m-0"},
 	},
 	{
-		name:        "two jobs on two machines, done elsewhere then",
-		failures:    []failure{{"a", "m-0"}, {"a", "m-1"}, {"b", "m-0"}, {"b", "m-1"}},
-		proven:      []string{"a", "b"},
-		quarantined: []string{"m-0", "m-1"},
+		name:           "two jobs on two machines, done elsewhere then",
+		failures:       []failure{{"a", "m-0"}, {"a", "m-1"}, {"b", "m-0"}, {"b", "m-1"}},
+		succeededAfter: []string{"a", "b"},
+		quarantined:    []string{"m-0", "m-1"},
 	},
 }
 
-// TestFailuresAreAttributed guards against quarantining healthy machines for a job's
-// mistake, and the other way round: of 44 machines quarantined on a recorded day all had
-// only met jobs that failed everywhere.
-func TestFailuresAreAttributed(t *testing.T) {
+// TestFailureAttribution guards against quarantining healthy machines because of a faulty
+// job, and against blaming jobs for a faulty machine. On one recorded day, all 44 machines
+// that were quarantined had only run jobs that failed everywhere.
+func TestFailureAttribution(t *testing.T) {
 	for _, tc := range attributionCases {
 		t.Run(tc.name, func(t *testing.T) {
 			controller := newMachinesFixture(t)
 			jobs, machines := controller.cluster.Jobs, controller.cluster.Machines
-			for _, id := range tc.sound {
+			for _, id := range tc.succeededBefore {
 				jobs[id].DoneTasks = 1
 			}
 			for _, failed := range tc.failures {
 				controller.tasks.RecordFailure(jobs[failed.job], machines[failed.machine], failed.job+"/0")
 			}
-			for _, id := range tc.proven {
+			for _, id := range tc.succeededAfter {
 				controller.tasks.RecordSuccess(jobs[id], machines["m-4"])
 			}
 			for name, machine := range machines {
 				if want := slices.Contains(tc.quarantined, name); machine.Quarantined != want {
-					t.Errorf("%s is quarantined: %t", name, machine.Quarantined)
+					t.Errorf("machine %s quarantined: got %t, want the opposite", name, machine.Quarantined)
 				}
 			}
 			for id, job := range jobs {
 				if want := slices.Contains(tc.suspect, id); job.Suspect != want {
-					t.Errorf("job %s is suspect: %t", id, job.Suspect)
+					t.Errorf("job %s suspect: got %t, want the opposite", id, job.Suspect)
 				}
 			}
 		})
--- a/internal/core/fixtures_test.go
+++ b/internal/core/fixtures_test.go
@@ -16,7 +16,7 @@
 	"github.com/go-json-experiment/json"
 )
 
-// Names in the fixtures.
+// Names used in the fixtures.
 const (
 	testNode    = "nodo-0"
 	testJob     = "wk-000001"
@@ -24,11 +24,12 @@
 	testMachine = "n-1"
 )
 
-// syncedFixture is a controller whose replica holds one job, accepted at revision 3.
+// syncedFixture is a controller whose replica is synchronized and holds one job, which was
+// accepted at revision 3.
 type syncedFixture struct {
 	*Controller
-	submission []byte    // the body that submits the job
-	jobPut     api.Event // the event that told of the job
+	submission []byte    // body of the request that submits the job
+	jobPut     api.Event // watch event that added the job
 }
 
 func newSyncedFixture(t *testing.T) *syncedFixture {
@@ -45,11 +46,12 @@
 		submission: submissionOf(t, spec),
 		jobPut:     api.Event{Put: records.JobPrefix + spec.ID, Value: record, Version: 3},
 	}
-	fixture.watchReply(3, fixture.jobPut)
+	fixture.applyWatchReply(3, fixture.jobPut)
 	return fixture
 }
 
-// testSettings are those of a service of one controller, two partitions and one team.
+// testSettings returns the settings of a service with one controller, two partitions and one
+// team.
 func testSettings() *settings.Settings {
 	set := &settings.Settings{
 		Operators: settings.Defaults(), TeamPartition: map[string]int{"norte": 0}, Nodes: []string{testNode},
@@ -61,7 +63,7 @@
 	return set
 }
 
-// submissionOf gives the body that submits a job.
+// submissionOf returns the body of a request that submits a job.
 func submissionOf(t *testing.T, spec api.Job) []byte {
 	t.Helper()
 	body := map[string]any{}
@@ -73,14 +75,14 @@
 	return records.MustMarshal(body)
 }
 
-// watchReply has the watch cache take in the reply to a watch that was sent at time 0.
-func (f *syncedFixture) watchReply(revision api.Revision, events ...api.Event) {
+// applyWatchReply applies the reply to a watch that was sent at time 0 to the watch cache.
+func (f *syncedFixture) applyWatchReply(revision api.Revision, events ...api.Event) {
 	reply := &message.StoreReply{Status: message.StatusOK, Watch: api.WatchResponse{Revision: revision, Events: events}}
 	f.cache.ApplyWatchReply(reply, 0)
 }
 
-// leaderFixture is a controller that leads a partition with one machine, on which one task
-// of a job is placed and committed.
+// leaderFixture is a controller that leads a partition with one machine. One task of a job is
+// placed on the machine, and that is committed.
 type leaderFixture struct {
 	*syncedFixture
 	partition *cluster.Partition
@@ -95,9 +97,9 @@
 	workers.ReportS, workers.LeaseS, workers.CancelS = 3, 20, 45
 	fixture.Now = 100 * micros.Second
 	fixture.storeLease.Lease.ID = 7
-	fixture.renewLeaseNow()
+	fixture.renewLease()
 	fixture.partition = fixture.cluster.Partitions[0]
-	fixture.lead(10)
+	fixture.acquirePartition(10)
 	fixture.recordMachine(testMachine)
 	fixture.machine = fixture.cluster.Machines[testMachine]
 	fixture.job = fixture.cluster.Jobs[testJob]
@@ -105,36 +107,37 @@
 	task := fixture.job.Task(0)
 	task.Committed = task.TaskRecord
 	if !fixture.partition.Leads() || fixture.machine == nil || len(fixture.machine.TaskIDs) != 1 {
-		t.Fatalf("leads %t, machine %v", fixture.partition.Leads(), fixture.machine)
+		t.Fatalf("got leads %t, machine %v, want a leader of a machine with one task", fixture.partition.Leads(), fixture.machine)
 	}
 	return fixture
 }
 
-// renewLeaseNow has the lease on the store renewed, and the replica complete, as of now.
-func (f *leaderFixture) renewLeaseNow() {
+// renewLease makes the lease on the store renewed, and the replica current, as of now.
+func (f *leaderFixture) renewLease() {
 	f.storeLease.Lease.RenewalSentAt = f.Now
 	f.cache.CurrentAsOf = f.Now
 }
 
-// lead has the store tell that the controller leads the partition since a revision.
-func (f *leaderFixture) lead(term leadership.Term) {
+// acquirePartition applies a claim that makes the controller the leader of the partition.
+// The term is the revision of the claim.
+func (f *leaderFixture) acquirePartition(term leadership.Term) {
 	claim := leadership.Claim{Node: f.Settings.Node, Incarnation: f.Incarnation}
 	f.applier.ApplyPut(f.partition.Key(), records.MustMarshal(claim), api.Revision(term))
 }
 
-// recordMachine has the partition's log tell of a machine.
+// recordMachine applies a log entry of the partition that contains a machine.
 func (f *leaderFixture) recordMachine(name string) {
 	record := records.Machine{Name: name, Type: "g4", Zone: "alta", Partition: 0, Epoch: 1, MinToken: 11}
 	f.registry.ApplyRecord(record, cluster.RecordOrigin{Epoch: 1, Partition: 0, Sequence: 1}, 11)
 }
 
-// clearTask takes the job's task off its machine, as committed.
-func (f *leaderFixture) clearTask() {
+// removeTask removes the job's task from its machine, as if that were committed.
+func (f *leaderFixture) removeTask() {
 	f.cluster.SetTask(f.job, 0, cluster.TaskRecord{})
 	f.job.Task(0).Committed = cluster.TaskRecord{}
 }
 
-// sendHeartbeat has the machine send a heartbeat, and gives the answer.
+// sendHeartbeat sends a heartbeat of the machine and returns the answer.
 func (f *leaderFixture) sendHeartbeat(sequence uint64, token api.FencingToken, tasks ...api.TaskStatus) message.Answer {
 	heartbeat := &api.Heartbeat{
 		Machine: testMachine, Address: "10.1.0.1:9000", Type: "g4", Zone: "alta",
@@ -146,15 +149,15 @@
 	return answer
 }
 
-// newProvisioningFixture is a leader that records its provisioning requests before it
-// sends them, and whose fleet roles have one leader each.
+// newProvisioningFixture returns a leader that records its provisioning requests before it
+// sends them, in a fleet whose roles have one leader each.
 func newProvisioningFixture(t *testing.T) *leaderFixture {
 	t.Helper()
 	fixture := newLeaderFixture(t)
 	fixture.Settings.Operators.Duties.Exclusive = leadership.FleetRoleNames()
 	fixture.Settings.Operators.Duties.RecordRentals = true
 	fixture.Settings.Deployment.Cloud.RPS = 6
-	// The cloud's catalog and list are not asked for here.
+	// Prevents requests for the cloud's catalog and list of instances.
 	fixture.catalog.NextCatalogReadAt = 1 << 60
 	fixture.instances.NextListAt = 1 << 60
 	fixture.provisioning.RecordingRequests = true
@@ -163,8 +166,8 @@
 	return fixture
 }
 
-// newMachinesFixture makes a controller with machines m-0 to m-4 and array jobs a to d,
-// of which nothing is known.
+// newMachinesFixture returns a controller with machines m-0 to m-4 and array jobs a to d, none
+// of which has a history of successes or failures.
 func newMachinesFixture(t *testing.T) *Controller {
 	t.Helper()
 	controller := New(&settings.Settings{Operators: settings.Defaults()}, 1, rand.New(rand.NewPCG(1, 1)))
@@ -179,7 +182,7 @@
 	return controller
 }
 
-// effectsOf gives the effects of one kind.
+// effectsOf returns the effects of type T.
 func effectsOf[T message.Effect](effects []message.Effect) []T {
 	var list []T
 	for _, effect := range effects {
@@ -190,12 +193,13 @@
 	return list
 }
 
-// storeCallsOf gives the calls of the store for one operation.
+// storeCallsOf returns the calls to the store for one operation.
 func storeCallsOf(effects []message.Effect, op message.StoreOp) []message.StoreCall {
 	return slices.DeleteFunc(effectsOf[message.StoreCall](effects), func(call message.StoreCall) bool { return call.Op != op })
 }
 
-// transactionWriting gives the transaction among the effects that writes a key; nil: none does.
+// transactionWriting returns the transaction among the effects that puts a key, or nil if
+// there is none.
 func transactionWriting(effects []message.Effect, key string) *message.StoreCall {
 	for _, call := range storeCallsOf(effects, message.OpTransaction) {
 		if slices.ContainsFunc(call.Transaction.Body().Writes, func(write api.Write) bool { return write.Put == key }) {
@@ -205,8 +209,8 @@
 	return nil
 }
 
-// transactionDeleting gives the transaction among the effects whose first write deletes a
-// key; nil: none does.
+// transactionDeleting returns the transaction among the effects whose first write deletes a
+// key, or nil if there is none.
 func transactionDeleting(effects []message.Effect, key string) *message.StoreCall {
 	for _, call := range storeCallsOf(effects, message.OpTransaction) {
 		if call.Transaction.Body().Writes[0].Delete == key {
@@ -216,14 +220,14 @@
 	return nil
 }
 
-// launchCallsOf gives the calls of the cloud that launch instances.
+// launchCallsOf returns the calls to the cloud that launch instances.
 func launchCallsOf(effects []message.Effect) []message.CloudCall {
 	return slices.DeleteFunc(effectsOf[message.CloudCall](effects), func(call message.CloudCall) bool {
 		return call.Op != message.OpLaunch
 	})
 }
 
-// answerTo gives the answer to a request among the effects; false: there is none.
+// answerTo returns the answer to a request among the effects, and whether there is one.
 func answerTo(effects []message.Effect, requestID uint64) (message.Answer, bool) {
 	for _, answer := range effectsOf[message.Answer](effects) {
 		if answer.RequestID == requestID {
@@ -233,15 +237,15 @@
 	return message.Answer{}, false
 }
 
-// answerReads answers all reads of the latest changes among the effects with "none", and
-// gives the effects of that.
+// answerReads replies to all reads of the latest changes among the effects that there are no
+// changes, and returns the effects of these replies.
 func (f *syncedFixture) answerReads(now micros.Micros, effects []message.Effect) []message.Effect {
 	var answered []message.Effect
 	for _, call := range storeCallsOf(effects, message.OpWatch) {
 		if call.WaitMs != 0 {
-			continue // a watch that waits for changes
+			continue // this is a watch that waits for changes
 		}
-		reply := &message.StoreReply{Call: call.Call, Status: message.StatusOK, Watch: api.WatchResponse{Revision: f.cache.Revision}}
+		reply := &message.StoreReply{CallID: call.CallID, Status: message.StatusOK, Watch: api.WatchResponse{Revision: f.cache.Revision}}
 		answered = append(answered, f.Step(now, reply)...)
 	}
 	return answered
--- a/internal/core/heartbeat_reconciliation.go
+++ b/internal/core/heartbeat_reconciliation.go
@@ -9,32 +9,34 @@
 	"spurmoor/internal/records"
 )
 
-// maxExitedTasks is how many exited tasks a worker keeps before its fencing token is
-// raised so that they can be forgotten.
-const maxExitedTasks = 12
+// maxExitedTasksKept is how many exited tasks a worker reports before its fencing token is
+// raised. Under the higher token the worker may be told to forget them.
+const maxExitedTasksKept = 12
 
-// heartbeatReconciliation is a worker's heartbeat while it is taken in, with the commands
-// that bring the worker to what is recorded.
+// heartbeatReconciliation holds a worker's heartbeat while it is reconciled with the
+// recorded state, and the commands that bring the worker into that state.
 type heartbeatReconciliation struct {
 	*workerHandler
-	machine     *cluster.Machine
-	heartbeat   *api.Heartbeat
-	renewsLease bool // it will be answered 200; else it came with a reply to direct commands
-	mayForget   bool // exited tasks may be forgotten
-	observed    map[cluster.TaskID]bool
-	commands    []api.Command
+	machine         *cluster.Machine
+	heartbeat       *api.Heartbeat
+	renewsLease     bool                    // the heartbeat will be answered 200; false if it came in a reply to direct commands
+	mayForgetExited bool                    // the worker may forget exited tasks
+	observed        map[cluster.TaskID]bool // tasks that are both reported and recorded here
+	commands        []api.Command
 }
 
-// reconcileHeartbeat takes in what a worker says of its tasks and gives the commands that
-// bring it to what is recorded. Only the answer to a heartbeat may start tasks, and only a
-// heartbeat proves a task absent: the reply to direct commands may be older than a start
-// that is sent with the answer to a heartbeat.
+// reconcileHeartbeat applies a worker's report on its tasks and returns the commands that
+// bring the worker into the recorded state. renewsLease is true for a heartbeat that will be
+// answered 200, and false for one in a reply to direct commands. Only the former may start
+// tasks or prove that a task is absent: a reply to direct commands may be older than a start
+// that was sent with the answer to a heartbeat.
 func (h *workerHandler) reconcileHeartbeat(machine *cluster.Machine, heartbeat *api.Heartbeat, renewsLease bool) []api.Command {
 	h.observeIncarnation(machine, heartbeat.Incarnation)
 	machine.HeartbeatSequence = heartbeat.Sequence
-	// The worker's incarnation, or the answer that renewed its lease, began no later than
-	// now. Counted from our own answers alone, a machine was taken for dead that had
-	// booted for longer than a lease and was heard through a direct command first.
+	// The worker got its lease when its incarnation began or when an answer renewed it, in
+	// either case no later than now. If only our own answers counted, a machine that took
+	// longer than a lease to boot and was first heard from in a reply to a direct command
+	// would be considered dead.
 	h.extendWorkerLease(machine)
 	reconciliation := &heartbeatReconciliation{
 		workerHandler: h,
@@ -45,11 +47,11 @@
 		commands:      []api.Command{},
 	}
 	if heartbeat.FencingToken != h.cluster.FencingToken(machine) {
-		reconciliation.stopCancelled()
+		reconciliation.stopCancelledTasks()
 		return reconciliation.commands
 	}
 	reconciliation.observeMachine()
-	reconciliation.decideForgetting()
+	reconciliation.checkExitedTasks()
 	for _, reported := range heartbeat.Tasks {
 		reconciliation.reconcileReported(reported)
 	}
@@ -64,35 +66,37 @@
 	return reconciliation.commands
 }
 
-// addCommand adds a command for the worker. What exceeds planning.MaxCommands is left to
-// its next heartbeat.
+// addCommand adds a command for the worker. Commands beyond planning.MaxCommands are
+// dropped: the next heartbeat calls for them again.
 func (r *heartbeatReconciliation) addCommand(command api.Command) {
 	if len(r.commands) < planning.MaxCommands {
 		r.commands = append(r.commands, command)
 	}
 }
 
-// addStart has a task started.
+// addStart adds a command that starts a task.
 func (r *heartbeatReconciliation) addStart(id cluster.TaskID, attempt api.Attempt) {
 	r.addCommand(api.Command{Op: api.CommandStart, Task: id.String(), Attempt: attempt})
 }
 
-// addStop has a task stopped; graceS is how many seconds it has to save a checkpoint.
+// addStop adds a command that stops a task. graceS is the time, in seconds, that the task
+// has to save a checkpoint.
 func (r *heartbeatReconciliation) addStop(id cluster.TaskID, attempt api.Attempt, graceS float64) {
 	r.addCommand(api.Command{Op: api.CommandStop, Task: id.String(), Attempt: attempt, GraceS: &graceS})
 }
 
-// addForget has an exited task forgotten.
+// addForget adds a command that makes the worker forget an exited task.
 func (r *heartbeatReconciliation) addForget(id cluster.TaskID, attempt api.Attempt) {
 	r.addCommand(api.Command{Op: api.CommandForget, Task: id.String(), Attempt: attempt})
 }
 
-// stopCancelled answers a heartbeat that does not bear our fencing token. Perhaps it is a
-// copy from before our term that comes late: it shows where the worker was and nothing
-// else. The answer, or a direct command, raises the worker's token if it is there. Taken
-// for news, such a copy proved tasks gone that had been started since. What the worker
-// must not run any more it is told at once: its lease is never renewed without that.
-func (r *heartbeatReconciliation) stopCancelled() {
+// stopCancelledTasks adds stops for cancelled tasks in a heartbeat without our fencing
+// token. Such a heartbeat may be a late copy from before our term, so it shows only where
+// the worker was: if its tasks were reconciled, tasks that were started since would count as
+// gone. The answer, or a direct command, raises the worker's token if the worker still
+// exists. The stops do not wait for that, because an answer that renews the lease must
+// always stop the tasks that may no longer run.
+func (r *heartbeatReconciliation) stopCancelledTasks() {
 	for _, reported := range r.heartbeat.Tasks {
 		id, ok := cluster.ParseTaskID(reported.Task)
 		if !ok || reported.State == api.TaskExited {
@@ -104,7 +108,7 @@
 	}
 }
 
-// observeMachine takes in what a heartbeat says of the machine itself.
+// observeMachine applies what a heartbeat reports about the machine itself.
 func (r *heartbeatReconciliation) observeMachine() {
 	machine, heartbeat := r.machine, r.heartbeat
 	machine.LastSeenAt = r.Now
@@ -121,7 +125,7 @@
 	}
 }
 
-// observeBoot takes in a machine's first heartbeat.
+// observeBoot records that a machine has booted, upon its first heartbeat.
 func (r *heartbeatReconciliation) observeBoot() {
 	machine := r.machine
 	machine.FirstHeartbeatAt = r.Now
@@ -136,7 +140,7 @@
 	r.trigger.RequestWithin(0)
 }
 
-// observeInterruptionNotice takes in that the cloud takes a spot instance back in so many
+// observeInterruptionNotice records that the cloud will reclaim a spot instance in noticeS
 // seconds.
 func (r *heartbeatReconciliation) observeInterruptionNotice(noticeS float64) {
 	machine := r.machine
@@ -148,25 +152,25 @@
 	r.trigger.RequestWithin(0)
 }
 
-// decideForgetting works out whether exited tasks may be forgotten. A direct start may be
-// delivered again long after it was carried out. As long as its worker keeps the attempt
-// that has no effect; once forgotten, it would start anew. So tasks are forgotten only
-// under a fencing token higher than that of any direct start there; it is raised when
-// enough of them wait for that.
-func (r *heartbeatReconciliation) decideForgetting() {
-	r.mayForget = r.heartbeat.FencingToken > r.machine.HighestStartToken
+// checkExitedTasks decides whether the worker may forget exited tasks. A direct start may be
+// delivered a second time, long after it was carried out. This has no effect while the
+// worker remembers the attempt, but would start the task again once it is forgotten. Tasks
+// are therefore forgotten only under a fencing token higher than that of any direct start
+// sent to the machine. The token is raised once maxExitedTasksKept tasks wait for that.
+func (r *heartbeatReconciliation) checkExitedTasks() {
+	r.mayForgetExited = r.heartbeat.FencingToken > r.machine.HighestStartToken
 	exited := 0
 	for _, reported := range r.heartbeat.Tasks {
 		if reported.State == api.TaskExited {
 			exited++
 		}
 	}
-	if !r.mayForget && exited >= maxExitedTasks && !r.machine.RecordChangePending() {
-		r.machine.StartOutcomeUnknown = true // that has the token raised
+	if !r.mayForgetExited && exited >= maxExitedTasksKept && !r.machine.RecordChangePending() {
+		r.machine.StartOutcomeUnknown = true // causes the token to be raised
 	}
 }
 
-// reconcileReported takes in one task that the worker reports.
+// reconcileReported reconciles one task that the worker reports.
 func (r *heartbeatReconciliation) reconcileReported(reported api.TaskStatus) {
 	id, ok := cluster.ParseTaskID(reported.Task)
 	if !ok {
@@ -188,28 +192,28 @@
 	}
 }
 
-// isRecordedHere tells whether an attempt of a task is recorded on the machine.
+// isRecordedHere reports whether an attempt of a task is recorded as placed on the machine.
 func (r *heartbeatReconciliation) isRecordedHere(task *cluster.Task, attempt api.Attempt) bool {
 	return task != nil && task.State == records.TaskPlaced && task.Machine == r.machine.Name && task.Attempt == attempt
 }
 
-// reconcileUnrecorded answers a task that is not recorded on this machine; job is nil if
-// it is not, or no longer, known.
+// reconcileUnrecorded reconciles a reported task that is not recorded on this machine. job
+// is nil if the replica does not have it.
 func (r *heartbeatReconciliation) reconcileUnrecorded(job *cluster.Job, id cluster.TaskID, reported api.TaskStatus) {
 	exited := reported.State == api.TaskExited
 	switch {
 	case job != nil && job.MustNotRun() && !exited:
 		r.addStop(id, reported.Attempt, 0)
 	case job != nil && !job.Terminal && !job.IsCommitted(id.Index):
-		// What is decided of it is still being committed.
+		// Wait until the latest decision on the task is committed.
 	case !exited:
 		r.addStop(id, reported.Attempt, 0)
-	case r.mayForget:
+	case r.mayForgetExited:
 		r.addForget(id, reported.Attempt)
 	}
 }
 
-// reconcileRecorded takes in the state of a task that is recorded on this machine.
+// reconcileRecorded reconciles a reported task that is recorded on this machine.
 func (r *heartbeatReconciliation) reconcileRecorded(
 	job *cluster.Job, id cluster.TaskID, task *cluster.Task, reported api.TaskStatus,
 ) {
@@ -224,14 +228,14 @@
 		return
 	}
 	graceS := r.tasks.GraceSeconds(job, task)
-	// A task that is saving its checkpoint was told to stop already.
+	// A task that is saving its checkpoint has already been told to stop.
 	if reported.State != api.TaskCheckpointing || graceS == 0 {
 		r.addStop(id, reported.Attempt, graceS)
 	}
 }
 
-// observeTaskState takes in the state that a task is in. One that waits or runs has
-// fetched its image.
+// observeTaskState applies the reported state of a task. A task that waits or runs has
+// fetched its image, so the machine has the image cached.
 func (r *heartbeatReconciliation) observeTaskState(job *cluster.Job, task *cluster.Task, reported api.TaskStatus) {
 	changed := task.ReportedState != reported.State
 	isRunning := reported.State == api.TaskRunning
@@ -248,8 +252,8 @@
 	task.ReportedState = reported.State
 }
 
-// reconcileAbsent takes in that a task recorded on this machine is not in its heartbeat:
-// it is gone, or still to be started.
+// reconcileAbsent reconciles a task that is recorded on this machine but missing from its
+// heartbeat: either the task is gone, or it has not been started yet.
 func (r *heartbeatReconciliation) reconcileAbsent(id cluster.TaskID) {
 	job := r.cluster.Jobs[id.Job]
 	task := job.Task(id.Index)
@@ -257,14 +261,15 @@
 		return
 	}
 	mustStop := r.tasks.MustStop(job, task)
-	directStartMayCome := task.DirectStartToken >= r.heartbeat.FencingToken
+	directStartMayArrive := task.DirectStartToken >= r.heartbeat.FencingToken
 	switch {
-	case !task.Observed && directStartMayCome && mustStop:
-		// It counts as here until the direct start is ruled out.
+	case !task.Observed && directStartMayArrive && mustStop:
+		// The task counts as present until the direct start can no longer arrive.
 	case task.Observed || mustStop:
 		r.tasks.Release(job, id.Index, "no longer reported")
-	case r.tasks.MayStartOn(r.machine, job) && (task.DirectStartToken == 0 || !directStartMayCome):
-		// Not while a direct copy of the start may come after this one was forgotten.
+	case r.tasks.MayStartOn(r.machine, job) && (task.DirectStartToken == 0 || !directStartMayArrive):
+		// The start is not sent while a direct start may arrive: the direct one could
+		// come after this attempt was forgotten, and start it again.
 		r.addStart(id, task.Attempt)
 	}
 }
--- a/internal/core/job_lookup.go
+++ b/internal/core/job_lookup.go
@@ -8,7 +8,7 @@
 	"spurmoor/internal/records"
 )
 
-// jobLookup finds the states of jobs, and answers users who ask for them.
+// jobLookup looks up the states of jobs and answers users' status requests.
 type jobLookup struct {
 	*coordination.Environment
 	cache        *coordination.WatchCache
@@ -32,24 +32,25 @@
 	})
 }
 
-// lookUpOrRefuse looks a job up for a request. A known job's state goes to known; a job
-// that was never accepted is answered with notFound, and one that cannot be looked up
-// with refusalStoreUnanswered.
-func (l *jobLookup) lookUpOrRefuse(requestID uint64, id string, notFound refusal, known func(api.JobStatus)) {
+// lookUpOrRefuse looks up a job for a request. If the job is known, it calls found with the
+// job's state. If the job was never accepted, it refuses the request with notFound, and if
+// the lookup fails, with refusalStoreNoReply.
+func (l *jobLookup) lookUpOrRefuse(requestID uint64, id string, notFound refusal, found func(api.JobStatus)) {
 	l.lookUp(id, func(result cluster.LookupResult, status api.JobStatus) {
 		switch result {
 		case cluster.JobKnown:
-			known(status)
+			found(status)
 		case cluster.JobNeverAccepted:
 			refuse(l.Environment, requestID, notFound)
 		default:
-			refuse(l.Environment, requestID, refusalStoreUnanswered)
+			refuse(l.Environment, requestID, refusalStoreNoReply)
 		}
 	})
 }
 
-// lookUp gives a job's state to done, no older than any that was told before: a terminal
-// state from memory, any other after a read of the store begun now.
+// lookUp calls done with a job's state, which is at least as recent as any state that users
+// were told before. A terminal state is final and comes from memory. Any other state needs a
+// read of the store that begins now.
 func (l *jobLookup) lookUp(id string, done func(cluster.LookupResult, api.JobStatus)) {
 	if record, ok := l.dependencies.TerminalStates.Records[id]; ok {
 		done(cluster.JobKnown, terminalStatus(id, record))
@@ -68,21 +69,23 @@
 	})
 }
 
-// lookUpInReplica finds a job in a replica that is new enough, or else reads its terminal record.
+// lookUpInReplica looks up a job in a replica that was just brought up to date. If the job is
+// not there or has ended, its terminal record is read.
 func (l *jobLookup) lookUpInReplica(id string, done func(cluster.LookupResult, api.JobStatus)) {
 	job := l.cluster.Jobs[id]
 	switch {
 	case job == nil || job.Terminal:
 		l.lookUpTerminalRecord(id, done)
 	case job.UnknownDependencies > 0 && !job.HasStarted() && !job.Cancelled:
-		// Perhaps a dependency was cancelled, and the job with it.
+		// A dependency with an unknown outcome may have been cancelled, and the job with it.
 		done(cluster.LookupFailed, api.JobStatus{})
 	default:
 		done(cluster.JobKnown, job.Status())
 	}
 }
 
-// lookUpTerminalRecord reads how a job ended that is not, or no longer, in the replica.
+// lookUpTerminalRecord reads the terminal record of a job that the replica does not have as
+// an unfinished one.
 func (l *jobLookup) lookUpTerminalRecord(id string, done func(cluster.LookupResult, api.JobStatus)) {
 	l.dependencies.ReadTerminalRecord(id, func(result cluster.LookupResult) {
 		if result != cluster.JobKnown {
@@ -93,7 +96,7 @@
 	})
 }
 
-// terminalStatus is what users are told of a job that ended.
+// terminalStatus returns the status of a job that has ended.
 func terminalStatus(id string, record records.TerminalJob) api.JobStatus {
 	running := 0
 	return api.JobStatus{ID: id, State: record.State, Done: &record.DoneTasks, Running: &running}
--- a/internal/core/job_record_test.go
+++ b/internal/core/job_record_test.go
@@ -11,24 +11,24 @@
 	"spurmoor/internal/records"
 )
 
-// TestOvertakenWatchReply guards against a reply of a watch that a later one overtook: it
-// brought back a job that had ended, for good.
-func TestOvertakenWatchReply(t *testing.T) {
+// TestStaleWatchReplyIsIgnored guards against a watch reply that arrives after a later one:
+// applied, it permanently restores a job that has ended.
+func TestStaleWatchReplyIsIgnored(t *testing.T) {
 	fixture := newSyncedFixture(t)
 	if fixture.cluster.Jobs[testJob] == nil {
-		t.Fatal("the job is not in the replica")
+		t.Fatal("got no job in the replica, want the submitted one")
 	}
-	fixture.watchReply(5, fixture.jobPut, api.Event{Delete: fixture.jobPut.Put, Version: 5})
-	fixture.watchReply(3, fixture.jobPut)
+	fixture.applyWatchReply(5, fixture.jobPut, api.Event{Delete: fixture.jobPut.Put, Version: 5})
+	fixture.applyWatchReply(3, fixture.jobPut)
 	terminal := fixture.dependencies.TerminalStates.Records[testJob]
 	if fixture.cluster.Jobs[testJob] != nil || terminal.State != api.JobDone {
-		t.Errorf("a job that had ended came back; its terminal state is taken for %+v", terminal)
+		t.Errorf("got the job in the replica or terminal record %+v, want no job and state done", terminal)
 	}
 }
 
-// TestPackedDependencies guards that a long list of dependencies comes back as it was,
-// leading zeros included, and is so short that several hundred fit into a value of 2 KiB
-// beside the job.
+// TestPackedDependencies checks that unpacking a long list of dependencies restores it,
+// including leading zeros. The packed list must be short enough that several hundred
+// dependencies fit into a value of 2 KiB together with the job.
 func TestPackedDependencies(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for _, tc := range []struct{ count, digits, maxBytes int }{
@@ -44,19 +44,20 @@
 			record.PackDependencies()
 			alone := len(records.MustMarshal(records.Job{Spec: api.Job{ID: "wk-1"}}))
 			if packed := len(records.MustMarshal(record)) - alone; packed > tc.maxBytes+60 {
-				t.Errorf("%d IDs take %d bytes", len(want), packed)
+				t.Errorf("packed size of %d IDs: got %d bytes, want at most maxBytes plus 60", len(want), packed)
 			}
 			got := record.Dependencies()
 			slices.Sort(got)
 			if !slices.Equal(got, want) {
-				t.Errorf("%d IDs came back as %d others", len(want), len(got))
+				t.Errorf("packed %d IDs, got %d after unpacking, want the same IDs", len(want), len(got))
 			}
 		})
 	}
 }
 
-// randomJobIDs makes about count different IDs, sorted, as far as there are so many of
-// these digits, and three with and without leading zeros.
+// randomJobIDs returns about count distinct IDs with the given number of digits, or fewer if
+// there are not that many, and three fixed IDs with and without leading zeros. The IDs are
+// sorted.
 func randomJobIDs(rng *rand.Rand, count, digits int) []string {
 	limit := uint64(1)
 	for range digits {
@@ -70,14 +71,15 @@
 	return slices.Sorted(maps.Keys(ids))
 }
 
-// FuzzPackedDependencies guards that what is unreadable in a job's record does no harm.
+// FuzzPackedDependencies checks that unreadable packed dependencies in a job's record neither
+// cause a panic nor expand to more IDs than they have bytes.
 func FuzzPackedDependencies(f *testing.F) {
 	f.Add([]byte{6, 2, 1, 1})
 	f.Add([]byte{1, 0xff, 0xff, 0xff, 0xff, 0x0f, 1})
 	f.Fuzz(func(t *testing.T, packed []byte) {
 		record := records.Job{PackedDependencies: packed}
 		if ids := record.Dependencies(); len(ids) > len(packed) {
-			t.Errorf("%d bytes give %d IDs", len(packed), len(ids))
+			t.Errorf("unpacking %d bytes: got %d IDs, want at most one per byte", len(packed), len(ids))
 		}
 	})
 }
--- a/internal/core/job_writer.go
+++ b/internal/core/job_writer.go
@@ -8,8 +8,8 @@
 	"spurmoor/internal/records"
 )
 
-// jobWriter writes jobs' records for users. Any controller may do so: what guards these
-// writes is the version of the job's key, not the leadership of its partition.
+// jobWriter writes job records on behalf of users. Any controller may do so: these writes
+// are guarded by the version of the job's key, not by the leadership of its partition.
 type jobWriter struct {
 	*coordination.Environment
 	applier *recordApplier
@@ -26,16 +26,16 @@
 	return &jobWriter{Environment: env, applier: applier, budget: budget, cache: cache}
 }
 
-// writeOutcome is what became of a write.
+// writeOutcome is the outcome of a write to the store.
 type writeOutcome int
 
 const (
-	writeUnknown   writeOutcome = iota // no answer, or none that tells
-	writeConflict                      // a compared key had changed: nothing was written
-	writeCommitted                     // durable, and taken in by the replica
+	writeUnknown   writeOutcome = iota // no reply, or one that does not tell the outcome
+	writeConflict                      // a compared key had changed, so nothing was written
+	writeCommitted                     // the write is durable and applied to the replica
 )
 
-// putJob writes a job's record if all compares hold, and gives the outcome to done.
+// putJob writes a job's record if all compares hold, and calls done with the outcome.
 func (w *jobWriter) putJob(id string, record []byte, compares []api.Compare, done func(writeOutcome)) {
 	key := records.JobPrefix + id
 	request := &api.Transaction{Compares: compares, Writes: []api.Write{{Put: key, Value: record}}}
@@ -55,8 +55,8 @@
 	})
 }
 
-// applyOwnWrite takes in what we wrote, unless the replica is past it already: the key
-// may have been deleted since.
+// applyOwnWrite applies our own write to the replica, unless the replica is already at its
+// revision or later: the key may have been deleted since the write.
 func (w *jobWriter) applyOwnWrite(key string, value []byte, revision api.Revision) {
 	if revision > w.cache.Revision {
 		w.applier.ApplyPut(key, value, revision)
--- a/internal/core/log_applier.go
+++ b/internal/core/log_applier.go
@@ -9,15 +9,15 @@
 	"spurmoor/internal/records"
 )
 
-// putLogSlot takes in a slot of a partition's log. A slot that cannot be read is taken for
-// an empty one, so that it is the next to be written.
-func (a *recordApplier) putLogSlot(name string, value []byte, version api.Revision) error {
-	partition, slot := a.parseSlot(name)
+// applyLogSlot applies a slot of a partition's log. An unreadable slot is treated as empty,
+// so that it is the next to be written.
+func (a *recordApplier) applyLogSlot(name string, value []byte, version api.Revision) error {
+	partition, slot := a.parseLogSlot(name)
 	if partition == nil {
 		return nil
 	}
 	if partition.Leads() && a.cache.Synced {
-		a.observeOwnSlot(partition, slot, version)
+		a.observeOwnLogSlot(partition, slot, version)
 		return nil
 	}
 	record, err := decodeRecord[records.LogEntry](value)
@@ -30,10 +30,11 @@
 	return err
 }
 
-// parseSlot reads PARTITION/SLOT; nil: it is not of that form, or there is no such partition.
-func (a *recordApplier) parseSlot(name string) (*cluster.Partition, int) {
+// parseLogSlot parses a name of the form PARTITION/SLOT. It returns nil if the name does not
+// have that form or the partition does not exist.
+func (a *recordApplier) parseLogSlot(name string) (*cluster.Partition, int) {
 	partitionName, slotName, found := strings.Cut(name, "/")
-	partition := a.partitionNamed(partitionName)
+	partition := a.partitionByName(partitionName)
 	slot, err := strconv.Atoi(slotName)
 	if !found || partition == nil || err != nil || slot < 0 {
 		return nil, 0
@@ -41,22 +42,23 @@
 	return partition, slot
 }
 
-// observeOwnSlot takes in that a slot of a log that we write changed: the answer to the
-// commit that did so may be late or lost.
-func (a *recordApplier) observeOwnSlot(partition *cluster.Partition, slot int, version api.Revision) {
+// observeOwnLogSlot handles a change to a slot of a log that this controller writes. The
+// change may show that a commit succeeded whose reply is late or lost.
+func (a *recordApplier) observeOwnLogSlot(partition *cluster.Partition, slot int, version api.Revision) {
 	commit := partition.CommitInFlight
 	if commit != nil && slot == commit.Entries[0].Slot && version > commit.PreviousSlotVersion {
 		a.partitionLog.HandleCommitted(partition, version)
 	}
 	for i := range partition.Log {
 		if entry := &partition.Log[i]; entry.Slot == slot {
-			// Where someone else wrote it, what we know of its contents still holds.
+			// Only the version changes: the known contents hold even if another
+			// controller wrote the slot.
 			entry.Version = max(entry.Version, version)
 		}
 	}
 }
 
-// applyLogEntry takes in an entry of a log that another controller writes.
+// applyLogEntry applies an entry of a log that another controller writes.
 func (a *recordApplier) applyLogEntry(partition *cluster.Partition, entry cluster.LogEntry) {
 	a.cluster.AddLogEntry(partition, entry)
 	for _, machine := range entry.Machines {
@@ -68,12 +70,12 @@
 	}
 }
 
-// applyTaskRun takes in what a log entry says of consecutive tasks of a job, except those
-// that a later entry told of.
+// applyTaskRun applies the part of a log entry that describes consecutive tasks of a job.
+// Tasks in a later entry that was already applied are skipped.
 func (a *recordApplier) applyTaskRun(run records.TaskRun, sequence uint64) {
 	job := a.cluster.Jobs[run.Job]
 	if job == nil {
-		return // it has ended
+		return // the job has ended
 	}
 	for index := run.First; index < min(run.First+run.TaskCount(), job.Spec.Tasks); index++ {
 		task := job.EnsureTask(index)
--- a/internal/core/machine_records_test.go
+++ b/internal/core/machine_records_test.go
@@ -12,8 +12,8 @@
 )
 
 // TestMachineIsEmptyOnceAllDeparturesAreCommitted guards against a decision that depends on
-// the order of a map: of the jobs whose tasks left a machine all that are committed are
-// forgotten at once, whatever stands before them.
+// the iteration order of a map. Of the jobs whose tasks left a machine, all committed ones
+// must be removed in one call, even if an uncommitted one is visited first.
 func TestMachineIsEmptyOnceAllDeparturesAreCommitted(t *testing.T) {
 	controller := newMachinesFixture(t)
 	jobs := controller.cluster.Jobs
@@ -26,19 +26,19 @@
 		machine.UncommittedRemovals[id] = true
 	}
 	if controller.cluster.IsEmptyAndCommitted(machine) {
-		t.Error("a task's leaving is not committed, and the machine counts as empty")
+		t.Error("a departure is not committed: got an empty machine, want it not empty")
 	}
 	for i := range 30 {
-		jobs[strconv.Itoa(i)].UncommittedTasks = 1 // something else of them is being committed
+		jobs[strconv.Itoa(i)].UncommittedTasks = 1 // other changes of these jobs are uncommitted
 	}
 	jobs["a"].UncommittedTasks = 0
 	if !controller.cluster.IsEmptyAndCommitted(machine) {
-		t.Error("what left was committed, and the machine does not count as empty")
+		t.Error("all departures are committed: got a machine that is not empty, want it empty")
 	}
 }
 
-// TestDeletionsAreForgotten guards against a list of deleted machines that is searched
-// whole with each deletion once it is long, and against forgetting one too early.
+// TestDeletionsAreForgotten guards against deleted machines that are kept forever or forgotten
+// too early. A list that only grows would be searched in full with each deletion.
 func TestDeletionsAreForgotten(t *testing.T) {
 	fixture := newSyncedFixture(t)
 	fixture.Now = 1000 * micros.Second
@@ -46,18 +46,19 @@
 		fixture.deletions.Record(fmt.Sprintf("n-%06d", i))
 	}
 	if !fixture.deletions.RecentlyDeleted("n-000000") || !fixture.deletions.RecentlyDeleted("n-005999") {
-		t.Error("a deletion is forgotten at once")
+		t.Error("right after 6000 deletions: got one that is forgotten, want all kept")
 	}
 	fixture.Now += cluster.DeletionRetention + 1
 	fixture.deletions.Record("n-006000")
 	if len(fixture.deletions.DeletedAt) != 1 || len(fixture.deletions.ByTime) != 1 || !fixture.deletions.RecentlyDeleted("n-006000") {
-		t.Errorf("%d deletions are kept, %d in order", len(fixture.deletions.DeletedAt), len(fixture.deletions.ByTime))
+		t.Errorf("got %d deletions, %d by time, want only n-006000", len(fixture.deletions.DeletedAt), len(fixture.deletions.ByTime))
 	}
 }
 
-// TestMachineAgeIsNotByAnotherClock guards against a machine that is taken for overdue
-// because the clock of whoever launched it is hours behind ours; the cloud's list tells its age.
-func TestMachineAgeIsNotByAnotherClock(t *testing.T) {
+// TestMachineAgeIgnoresLauncherClock guards against a machine that counts as overdue because
+// the clock of the controller that launched it is hours behind ours. The machine's age comes
+// from the cloud's list instead.
+func TestMachineAgeIgnoresLauncherClock(t *testing.T) {
 	fixture := newLeaderFixture(t)
 	fixture.Now = 20_000 * micros.Second
 	record := records.Machine{
@@ -66,10 +67,10 @@
 	fixture.registry.ApplyRecord(record, cluster.RecordOrigin{Epoch: 1, Partition: 0, Sequence: 2}, 12)
 	machine := fixture.cluster.Machines["n-2"]
 	if machine.LaunchedAt != fixture.Now {
-		t.Errorf("read now, it counts as %d s old", (fixture.Now - machine.LaunchedAt).WholeSeconds())
+		t.Errorf("age of a machine that was just read: got %d s, want 0 s", (fixture.Now - machine.LaunchedAt).WholeSeconds())
 	}
 	fixture.instances.ObserveListed(api.Instance{ID: "n-2", Type: "g4", Zone: "alta", State: api.InstanceBooting, AgeS: 40})
 	if machine.LaunchedAt != fixture.Now-40*micros.Second {
-		t.Errorf("listed as 40 s old, it counts as %d s old", (fixture.Now - machine.LaunchedAt).WholeSeconds())
+		t.Errorf("age of a listed machine: got %d s, want 40 s", (fixture.Now - machine.LaunchedAt).WholeSeconds())
 	}
 }
--- a/internal/core/peer_messenger.go
+++ b/internal/core/peer_messenger.go
@@ -14,27 +14,29 @@
 	"spurmoor/internal/records"
 )
 
-// peerHeartbeatInterval is how often heartbeats are sent to the other controllers.
+// peerHeartbeatInterval is the interval between heartbeats to the other controllers.
 const peerHeartbeatInterval = micros.Second
 
-// unhealthyTimeout is how long the store must not answer before a controller tells the
+// healthStoreTimeout is how long the store must be unavailable before a controller tells the
 // others that it is not healthy.
-const unhealthyTimeout = micros.Second
+const healthStoreTimeout = micros.Second
 
-// minWriteRate is the least write rate that is told to others, in writes per second: it is
-// above zero, for the zero of a version that does not tell its rate means that it is unknown.
+// minWriteRate is the lowest write rate that a heartbeat reports, in writes per second. It is
+// above zero because zero means an unknown rate: versions without this field send zero.
 const minWriteRate = 0.01
 
-// Cancellations are told to the other controllers for a few seconds: the leader of the
-// job's partition may not reach the store, and its tasks then end sooner. Nothing depends
-// on it: an unknown or lost one takes effect within the answer window and a worker's lease.
+// Heartbeats announce a cancellation to the other controllers for a few seconds. The leader
+// of the job's partition may not reach the store, and then ends the job's tasks sooner. The
+// announcement is only an optimization: if it is lost, the cancellation takes effect within
+// the answer window plus a worker's lease.
 const (
-	noticeDuration = 5 * micros.Second
-	// maxCancellationNotices bounds them, so that a heartbeat fits into a message.
+	cancellationNoticeDuration = 5 * micros.Second
+	// maxCancellationNotices bounds the announced cancellations, so that a heartbeat fits
+	// into a message.
 	maxCancellationNotices = 400
 )
 
-// peerMessenger sends heartbeats to the other controllers and acts on theirs.
+// peerMessenger sends heartbeats to the other controllers and handles theirs.
 type peerMessenger struct {
 	*coordination.Environment
 	budget      *coordination.WriteBudget
@@ -75,14 +77,14 @@
 	}
 }
 
-// cancellationNotice is a cancellation that was confirmed to its user here.
+// cancellationNotice is a cancellation that this controller confirmed to a user.
 type cancellationNotice struct {
-	job         string
+	jobID       string
 	confirmedAt micros.Micros
 }
 
-// broadcastHeartbeat tells the other controllers, when it is due, how this one is and what
-// it wants.
+// broadcastHeartbeat sends the other controllers a heartbeat, if one is due. It reports this
+// controller's health and findings, and requests and offers machines.
 func (m *peerMessenger) broadcastHeartbeat() {
 	if m.Now < m.peers.NextHeartbeatAt {
 		return
@@ -91,21 +93,21 @@
 	writeRate := m.budget.MeasureWriteRate()
 	findings := m.instances.CurrentFindings()
 	m.Emit(message.Broadcast{Heartbeat: &peer.Heartbeat{
-		WriteRate:       max(minWriteRate, writeRate),
-		Node:            m.Settings.Node,
-		Healthy:         m.isHealthy(),
-		IdleMachines:    m.lending.IdleOffers(),
-		MachineRequests: m.scheduling.MachineRequests,
-		CancelledJobs:   m.currentNotices(),
-		SchemaVersion:   records.SchemaVersion,
-		Stopping:        m.roles.Stopping,
-		Failed:          provisioning.FindingNames(findings.Failed),
-		Unlisted:        provisioning.FindingNames(findings.Unlisted),
-		Orphans:         provisioning.FindingOrphans(findings.Orphans),
+		WriteRate:        max(minWriteRate, writeRate),
+		Node:             m.Settings.Node,
+		Healthy:          m.isHealthy(),
+		IdleMachines:     m.lending.IdleOffers(),
+		MachineRequests:  m.scheduling.MachineRequests,
+		CancelledJobs:    m.currentCancellationNotices(),
+		SchemaVersion:    records.SchemaVersion,
+		Stopping:         m.roles.Stopping,
+		FailedMachines:   provisioning.FindingNames(findings.Failed),
+		UnlistedMachines: provisioning.FindingNames(findings.Unlisted),
+		Orphans:          provisioning.FindingOrphans(findings.Orphans),
 	}})
 }
 
-// isHealthy tells whether this controller could lead partitions.
+// isHealthy reports whether this controller can lead partitions.
 func (m *peerMessenger) isHealthy() bool {
 	if !m.cache.Synced || m.roles.Stopping || m.storeLease.Lease.ID == 0 {
 		return false
@@ -114,31 +116,32 @@
 		return false
 	}
 	since := m.storeHealth.UnavailableSince
-	return since == 0 || m.Now < since+unhealthyTimeout
+	return since == 0 || m.Now < since+healthStoreTimeout
 }
 
-// notifyCancelled has the other controllers notified at once that a user was told that
-// a job is cancelled.
-func (m *peerMessenger) notifyCancelled(id string) {
+// announceCancellation notifies the other controllers at once that this controller
+// confirmed a job's cancellation to a user.
+func (m *peerMessenger) announceCancellation(id string) {
 	if len(m.cancellationNotices) < maxCancellationNotices {
-		m.cancellationNotices = append(m.cancellationNotices, cancellationNotice{job: id, confirmedAt: m.Now})
+		m.cancellationNotices = append(m.cancellationNotices, cancellationNotice{jobID: id, confirmedAt: m.Now})
 	}
 	m.peers.NextHeartbeatAt = min(m.peers.NextHeartbeatAt, m.Now)
 }
 
-// currentNotices lists the jobs whose cancellations are still told, and forgets the others.
-func (m *peerMessenger) currentNotices() []string {
+// currentCancellationNotices returns the IDs of jobs whose cancellations are still announced,
+// and removes the expired notices.
+func (m *peerMessenger) currentCancellationNotices() []string {
 	m.cancellationNotices = slices.DeleteFunc(m.cancellationNotices, func(notice cancellationNotice) bool {
-		return m.Now > notice.confirmedAt+noticeDuration
+		return m.Now > notice.confirmedAt+cancellationNoticeDuration
 	})
 	var ids []string
 	for _, notice := range m.cancellationNotices {
-		ids = append(ids, notice.job)
+		ids = append(ids, notice.jobID)
 	}
 	return ids
 }
 
-// handlePeerHeartbeat acts on what another controller says and asks for.
+// handlePeerHeartbeat handles a heartbeat of another controller.
 func (m *peerMessenger) handlePeerHeartbeat(heartbeat *peer.Heartbeat) {
 	if !slices.Contains(m.Settings.Nodes, heartbeat.Node) || heartbeat.Node == m.Settings.Node {
 		return
@@ -154,7 +157,8 @@
 	}
 }
 
-// observeCancellation takes in that another controller told a user that a job is cancelled.
+// observeCancellation handles the notice that another controller confirmed a job's
+// cancellation to a user.
 func (m *peerMessenger) observeCancellation(id, node string) {
 	job := m.cluster.Jobs[id]
 	if job == nil || job.Terminal || job.MustNotRun() {
--- a/internal/core/peer_messenger_test.go
+++ b/internal/core/peer_messenger_test.go
@@ -11,10 +11,10 @@
 	"spurmoor/internal/scheduler"
 )
 
-// TestIdleOffersReachEachKind guards against thousands of idle machines of one type that
-// hide the few of another: only so many are offered at a time, and in the order of their
-// names the others never were.
-func TestIdleOffersReachEachKind(t *testing.T) {
+// TestIdleOffersIncludeEveryKind guards against thousands of idle machines of one kind that
+// hide a few of another. The number of offers is limited, so machines offered in order of
+// their names would never include the other kind.
+func TestIdleOffersIncludeEveryKind(t *testing.T) {
 	many := scheduler.InstanceKind{Type: "g4", Zone: "alta"}
 	few := scheduler.InstanceKind{Type: "g8", Zone: "alta"}
 	kinds := map[scheduler.InstanceKind][]peer.IdleMachine{}
@@ -30,17 +30,17 @@
 		offered[offer.Machine] = true
 	}
 	if len(offers) != planning.MaxIdleOffers || len(offered) != planning.MaxIdleOffers {
-		t.Fatalf("%d offers of %d machines, want %d", len(offers), len(offered), planning.MaxIdleOffers)
+		t.Fatalf("got %d offers of %d machines, want %d", len(offers), len(offered), planning.MaxIdleOffers)
 	}
 	for _, idle := range kinds[few] {
 		if !offered[idle.Machine] {
-			t.Errorf("%s, of the kind that there are few of, is not offered", idle.Machine)
+			t.Errorf("got no offer of %s, want all machines of the rare kind offered", idle.Machine)
 		}
 	}
 }
 
-// TestLargestHeartbeatFits guards against a heartbeat to another controller that is larger
-// than what is read: with as much of everything as there may be, it would say nothing at all.
+// TestLargestHeartbeatFits guards against a heartbeat with the maximum of every list that is
+// larger than its receiver reads. The receiver would then get nothing at all from it.
 func TestLargestHeartbeatFits(t *testing.T) {
 	heartbeat := &peer.Heartbeat{
 		Node: "nodo-0.example.org", Healthy: true, WriteRate: 0.5, SchemaVersion: records.SchemaVersion,
@@ -58,8 +58,8 @@
 	}
 	for i := range provisioning.MaxFindings {
 		name := fmt.Sprintf("n-%09d", i)
-		heartbeat.Failed = append(heartbeat.Failed, name)
-		heartbeat.Unlisted = append(heartbeat.Unlisted, name)
+		heartbeat.FailedMachines = append(heartbeat.FailedMachines, name)
+		heartbeat.UnlistedMachines = append(heartbeat.UnlistedMachines, name)
 		heartbeat.Orphans = append(heartbeat.Orphans, peer.Orphan{
 			Machine: name, Type: "cordillera", Zone: "zona-caribe", Spot: true,
 		})
@@ -69,6 +69,6 @@
 		t.Fatal(err)
 	}
 	if limit := 64 << 10; len(encoded) > limit {
-		t.Errorf("%d bytes, more than %d", len(encoded), limit)
+		t.Errorf("got a heartbeat of %d bytes, want at most %d", len(encoded), limit)
 	}
 }
--- a/internal/core/provisioning_test.go
+++ b/internal/core/provisioning_test.go
@@ -14,33 +14,33 @@
 	"spurmoor/internal/scheduler"
 )
 
-// TestProvisioningRequestIsRecordedFirst guards against a request for instances that the
-// partition's next leader cannot know of: it is sent only once its record is committed, and
-// the record's write compares the term and the record that it replaces.
+// TestProvisioningRequestIsRecordedFirst guards against a request for instances that is
+// unknown to the partition's next leader. The request must be sent only once its record is
+// committed, and the write of the record must compare the term and the record it replaces.
 func TestProvisioningRequestIsRecordedFirst(t *testing.T) {
 	fixture := newProvisioningFixture(t)
 	fixture.provisioning.ScaleOut(fixture.partition, scheduler.InstanceKind{Type: "g4", Zone: "alta"}, 3)
 	record := transactionWriting(fixture.Effects, records.RequestsPrefix+"0")
 	if sent := launchCallsOf(fixture.Effects); record == nil || len(sent) != 0 {
-		t.Fatalf("recorded: %t, sent before that: %d", record != nil, len(sent))
+		t.Fatalf("got recorded %t and %d requests sent before that, want true and 0", record != nil, len(sent))
 	}
 	for _, compare := range []api.Compare{
 		{Key: fixture.partition.Key(), Version: api.Revision(fixture.partition.Term)},
 		{Key: records.RequestsPrefix + "0"},
 	} {
 		if !slices.Contains(record.Transaction.Body().Compares, compare) {
-			t.Errorf("the record's write does not compare %+v", compare)
+			t.Errorf("got a write of the record without a compare, want %+v compared", compare)
 		}
 	}
-	committed := &message.StoreReply{Call: record.Call, Status: message.StatusOK, Transaction: api.TransactionResult{Revision: 40}}
+	committed := &message.StoreReply{CallID: record.CallID, Status: message.StatusOK, Transaction: api.TransactionResult{Revision: 40}}
 	if sent := launchCallsOf(fixture.Step(fixture.Now+1000, committed)); len(sent) != 1 {
-		t.Errorf("%d requests sent once it is recorded", len(sent))
+		t.Errorf("after the record's commit: got %d requests, want 1", len(sent))
 	}
 }
 
-// TestNewLeaderRepeatsOpenRequests guards against instances that nobody knows of because
-// the request for them was answered after a failover: the new leader repeats it under the
-// same name.
+// TestNewLeaderRepeatsOpenRequests guards against instances that no controller knows because
+// their request was answered after a failover. The new leader must repeat the request under
+// the same name.
 func TestNewLeaderRepeatsOpenRequests(t *testing.T) {
 	fixture := newProvisioningFixture(t)
 	fixture.roles.LoseRole(fixture.partition.RoleState, "test")
@@ -54,42 +54,42 @@
 	for _, call := range launchCallsOf(fixture.Step(fixture.Now+micros.Second, message.Tick{})) {
 		names = append(names, call.Launch.Body().Name)
 		if call.Launch.Grant().Term() != 60 {
-			t.Errorf("repeated under term %d", call.Launch.Grant().Term())
+			t.Errorf("term of a repeated request: got %d, want 60", call.Launch.Grant().Term())
 		}
 	}
 	if !slices.Equal(names, []string{"p0-10-7"}) {
-		t.Fatalf("repeated: %q, want the one that was not refused", names)
+		t.Fatalf("repeated requests: got %q, want only p0-10-7, which is not deferred", names)
 	}
-	// The one that was refused is the next for its kind, if as much is wanted.
+	// The deferred request is reused for the next request of the same kind and count.
 	fixture.Effects = nil
 	fixture.provisioning.ScaleOut(fixture.partition, scheduler.InstanceKind{Type: "g4", Zone: "alta", Spot: true}, 2)
 	sent := effectsOf[message.CloudCall](fixture.Effects)
 	if len(sent) != 1 || sent[0].Launch.Body().Name != "p0-10-8" {
-		t.Errorf("instead of the refused request %+v is sent", sent)
+		t.Errorf("got requests %+v, want the deferred request p0-10-8", sent)
 	}
 }
 
-// TestLateLaunchReplyToFormerLeader guards against instances that a former leader records,
-// or counts on, when its request is answered after the failover.
+// TestLateLaunchReplyToFormerLeader guards against a former leader that records instances, or
+// counts them as pending, when its request is answered after a failover.
 func TestLateLaunchReplyToFormerLeader(t *testing.T) {
 	fixture := newProvisioningFixture(t)
 	fixture.Settings.Operators.Duties.RecordRentals = false
 	fixture.provisioning.ScaleOut(fixture.partition, scheduler.InstanceKind{Type: "g4", Zone: "alta"}, 3)
 	sent := effectsOf[message.CloudCall](fixture.Effects)
 	if len(sent) != 1 {
-		t.Fatalf("%d requests sent", len(sent))
+		t.Fatalf("got %d requests, want 1", len(sent))
 	}
 	fixture.roles.LoseRole(fixture.partition.RoleState, "test")
-	reply := &message.CloudReply{Call: sent[0].Call, Status: message.StatusOK, Launched: []string{"n-7", "n-8", "n-9"}}
+	reply := &message.CloudReply{CallID: sent[0].CallID, Status: message.StatusOK, Launched: []string{"n-7", "n-8", "n-9"}}
 	fixture.Step(fixture.Now+micros.Second, reply)
 	pending := fixture.provisioning.PendingMachines(fixture.partition)
 	if len(fixture.partition.MachineBatches) != 0 || len(pending) != 0 {
-		t.Errorf("a former leader would record %d, counts on %v", len(fixture.partition.MachineBatches), pending)
+		t.Errorf("former leader: got %d batches to record, %v pending, want none", len(fixture.partition.MachineBatches), pending)
 	}
 }
 
-// TestDeletionFollowsTombstone guards against an instance that is deleted before it is
-// committed that it is never to be used again, and against a deletion without a lease.
+// TestDeletionFollowsTombstone guards against an instance that is deleted before its tombstone
+// is committed, and against a deletion without a valid lease.
 func TestDeletionFollowsTombstone(t *testing.T) {
 	fixture := newProvisioningFixture(t)
 	fixture.cluster.SetTask(fixture.job, 0, cluster.TaskRecord{})
@@ -97,20 +97,20 @@
 	fixture.Effects = nil
 	fixture.deleter.DeleteInstances()
 	if n := len(effectsOf[message.CloudCall](fixture.Effects)); n != 0 {
-		t.Fatalf("%d deletions before the tombstone is committed", n)
+		t.Fatalf("before the tombstone is committed: got %d deletions, want 0", n)
 	}
-	fixture.machine.PendingChange = cluster.NoRecordChange // committed
+	fixture.machine.PendingChange = cluster.NoRecordChange // as if committed
 	fixture.machine.Record.MarkedForDeletion = true
 	renewed := fixture.storeLease.Lease.RenewalSentAt
 	fixture.storeLease.Lease.RenewalSentAt = fixture.Now - fixture.Settings.LeaseTTL()
 	fixture.deleter.DeleteInstances()
 	if len(effectsOf[message.CloudCall](fixture.Effects)) != 0 {
-		t.Error("deleted without a lease that holds")
+		t.Error("without a valid lease: got a deletion, want none")
 	}
 	fixture.storeLease.Lease.RenewalSentAt = renewed
 	fixture.deleter.DeleteInstances()
 	sent := effectsOf[message.CloudCall](fixture.Effects)
 	if len(sent) != 1 || sent[0].Delete.Grant().Check(leadership.Delete, fixture.Now) != "" {
-		t.Errorf("deletions: %+v", sent)
+		t.Errorf("got deletions %+v, want one with a valid grant", sent)
 	}
 }
--- a/internal/core/readiness.go
+++ b/internal/core/readiness.go
@@ -7,9 +7,9 @@
 	"spurmoor/internal/micros"
 )
 
-// unreadyTimeout is how long the store must not answer this controller alone before it
-// asks for its users to be sent elsewhere.
-const unreadyTimeout = micros.Second
+// readinessStoreTimeout is how long the store must be unavailable to this controller, but not
+// to all others, before the controller reports that it is not ready.
+const readinessStoreTimeout = micros.Second
 
 // readinessHandler answers the health checks of the load balancer.
 type readinessHandler struct {
@@ -34,8 +34,8 @@
 	}
 }
 
-// handleReady answers GET /ready: whether users should be sent here.
-func (h *readinessHandler) handleReady(request message.Ready) {
+// handleReady answers GET /ready: whether the load balancer should send users here.
+func (h *readinessHandler) handleReady(request message.CheckReadiness) {
 	current := h.condition.currentCondition()
 	if !h.isReady() {
 		refuse(h.Environment, request.RequestID, refusalNotReady(current))
@@ -44,13 +44,14 @@
 	h.Answer(request.RequestID, message.StatusOK, api.Readiness{Condition: string(current)})
 }
 
-// isReady tells whether this controller can serve users. Where the store answers no
-// controller, all stay ready: leaving the load balancer would only delay the return.
+// isReady reports whether this controller can serve users. If the store answers no
+// controller, all of them stay ready: if they left the load balancer, it would only take
+// them longer to serve users again after the outage.
 func (h *readinessHandler) isReady() bool {
 	if !h.cache.Synced || h.roles.Stopping {
 		return false
 	}
 	since := h.storeHealth.UnavailableSince
-	unavailable := since > 0 && h.Now > since+unreadyTimeout
+	unavailable := since > 0 && h.Now > since+readinessStoreTimeout
 	return !unavailable || !h.peers.HealthyPeerKnown()
 }
--- a/internal/core/record_applier.go
+++ b/internal/core/record_applier.go
@@ -16,11 +16,12 @@
 	"github.com/go-json-experiment/json"
 )
 
-// newJobPlanDelay is how soon after a job was seen a scheduling cycle is to run: late
-// enough that jobs submitted together are planned together.
+// newJobPlanDelay is the longest time from the first sight of a job to the next scheduling
+// cycle. The delay lets jobs that are submitted together be planned together.
 const newJobPlanDelay = micros.Second / 20
 
-// recordApplier takes in the keys that the watch cache reads, each by its kind.
+// recordApplier applies the records that the watch cache reads to the replica and to the
+// other components, each by the kind of its key.
 type recordApplier struct {
 	*coordination.Environment
 	cache        *coordination.WatchCache
@@ -59,32 +60,33 @@
 	return applier
 }
 
-// keyKind is a kind of key of the store: what all its keys begin with, and what takes them
-// in. The functions get the rest of the key, which may not be a valid name of its kind.
+// keyKind is a kind of key in the store: the prefix of its keys, and the functions that
+// apply changes to them. The functions get the rest of the key, which may be invalid.
 type keyKind struct {
 	prefix      string
 	applyPut    func(name string, value []byte, version api.Revision) error
-	applyDelete func(name string, version api.Revision) // nil: its keys are never deleted, or that tells nothing
+	applyDelete func(name string, version api.Revision) // nil if deletions are ignored
 }
 
-// keyKinds lists the kinds in the order in which all keys are taken in when everything is
-// read again. Jobs come before the logs, which tell of their tasks. Partitions come last:
-// a log is applied as long as its partition is not led by us.
+// keyKinds returns the kinds in the order in which ReplaceAll applies them. Jobs come before
+// the logs, which hold the states of their tasks. Partitions come last, because a log is
+// applied only while this controller does not lead its partition.
 func (a *recordApplier) keyKinds() []keyKind {
 	return []keyKind{
-		{prefix: records.AdoptionKey, applyPut: a.putAdoption},
-		{prefix: records.CatalogKey, applyPut: a.putCatalogPage},
-		{prefix: records.SchemaPrefix, applyPut: a.putSchema},
-		{prefix: records.JobPrefix, applyPut: a.putJob, applyDelete: a.deleteJob},
-		{prefix: records.LogPrefix, applyPut: a.putLogSlot},
+		{prefix: records.AdoptionKey, applyPut: a.applyAdoption},
+		{prefix: records.CatalogKey, applyPut: a.applyCatalogPage},
+		{prefix: records.SchemaPrefix, applyPut: a.applySchema},
+		{prefix: records.JobPrefix, applyPut: a.applyJob, applyDelete: a.applyJobDeletion},
+		{prefix: records.LogPrefix, applyPut: a.applyLogSlot},
 		{prefix: records.RequestsPrefix, applyPut: a.provisioning.ApplyRequests},
 		{prefix: records.FleetRolePrefix, applyPut: a.roles.ApplyFleetRole, applyDelete: a.roles.DeleteFleetRole},
-		{prefix: records.PartitionPrefix, applyPut: a.putPartition, applyDelete: a.deletePartition},
+		{prefix: records.PartitionPrefix, applyPut: a.applyPartition, applyDelete: a.applyPartitionDeletion},
 	}
 }
 
-// ReplaceAll takes in all live keys in place of what was known, kind by kind. The slots of
-// a log come in no order: its entries say which is later.
+// ReplaceAll replaces the replica with the given pairs, which are all live keys of the store.
+// They are applied kind by kind. The slots of a log may come in any order, because their
+// entries have sequence numbers.
 func (a *recordApplier) ReplaceAll(pairs []api.KeyValue) {
 	a.resetReplica()
 	for _, kind := range a.kinds {
@@ -96,13 +98,14 @@
 	}
 }
 
-// resetReplica forgets the replica, and with it all that was not committed.
+// resetReplica discards the replica, including all uncommitted changes.
 func (a *recordApplier) resetReplica() {
 	for _, partition := range a.cluster.Partitions {
 		if partition.Leads() {
-			a.roles.LoseRole(partition.RoleState, "everything is listed again")
-			// Roles are taken under a term of their own then: a copy of a commit that
-			// is forgotten here may still be carried out under this term.
+			a.roles.LoseRole(partition.RoleState, "all keys are listed again")
+			// The new incarnation makes this controller acquire its roles under new
+			// terms: a copy of a commit that is discarded here may still be carried
+			// out under the current term.
 			a.Incarnation++
 		}
 		partition.Forget(a.Now)
@@ -113,7 +116,7 @@
 	a.dependencies.Reset()
 }
 
-// Synchronized logs that the replica is complete.
+// Synchronized logs that the replica is complete and current as of a revision.
 func (a *recordApplier) Synchronized(revision api.Revision, keys int) {
 	a.LogInfo("watch cache synchronized",
 		logkey.Revision, revision,
@@ -122,8 +125,8 @@
 		logkey.Machines, len(a.cluster.Machines))
 }
 
-// ApplyPut takes in a key's value unless a newer one is known. A value that cannot be read
-// is logged and left out, and a key of no known kind is left alone: a later version wrote it.
+// ApplyPut applies a key's value unless a newer one is known. An unreadable value is logged.
+// A key of an unknown kind is ignored: a later version of the program wrote it.
 func (a *recordApplier) ApplyPut(key string, value []byte, version api.Revision) {
 	for _, kind := range a.kinds {
 		name, ok := strings.CutPrefix(key, kind.prefix)
@@ -137,7 +140,7 @@
 	}
 }
 
-// ApplyDelete takes in that a key was deleted.
+// ApplyDelete applies the deletion of a key.
 func (a *recordApplier) ApplyDelete(key string, version api.Revision) {
 	for _, kind := range a.kinds {
 		name, ok := strings.CutPrefix(key, kind.prefix)
@@ -151,25 +154,25 @@
 	}
 }
 
-// decodeRecord reads a record. Of one that cannot be read it gives what could be.
+// decodeRecord decodes a record. With an error it returns the part that could be decoded.
 func decodeRecord[T any](value []byte) (T, error) {
 	var record T
 	err := json.Unmarshal(value, &record)
-	return record, err //nolint:wrapcheck // ApplyPut, the only reader, logs it beside the key.
+	return record, err //nolint:wrapcheck // Only ApplyPut reads it, and logs it beside the key.
 }
 
-// putAdoption takes in the key that every adoption of orphaned instances changes. Its
-// value tells nothing.
-func (a *recordApplier) putAdoption(name string, _ []byte, version api.Revision) error {
+// applyAdoption applies a change of the key that is written with every adoption of orphaned
+// instances. Only the key's version matters, not its value.
+func (a *recordApplier) applyAdoption(name string, _ []byte, version api.Revision) error {
 	if name == "" {
 		a.cluster.ObserveAdoption(version)
 	}
 	return nil
 }
 
-// putCatalogPage takes in a page of the catalog. The first page has the kind's bare
-// prefix as its key, the others follow it after a slash.
-func (a *recordApplier) putCatalogPage(name string, value []byte, version api.Revision) error {
+// applyCatalogPage applies a page of the catalog. The key of the first page is the kind's
+// prefix alone. The keys of other pages continue with a slash and the name of the page.
+func (a *recordApplier) applyCatalogPage(name string, value []byte, version api.Revision) error {
 	page, isFurther := strings.CutPrefix(name, "/")
 	if name != "" && !isFurther {
 		return nil // not a page
@@ -182,8 +185,8 @@
 	return nil
 }
 
-// putSchema takes in which schema a controller announces to read.
-func (a *recordApplier) putSchema(node string, value []byte, version api.Revision) error {
+// applySchema applies a controller's announcement of the schema version that it can read.
+func (a *recordApplier) applySchema(node string, value []byte, version api.Revision) error {
 	if node == a.Settings.Node {
 		a.schema.ObserveSchemaKey(version)
 	}
@@ -195,28 +198,30 @@
 	return nil
 }
 
-// putPartition takes in who leads a partition. A claim that cannot be read names no
-// leader, but the partition counts as led until the lease must have expired.
-func (a *recordApplier) putPartition(name string, value []byte, version api.Revision) error {
-	partition := a.partitionNamed(name)
+// applyPartition applies a claim to lead a partition. An unreadable claim names no leader,
+// but the partition counts as led until the leader's lease must have expired.
+func (a *recordApplier) applyPartition(name string, value []byte, version api.Revision) error {
+	partition := a.partitionByName(name)
 	if partition == nil || partition.Term >= leadership.Term(version) {
-		return nil // not one of ours, or older than what is known
+		return nil // no such partition, or an older claim than the known one
 	}
 	claim, err := decodeRecord[leadership.Claim](value)
 	a.roles.ObserveRole(partition.RoleState, claim, version)
 	return err
 }
 
-// deletePartition takes in that a partition's leader gave it up or lost its lease.
-func (a *recordApplier) deletePartition(name string, version api.Revision) {
-	partition := a.partitionNamed(name)
+// applyPartitionDeletion applies the deletion of a partition's key: its leader resigned or
+// lost its lease.
+func (a *recordApplier) applyPartitionDeletion(name string, version api.Revision) {
+	partition := a.partitionByName(name)
 	if partition != nil && partition.Term < leadership.Term(version) {
 		a.roles.ObserveRole(partition.RoleState, leadership.Claim{}, 0)
 	}
 }
 
-// partitionNamed gives the partition with an index as in a key; nil: there is none.
-func (a *recordApplier) partitionNamed(name string) *cluster.Partition {
+// partitionByName returns the partition whose index is the given decimal number, or nil if
+// there is none.
+func (a *recordApplier) partitionByName(name string) *cluster.Partition {
 	index, err := strconv.Atoi(name)
 	if err != nil || index < 0 || index >= len(a.cluster.Partitions) {
 		return nil
@@ -224,8 +229,8 @@
 	return a.cluster.Partitions[index]
 }
 
-// putJob takes in the record of an unfinished job: that it was accepted, or cancelled.
-func (a *recordApplier) putJob(id string, value []byte, version api.Revision) error {
+// applyJob applies the record of an unfinished job, which was accepted or cancelled.
+func (a *recordApplier) applyJob(id string, value []byte, version api.Revision) error {
 	job := a.cluster.Jobs[id]
 	if job != nil && job.Version >= version {
 		return nil
@@ -255,7 +260,7 @@
 	return nil
 }
 
-// addJob adds a job of which nothing was known to the replica.
+// addJob adds an unknown job to the replica.
 func (a *recordApplier) addJob(id string, spec api.Job) *cluster.Job {
 	job := a.cluster.AddJob(id, spec)
 	a.LogDebug("job observed",
@@ -267,8 +272,9 @@
 	return job
 }
 
-// deleteJob takes in that a job ended: its terminal record took the place of its key.
-func (a *recordApplier) deleteJob(id string, version api.Revision) {
+// applyJobDeletion applies the deletion of a job's key: the job has ended, and the
+// transaction that deleted the key wrote the terminal record.
+func (a *recordApplier) applyJobDeletion(id string, version api.Revision) {
 	job := a.cluster.Jobs[id]
 	if job == nil || job.Version >= version {
 		return
@@ -284,7 +290,7 @@
 	a.dependencies.SetOutcome(job.ID, cluster.OutcomeUnknown, 0)
 }
 
-// clearTasks takes a job's tasks off their machines and out of all counts.
+// clearTasks removes a job's tasks from their machines and from all counts.
 func (a *recordApplier) clearTasks(job *cluster.Job) {
 	for _, chunk := range job.ChunkIndexes() {
 		for offset := range job.Chunks[chunk] {
--- a/internal/core/roles_test.go
+++ b/internal/core/roles_test.go
@@ -13,79 +13,79 @@
 	"spurmoor/internal/records"
 )
 
-// adopterKey is the key of the role of adopting orphaned instances.
-const adopterKey = records.FleetRolePrefix + "strays"
+// orphanAdopterKey is the key of the fleet role that adopts orphaned instances.
+const orphanAdopterKey = records.FleetRolePrefix + "strays"
 
 // TestUnreadableRoleCountsAsLed guards against a role that is taken from its leader because
-// its record cannot be read: it counts as led until its lease has expired.
+// its record is unreadable. The role must count as led until the leader's lease has expired.
 func TestUnreadableRoleCountsAsLed(t *testing.T) {
 	fixture := newProvisioningFixture(t)
-	fixture.applier.ApplyPut(adopterKey, []byte(`"?"`), 70)
+	fixture.applier.ApplyPut(orphanAdopterKey, []byte(`"?"`), 70)
 	role := fixture.roles.FleetRole(leadership.OrphanAdopter)
 	if fixture.roles.IsVacant(role) || role.Leads() || fixture.roles.MayPerform(leadership.OrphanAdopter) {
-		t.Errorf("vacant %t, led by us %t", fixture.roles.IsVacant(role), role.Leads())
+		t.Errorf("unreadable record: got vacant %t, led %t, want neither", fixture.roles.IsVacant(role), role.Leads())
 	}
 	logged := slices.ContainsFunc(effectsOf[message.Log](fixture.Effects), func(line message.Log) bool {
 		return strings.Contains(line.Message, "unreadable value")
 	})
 	if !logged {
-		t.Error("it is not logged")
+		t.Error("got no log line about the unreadable value, want one")
 	}
-	fixture.applier.ApplyDelete(adopterKey, 71)
+	fixture.applier.ApplyDelete(orphanAdopterKey, 71)
 	fixture.Now += 10 * micros.Second
 	if !fixture.roles.IsVacant(role) {
-		t.Error("not vacant after its lease expired")
+		t.Error("after the lease expired: got a role that is not vacant, want it vacant")
 	}
 }
 
-// TestFleetRoleIsExclusiveOnceAllKnowIt guards against a fleet role that one controller
-// keeps to itself while another does not know of it, and against two that perform it once
-// all know.
-func TestFleetRoleIsExclusiveOnceAllKnowIt(t *testing.T) {
+// TestFleetRoleIsExclusiveOnceAllSupportIt guards against a controller that holds a fleet role
+// exclusively while another controller does not support roles, and against two controllers
+// that perform it once all of them do.
+func TestFleetRoleIsExclusiveOnceAllSupportIt(t *testing.T) {
 	fixture := newProvisioningFixture(t)
 	fixture.Settings.Nodes = []string{testNode, "nodo-1"}
-	peerReads := func(schema int) {
+	observePeerSchema := func(schema int) {
 		fixture.messenger.handlePeerHeartbeat(&peer.Heartbeat{Node: "nodo-1", Healthy: true, SchemaVersion: schema})
 	}
 	if !fixture.roles.MayPerform(leadership.OrphanAdopter) {
-		t.Error("a controller whose peers may be of an older version leaves orphans alone")
+		t.Error("the peer's version is unknown: got a controller that may not adopt orphans, want that it may")
 	}
-	peerReads(records.SchemaRoles)
+	observePeerSchema(records.SchemaRoles)
 	if fixture.roles.MayPerform(leadership.OrphanAdopter) {
-		t.Error("all know of the role, and one that does not lead it acts")
+		t.Error("all support the role: got a controller that performs it without leading it, want only its leader to")
 	}
-	fixture.applier.ApplyPut(adopterKey, records.MustMarshal(fixture.roles.LeaderClaim()), 80)
+	fixture.applier.ApplyPut(orphanAdopterKey, records.MustMarshal(fixture.roles.LeaderClaim()), 80)
 	if !fixture.roles.MayPerform(leadership.OrphanAdopter) {
-		t.Fatal("its leader does not act")
+		t.Fatal("got a leader of the role that may not perform it, want that it may")
 	}
-	peerReads(records.SchemaDependencies) // rolled back
+	observePeerSchema(records.SchemaDependencies) // the peer is rolled back to an older version
 	fixture.Effects = nil
 	fixture.roles.ReconcileRoles()
 	if fixture.roles.FleetRole(leadership.OrphanAdopter).Leads() || !fixture.roles.MayPerform(leadership.OrphanAdopter) {
-		t.Error("the role is kept although a controller does not know of it")
+		t.Error("the peer does not support the role: got it kept, want it resigned and performed by all")
 	}
 }
 
-// TestResignedTermIsNotLedAgain guards against a partition that is led again under a term
-// that was resigned: the deletion of its key may come late, and whoever leads the partition
-// then counts on the silence that was promised.
+// TestResignedTermIsNotLedAgain guards against a controller that leads a partition again under
+// a term that it resigned. The deletion of the partition's key may be carried out late, and
+// the next leader then relies on the resigned one not acting.
 func TestResignedTermIsNotLedAgain(t *testing.T) {
 	fixture := newLeaderFixture(t)
 	resigned := fixture.partition.Term
 	fixture.roles.ResignRole(fixture.partition.RoleState, "test")
-	fixture.partition.Forget(fixture.Now) // as when everything is read again
-	fixture.lead(resigned)
+	fixture.partition.Forget(fixture.Now) // as when all keys are listed again
+	fixture.acquirePartition(resigned)
 	if fixture.partition.Leads() {
-		t.Error("led again under the term that was resigned")
+		t.Error("under the resigned term: got a leader, want none")
 	}
-	fixture.lead(resigned + 1)
+	fixture.acquirePartition(resigned + 1)
 	if !fixture.partition.Leads() {
-		t.Error("not led under a new term")
+		t.Error("under a new term: got no leader, want one")
 	}
 }
 
-// TestSchemaIsAnnouncedAfterUpgrade guards against an upgrade that is never announced: the
-// key of the version before is there already.
+// TestSchemaIsAnnouncedAfterUpgrade guards against an upgrade whose schema version is never
+// announced because the key of the previous version already exists.
 func TestSchemaIsAnnouncedAfterUpgrade(t *testing.T) {
 	fixture := newProvisioningFixture(t)
 	key := records.SchemaPrefix + fixture.Settings.Node
@@ -96,12 +96,12 @@
 	fixture.schema.AnnounceSchema()
 	call := transactionWriting(fixture.Effects, key)
 	if call == nil || !slices.Contains(call.Transaction.Body().Compares, api.Compare{Key: key, Version: 33}) {
-		t.Errorf("announced by %+v", call)
+		t.Errorf("got announcement %+v, want a write that compares version 33 of the key", call)
 	}
 }
 
-// TestRefusedOrdersAreLoggedOnce guards against a line in the log for each refused order,
-// and against counts that operators cannot see.
+// TestRefusedOrdersAreLoggedOnce guards against a log line for each refused order, and against
+// counts that are missing from the list of roles that operators see.
 func TestRefusedOrdersAreLoggedOnce(t *testing.T) {
 	fixture := newProvisioningFixture(t)
 	for range 50 {
@@ -116,32 +116,32 @@
 		}
 	}
 	if lines != 1 {
-		t.Errorf("%d lines", lines)
+		t.Errorf("got %d log lines, want 1", lines)
 	}
 	for _, answer := range effectsOf[message.Answer](fixture.Step(fixture.Now, message.ListRoles{RequestID: 9})) {
 		list, ok := answer.Body.(api.Roles)
 		if !ok || len(list.Roles) != 5 || list.Roles[0].RefusedOrders["rent, expired"] != 50 || list.Roles[0].RemainingS == nil {
-			t.Errorf("answered %+v", answer.Body)
+			t.Errorf("got answer %+v, want 5 roles, the first with 50 refused orders and a remaining time", answer.Body)
 		}
 	}
 }
 
-// TestStopResignsRoles guards against a controller that is told to stop and leaves its
-// roles until its lease expires.
+// TestStopResignsRoles guards against a controller that is told to stop but keeps its roles
+// until its lease expires.
 func TestStopResignsRoles(t *testing.T) {
 	fixture := newProvisioningFixture(t)
 	effects := fixture.Step(fixture.Now, message.Stop{})
 	resignation := transactionDeleting(effects, fixture.partition.Key())
 	if resignation == nil || fixture.partition.Leads() || len(effectsOf[message.Stopped](effects)) != 0 {
-		t.Fatalf("resigned by %+v, leads %t", resignation, fixture.partition.Leads())
+		t.Fatalf("got resignation %+v, leads %t, want one, false and no Stopped yet", resignation, fixture.partition.Leads())
 	}
 	broadcasts := effectsOf[message.Broadcast](effects)
 	if len(broadcasts) == 0 || !broadcasts[0].Heartbeat.Stopping || broadcasts[0].Heartbeat.Healthy {
-		t.Error("the other controllers are not notified")
+		t.Error("got no heartbeat that is stopping and not healthy, want one sent to the other controllers")
 	}
-	committed := &message.StoreReply{Call: resignation.Call, Status: message.StatusOK, Transaction: api.TransactionResult{Revision: 99}}
+	committed := &message.StoreReply{CallID: resignation.CallID, Status: message.StatusOK, Transaction: api.TransactionResult{Revision: 99}}
 	fixture.Step(fixture.Now+1000, committed)
 	if len(effectsOf[message.Stopped](fixture.Step(fixture.Now+micros.Second, message.Tick{}))) != 1 {
-		t.Error("the end of the stop is not told")
+		t.Error("after the resignation was committed: got no Stopped, want one")
 	}
 }
--- a/internal/core/store_lease_test.go
+++ b/internal/core/store_lease_test.go
@@ -8,9 +8,9 @@
 	"spurmoor/internal/micros"
 )
 
-// TestLeaseCountsFromSending guards against a leader that acts for longer than its lease
-// lasts: paused right after it sent a renewal, it must count from then, and a renewal whose
-// answer was lost counts as none.
+// TestLeaseCountsFromSending guards against a leader that acts for longer than its lease lasts.
+// The lease must count from when the renewal was sent, even if the process is paused right
+// after that. A renewal without an answer must not count.
 func TestLeaseCountsFromSending(t *testing.T) {
 	fixture := newProvisioningFixture(t)
 	sentAt := fixture.Now
@@ -18,42 +18,43 @@
 	fixture.storeLease.RenewalInFlight = false
 	renewals := storeCallsOf(fixture.Step(sentAt, message.Tick{}), message.OpRenewLease)
 	if len(renewals) != 1 {
-		t.Fatalf("%d renewals", len(renewals))
+		t.Fatalf("got %d renewals, want 1", len(renewals))
 	}
 	late := sentAt + fixture.Settings.LeaseTTL() + micros.Second
-	fixture.Step(late, &message.StoreReply{Call: renewals[0].Call, Status: message.StatusOK})
+	fixture.Step(late, &message.StoreReply{CallID: renewals[0].CallID, Status: message.StatusOK})
 	grant := fixture.storeLease.Grant(fixture.partition.RoleState, leadership.Launch)
 	if fixture.storeLease.LeaseValid() || grant.Check(leadership.Launch, fixture.Now) != leadership.NoGrant {
-		t.Error("the lease counts from its answer")
+		t.Error("late answer to a renewal: got a valid lease or a grant, want neither")
 	}
 	fixture.storeLease.Lease.RenewalSentAt = late
 	fixture.storeLease.NextRenewalAt = late
 	fixture.storeLease.RenewalInFlight = false
 	again := storeCallsOf(fixture.Step(late+1, message.Tick{}), message.OpRenewLease)
-	fixture.Step(late+2*micros.Second, &message.StoreReply{Call: again[0].Call}) // renewed there, but the answer is lost
+	fixture.Step(late+2*micros.Second, &message.StoreReply{CallID: again[0].CallID}) // the store renewed the lease, but its answer is lost
 	if fixture.storeLease.Lease.RenewalSentAt != late {
-		t.Error("a renewal without an answer counts")
+		t.Error("got a lease that counts from the unanswered renewal, want it to count from the one before")
 	}
 }
 
-// TestResumedControllerWaitsForPeers guards against a controller that resumes after its
-// lease but within its answer deadline, and takes the silence of its own pause for an
-// outage of all: it answered workers that another controller commanded by then.
+// TestResumedControllerWaitsForPeers guards against a controller that resumes from a pause
+// after its lease has expired but before its answer deadline. If it mistakes the silence of
+// its own pause for an outage of the store for all controllers, it answers workers that
+// another controller already commands.
 func TestResumedControllerWaitsForPeers(t *testing.T) {
 	fixture := newLeaderFixture(t)
 	fixture.Step(fixture.Now+micros.Second/10, message.Tick{})
 	resumedAt := fixture.Now + 9*micros.Second
 	fixture.Step(resumedAt, message.Tick{})
 	if resumedAt >= fixture.storeLease.AnswerDeadline() {
-		t.Fatal("the answer deadline is over")
+		t.Fatal("got an answer deadline that is past, want the controller resumed before it")
 	}
 	if fixture.storeLease.MayAnswerFor(fixture.partition.RoleState) {
-		t.Error("it answers before it can have heard of the others")
+		t.Error("right after the pause: got a controller that answers heartbeats, want it to wait for its peers")
 	}
 	for range 40 {
 		fixture.Step(fixture.Now+micros.Second/10, message.Tick{})
 	}
 	if !fixture.storeLease.MayAnswerFor(fixture.partition.RoleState) {
-		t.Error("it does not answer although nobody else is heard")
+		t.Error("no peer is heard after 4 s: got a controller that does not answer heartbeats, want it to")
 	}
 }
--- a/internal/core/submission.go
+++ b/internal/core/submission.go
@@ -9,8 +9,8 @@
 	"spurmoor/internal/records"
 )
 
-// submissionHandler accepts jobs. A user is told that a job is accepted only once its
-// record is durable, and a repeated submission is answered with the job's state.
+// submissionHandler accepts jobs. It confirms a job to the user only once the job's record
+// is durable, and answers a repeated submission with the job's state.
 type submissionHandler struct {
 	*coordination.Environment
 	admission    *admissionControl
@@ -33,7 +33,7 @@
 	}
 }
 
-// submission is a job on its way to being accepted.
+// submission is a job that is being accepted.
 type submission struct {
 	requestID  uint64
 	spec       *api.Job
@@ -52,11 +52,11 @@
 		refuse(h.Environment, request.RequestID, refusalNotSynced)
 		return
 	}
-	if why, ok := h.admission.check(spec); !ok {
-		h.answerDuplicateOrRefuse(request.RequestID, spec.ID, why)
+	if reason, ok := h.admission.check(spec); !ok {
+		h.answerDuplicateOrRefuse(request.RequestID, spec.ID, reason)
 		return
 	}
-	if h.admission.storeIsUnavailable() {
+	if h.admission.storeUnavailable() {
 		refuse(h.Environment, request.RequestID, refusalStoreUnavailable)
 		return
 	}
@@ -68,26 +68,26 @@
 	h.recordJob(admitted, records.MustMarshal(records.Job{Spec: *spec, AcceptedAt: admitted.receivedAt}))
 }
 
-// submitWithDependencies accepts a job that depends on others, once all of those are known
-// to have been accepted.
+// submitWithDependencies records a job that depends on others, after it has verified that
+// all of them were accepted.
 func (h *submissionHandler) submitWithDependencies(job *submission) {
-	if why, ok := h.admission.checkDependencies(job.spec); !ok {
-		h.answerDuplicateOrRefuse(job.requestID, job.spec.ID, why)
+	if reason, ok := h.admission.checkDependencies(job.spec); !ok {
+		h.answerDuplicateOrRefuse(job.requestID, job.spec.ID, reason)
 		return
 	}
 	h.admission.inFlight++
 	h.dependencies.Verify(job.spec, func(status int, reason string) {
 		h.admission.inFlight--
 		if status != 0 {
-			h.answerDuplicateOrRefuse(job.requestID, job.spec.ID, refusalByDependencies(status, reason))
+			h.answerDuplicateOrRefuse(job.requestID, job.spec.ID, refusalForDependencies(status, reason))
 			return
 		}
 		h.recordJobWithDependencies(job)
 	})
 }
 
-// recordJobWithDependencies records a job whose dependencies are known, as a list if that
-// fits into a value of the store and packed otherwise.
+// recordJobWithDependencies records a job whose dependencies were verified. The dependencies
+// are recorded as a list if that fits into a value of the store, and packed otherwise.
 func (h *submissionHandler) recordJobWithDependencies(job *submission) {
 	record := records.Job{Spec: *job.spec, AcceptedAt: job.receivedAt}
 	h.dependencies.DropEnded(&record)
@@ -103,11 +103,11 @@
 	h.recordJob(job, value)
 }
 
-// recordJob writes a job's record, and answers its user once that is durable.
+// recordJob writes a job's record, and answers the user once the record is durable.
 func (h *submissionHandler) recordJob(job *submission, record []byte) {
 	h.admission.inFlight++
 	job.sentAt = h.Now
-	// Neither an unfinished job nor one that ended may have this ID.
+	// No unfinished or ended job may have this ID.
 	absent := []api.Compare{{Key: records.JobPrefix + job.spec.ID}, {Key: records.TerminalPrefix + job.spec.ID}}
 	h.writer.putJob(job.spec.ID, record, absent, func(outcome writeOutcome) {
 		h.admission.inFlight--
@@ -117,32 +117,32 @@
 		case writeConflict:
 			h.answerDuplicateOrRefuse(job.requestID, job.spec.ID, refusalStoreBusy)
 		default:
-			refuse(h.Environment, job.requestID, refusalStoreUnanswered)
+			refuse(h.Environment, job.requestID, refusalStoreNoReply)
 		}
 	})
 }
 
-// confirmAccepted tells a user that a job is accepted. Where its write took long, or where
-// it depends on other jobs, any of them may have been cancelled meanwhile by way of
-// another controller: then the answer is from a new read.
+// confirmAccepted answers a user whose job was accepted. If the write took long or the job
+// has dependencies, another controller may have cancelled the job or a dependency in the
+// meantime. The answer is then taken from a new read.
 func (h *submissionHandler) confirmAccepted(job *submission) {
 	if len(job.spec.Dependencies) == 0 && h.Now < job.sentAt+coordination.MaxReadAge {
 		h.Answer(job.requestID, message.StatusCreated, api.JobStatus{ID: job.spec.ID, State: api.JobPending})
 		return
 	}
-	h.jobs.lookUpOrRefuse(job.requestID, job.spec.ID, refusalStoreUnanswered, func(status api.JobStatus) {
+	h.jobs.lookUpOrRefuse(job.requestID, job.spec.ID, refusalStoreNoReply, func(status api.JobStatus) {
 		h.Answer(job.requestID, message.StatusCreated, api.JobStatus{ID: job.spec.ID, State: status.State})
 	})
 }
 
-// answerDuplicateOrRefuse refuses a submission, but answers 200 where the job was accepted
-// before, whatever its body says now. id is "" where the body does not tell one.
-func (h *submissionHandler) answerDuplicateOrRefuse(requestID uint64, id string, why refusal) {
+// answerDuplicateOrRefuse refuses a submission unless the job was accepted before. In that
+// case it answers 200, whatever the body contains now. id is "" if the body has no job ID.
+func (h *submissionHandler) answerDuplicateOrRefuse(requestID uint64, id string, reason refusal) {
 	if id == "" {
-		refuse(h.Environment, requestID, why)
+		refuse(h.Environment, requestID, reason)
 		return
 	}
-	h.jobs.lookUpOrRefuse(requestID, id, why, func(status api.JobStatus) {
+	h.jobs.lookUpOrRefuse(requestID, id, reason, func(status api.JobStatus) {
 		h.Answer(requestID, message.StatusOK, status)
 	})
 }
--- a/internal/core/submission_test.go
+++ b/internal/core/submission_test.go
@@ -10,8 +10,8 @@
 	"spurmoor/internal/records"
 )
 
-// TestRepeatedSubmissionCostsNoWrite guards against a transaction, which counts against the
-// budget of writes, for a submission of a job that the replica knows.
+// TestRepeatedSubmissionCostsNoWrite guards against a transaction for a submission of a job
+// that is already in the replica. Each transaction counts against the store's write limit.
 func TestRepeatedSubmissionCostsNoWrite(t *testing.T) {
 	fixture := newSyncedFixture(t)
 	withDependency := []byte(string(fixture.submission[:len(fixture.submission)-1]) + `,"Espera":["` + testJob + `"]}`)
@@ -26,19 +26,19 @@
 			submit := message.Submit{RequestID: uint64(index + 1), Body: tc.body}
 			effects := fixture.Step(micros.Micros(index+1)*micros.Second, submit)
 			if transactionWriting(effects, records.JobPrefix+testJob) != nil {
-				t.Error("a transaction is sent for a job that is known")
+				t.Error("submission of a known job: got a transaction, want none")
 			}
 			for _, answer := range effectsOf[message.Answer](effects) {
 				if answer.Status >= message.StatusBadRequest && answer.Status < message.StatusTooManyRequests {
-					t.Errorf("a repeated submission was refused: %+v", answer)
+					t.Errorf("repeated submission: got answer %+v, want no permanent refusal", answer)
 				}
 			}
 		})
 	}
 }
 
-// TestSlowSubmissionIsReadAgain guards against the answer to a submission whose write was
-// held up: the job may have been cancelled by then, and its user told so elsewhere.
+// TestSlowSubmissionIsReadAgain guards against an outdated answer to a submission whose write
+// was delayed: by then another controller may have confirmed the job's cancellation.
 func TestSlowSubmissionIsReadAgain(t *testing.T) {
 	for _, tc := range []struct {
 		name           string
@@ -56,15 +56,15 @@
 			effects := fixture.Step(fixture.Now+1, message.Submit{RequestID: requestID, Body: fixture.submission})
 			write := transactionWriting(effects, records.JobPrefix+testJob)
 			if write == nil {
-				t.Fatal("no record was sent")
+				t.Fatal("got no write of the job's record, want one")
 			}
 			fixture.answerReads(fixture.Now+1, effects)
 			written := &message.StoreReply{
-				Call: write.Call, Status: message.StatusOK, Transaction: api.TransactionResult{Revision: fixture.cache.Revision + 1},
+				CallID: write.CallID, Status: message.StatusOK, Transaction: api.TransactionResult{Revision: fixture.cache.Revision + 1},
 			}
 			_, answered := answerTo(fixture.Step(fixture.Now+tc.writeTook, written), requestID)
 			if answered != tc.answeredAtOnce {
-				t.Errorf("answered at once: %t", answered)
+				t.Errorf("answered at once: got %t, want the opposite", answered)
 			}
 		})
 	}
--- a/internal/core/summary.go
+++ b/internal/core/summary.go
@@ -11,13 +11,13 @@
 	"spurmoor/internal/planning"
 )
 
-// summaryInterval is how often the log says how things stand.
+// summaryInterval is the interval between summaries in the log.
 const summaryInterval = 30 * micros.Second
 
-// maxNamedBlockedJobs is of how many blocked jobs of a team the summary says why they wait.
-const maxNamedBlockedJobs = 2
+// maxBlockedJobsLoggedPerTeam bounds the blocked jobs of each team that a summary logs.
+const maxBlockedJobsLoggedPerTeam = 2
 
-// summaryLogger logs at intervals how things stand.
+// summaryLogger periodically logs a summary of the cluster and the jobs that are blocked.
 type summaryLogger struct {
 	*coordination.Environment
 	cache      *coordination.WatchCache
@@ -36,8 +36,7 @@
 	return &summaryLogger{Environment: env, cache: cache, cluster: cluster, scheduling: scheduling}
 }
 
-// logSummary logs, when it is due, how things stand and why the first blocked jobs of each
-// team wait.
+// logSummary logs a summary, if one is due, and why the first blocked jobs of each team wait.
 func (s *summaryLogger) logSummary() {
 	if s.Now < s.nextSummaryAt {
 		return
@@ -60,15 +59,15 @@
 	s.logBlockedJobs()
 }
 
-// logBlockedJobs logs why the first blocked jobs of each team, in the order of their IDs, wait.
+// logBlockedJobs logs why the first blocked jobs of each team, in order of their IDs, wait.
 func (s *summaryLogger) logBlockedJobs() {
-	named := map[string]int{} // by team
+	loggedByTeam := map[string]int{}
 	for _, id := range slices.Sorted(maps.Keys(s.scheduling.BlockedReasons)) {
 		job := s.cluster.Jobs[id]
-		if job == nil || named[job.Spec.Team] >= maxNamedBlockedJobs {
+		if job == nil || loggedByTeam[job.Spec.Team] >= maxBlockedJobsLoggedPerTeam {
 			continue
 		}
-		named[job.Spec.Team]++
+		loggedByTeam[job.Spec.Team]++
 		s.LogInfo("job waits",
 			logkey.Job, id,
 			logkey.Team, job.Spec.Team,
@@ -77,7 +76,7 @@
 	}
 }
 
-// ledPartitions lists the partitions that this controller leads.
+// ledPartitions returns the indexes of the partitions that this controller leads.
 func (s *summaryLogger) ledPartitions() []int {
 	var led []int
 	for _, partition := range s.cluster.Partitions {
@@ -90,9 +89,9 @@
 
 // machineCounts counts the machines of the partitions that this controller leads.
 type machineCounts struct {
-	up    int // that have sent a heartbeat
-	idle  int // of those, without tasks
-	tasks int // placed on any, up or not
+	up    int // machines that have sent a heartbeat
+	idle  int // machines that are up and have no tasks
+	tasks int // tasks placed on any machine, up or not
 }
 
 func (s *summaryLogger) countMachines() machineCounts {
@@ -113,10 +112,10 @@
 	return counts
 }
 
-// waitingJobCounts counts the jobs of the partitions that this controller leads that wait.
+// waitingJobCounts counts the waiting jobs of the partitions that this controller leads.
 type waitingJobCounts struct {
-	forMachines     int // jobs with tasks to place
-	forDependencies int // jobs that may not start yet
+	forMachines     int // jobs with unplaced tasks
+	forDependencies int // jobs with pending dependencies
 }
 
 func (s *summaryLogger) countWaitingJobs() waitingJobCounts {
--- a/internal/core/worker_heartbeat.go
+++ b/internal/core/worker_heartbeat.go
@@ -11,11 +11,12 @@
 	"spurmoor/internal/provisioning"
 )
 
-// workerLeaseMargin is added to a worker's lease for the way of the answer that renews it.
+// workerLeaseMargin is added to a worker's lease to allow for the transit time of the answer
+// that renews it.
 const workerLeaseMargin = micros.Second / 2
 
-// workerHandler answers workers' heartbeats, takes in their replies to direct commands,
-// and reconciles what both say with what is recorded.
+// workerHandler answers workers' heartbeats, handles their replies to direct commands, and
+// reconciles the reports in both with the recorded state.
 type workerHandler struct {
 	*coordination.Environment
 	boots       *cluster.BootStatistics
@@ -47,8 +48,9 @@
 	}
 }
 
-// handleHeartbeat answers a worker. Only the leader of its machine's partition, within its
-// answer deadline, answers 200: that renews the worker's lease, and with it its tasks run on.
+// handleHeartbeat answers a worker's heartbeat. Only the leader of the machine's partition
+// answers 200, and only before its answer deadline: the answer renews the worker's lease, and
+// so its tasks continue to run.
 func (h *workerHandler) handleHeartbeat(request message.WorkerHeartbeat) {
 	heartbeat := request.Heartbeat
 	h.workerReach.ObserveWorkerContact()
@@ -62,8 +64,8 @@
 		redirect(h.Environment, request.RequestID, "")
 		return
 	}
-	if !isRecordedAs(machine, heartbeat) {
-		refuse(h.Environment, request.RequestID, refusalOtherMachine)
+	if !matchesRecord(machine, heartbeat) {
+		refuse(h.Environment, request.RequestID, refusalMachineMismatch)
 		return
 	}
 	if machine.Address == "" || machine.IsNewer(heartbeat) {
@@ -74,8 +76,8 @@
 		redirect(h.Environment, request.RequestID, h.otherLeader(machine))
 		return
 	}
-	if why, ok := h.checkHeartbeat(machine, heartbeat); !ok {
-		refuse(h.Environment, request.RequestID, why)
+	if reason, ok := h.checkHeartbeat(machine, heartbeat); !ok {
+		refuse(h.Environment, request.RequestID, reason)
 		return
 	}
 	machine.LastHeartbeatAt = h.Now
@@ -86,21 +88,22 @@
 	h.Answer(request.RequestID, message.StatusOK, leadership.NewOrder(grant, response))
 }
 
-// isRecordedAs tells whether a heartbeat comes from a machine like the one that was launched.
-func isRecordedAs(machine *cluster.Machine, heartbeat *api.Heartbeat) bool {
+// matchesRecord reports whether a heartbeat has the type, zone and market of the machine that
+// was launched.
+func matchesRecord(machine *cluster.Machine, heartbeat *api.Heartbeat) bool {
 	record := &machine.Record
 	return record.Type == heartbeat.Type && record.Zone == heartbeat.Zone && record.Spot == heartbeat.Spot
 }
 
-// extendWorkerLease notes that a worker's lease may last until a full lease from now.
+// extendWorkerLease records that a worker's lease may last for a full lease from now.
 func (h *workerHandler) extendWorkerLease(machine *cluster.Machine) {
 	machine.LeaseExpiresAt = max(machine.LeaseExpiresAt, h.Now+h.Settings.WorkerLease()+workerLeaseMargin)
 }
 
-// otherLeader names the other controller that leads a machine's partition; "" if none is
-// known. Only a controller whose lease on the store holds names one: two that had lost the
-// store sent workers to each other, by what each knew last, until the leases of seven
-// hundred machines had expired.
+// otherLeader returns the node of the other controller that leads a machine's partition, or
+// "" if none is known. A controller without a valid lease on the store returns "", because
+// its replica may be outdated: two controllers that had lost the store redirected workers to
+// each other until the leases of seven hundred machines had expired.
 func (h *workerHandler) otherLeader(machine *cluster.Machine) string {
 	index := machine.Record.Partition
 	known := index >= 0 && index < len(h.cluster.Partitions) && h.cluster.Partitions[index].Term > 0
@@ -113,26 +116,27 @@
 	return ""
 }
 
-// checkHeartbeat tells whether a heartbeat of a machine of ours may be answered 200; if
-// not, it gives the refusal.
+// checkHeartbeat reports whether a heartbeat of a machine in a partition that we lead may be
+// answered 200. If not, it returns the refusal.
 func (h *workerHandler) checkHeartbeat(machine *cluster.Machine, heartbeat *api.Heartbeat) (refusal, bool) {
 	switch {
 	case h.mustLetLeaseExpire(machine):
 		return refusalLeaseMustExpire, false
 	case heartbeat.FencingToken > h.cluster.FencingToken(machine):
-		// The replica is behind: have it read anew.
+		// The replica is outdated, so a read of the store is requested.
 		h.cache.ReadLatest(func(bool) {})
-		return refusalTokenOutranked, false
+		return refusalNewerToken, false
 	case !machine.IsNewer(heartbeat):
-		return refusalHeartbeatOvertaken, false
+		return refusalStaleHeartbeat, false
 	}
 	return refusal{}, true
 }
 
-// mustLetLeaseExpire tells whether a machine is to lose its lease for a job that was
-// cancelled longer ago than the answer window: a direct start of one of its tasks there had
-// no answer, and is not ruled out by a higher fencing token, for that needs the store.
-// All else that must stop is told so with each answer that renews the lease.
+// mustLetLeaseExpire reports whether a machine must lose its lease because of a job that was
+// cancelled longer ago than the answer window. This is so if a direct start of one of the
+// job's tasks on the machine may still be carried out: the start is unanswered, and the
+// fencing token has not been raised since, which needs the store. All other tasks that must
+// stop are told so with each answer that renews the lease.
 func (h *workerHandler) mustLetLeaseExpire(machine *cluster.Machine) bool {
 	token := h.cluster.FencingToken(machine)
 	for _, id := range machine.TaskIDs {
--- a/internal/message/effects.go
+++ b/internal/message/effects.go
@@ -8,29 +8,30 @@
 	"spurmoor/internal/peer"
 )
 
-// Effect is what Step returns: something to send, write, answer or log.
+// Effect is an action that Step returns to be carried out: a message to send, a request to
+// the store or the cloud, an answer or a log line.
 type Effect interface{ effect() }
 
-// Answer answers a request of a user, worker or health check. One that renews a
-// worker's lease has a leadership.Order[api.HeartbeatResponse] as its body.
+// Answer answers a request of a user, worker, operator or health check. The body of an answer
+// that renews a worker's lease is a leadership.Order[api.HeartbeatResponse].
 type Answer struct {
 	RequestID   uint64
 	Status      int
 	Body        any
-	RetryAfterS int // seconds; 0: the answer has no Retry-After
+	RetryAfterS int // seconds; 0 means that the answer has no Retry-After header
 }
 
 // StoreCall is a request to the key-value store.
 type StoreCall struct {
-	Call        uint64
+	CallID      uint64
 	Op          StoreOp
-	Key         string       // of OpGet; of OpList, the last key of the page before
-	Since       api.Revision // of OpWatch: the revision after which changes are wanted
-	WaitMs      int          // of OpWatch: how long to wait for a change, in milliseconds
-	Lease       uint64       // of OpRenewLease
-	TTLMs       int64        // of OpGrantLease, in milliseconds
+	Key         string       // for OpGet, the key; for OpList, the last key of the previous page
+	Since       api.Revision // for OpWatch: changes after this revision are returned
+	WaitMs      int          // for OpWatch: how long to wait for a change, in milliseconds
+	LeaseID     uint64       // for OpRenewLease
+	TTLMs       int64        // for OpGrantLease, in milliseconds
 	Transaction leadership.Order[*api.Transaction]
-	Urgent      bool // not held back by the budget of requests, as lease renewals
+	Urgent      bool // not delayed by the rate limit on requests; set for lease renewals
 }
 
 // StoreOp is an operation of the key-value store.
@@ -48,11 +49,11 @@
 
 // CloudCall is a request to the cloud.
 type CloudCall struct {
-	Call   uint64
+	CallID uint64
 	Op     CloudOp
 	Launch leadership.Order[*api.LaunchRequest]
 	Delete leadership.Order[[]string] // names of machines
-	After  string                     // of OpListInstances: the last name of the page before
+	After  string                     // for OpListInstances: the last name of the previous page
 }
 
 // CloudOp is an operation of the cloud.
@@ -66,8 +67,8 @@
 	OpListInstances
 )
 
-// SendCommands sends commands to a worker directly, instead of with the answer to its
-// next heartbeat.
+// SendCommands sends commands directly to a worker, instead of with the answer to its next
+// heartbeat. The reply is a CommandReply.
 type SendCommands struct {
 	Machine     string
 	Addr        string
@@ -78,10 +79,10 @@
 // Broadcast sends a heartbeat to every other controller.
 type Broadcast struct{ Heartbeat *peer.Heartbeat }
 
-// Stopped reports that a controller that was told to stop leads nothing any more.
+// Stopped reports that a controller that was told to stop has resigned all its roles.
 type Stopped struct{}
 
-// Log is a line for the log.
+// Log writes a line to the log.
 type Log struct {
 	Level   slog.Level
 	Message string
@@ -96,9 +97,9 @@
 func (Stopped) effect()      {}
 func (Log) effect()          {}
 
-// ProbeCommand asks a worker for a sign of life: it carries no command and no fencing
-// token, so the worker changes nothing.
-func ProbeCommand(machine, addr string, incarnation api.Incarnation) SendCommands {
+// NewProbe returns a request that only checks whether a worker replies. It has no commands and
+// no fencing token, so the worker's state does not change.
+func NewProbe(machine, addr string, incarnation api.Incarnation) SendCommands {
 	grant := leadership.SharedGrant(leadership.ForProbe, leadership.Command)
 	body := api.CommandRequest{Incarnation: incarnation, Commands: []api.Command{}}
 	return SendCommands{Machine: machine, Addr: addr, Body: leadership.NewOrder(grant, body)}
--- a/internal/message/inputs.go
+++ b/internal/message/inputs.go
@@ -6,11 +6,11 @@
 	"spurmoor/internal/peer"
 )
 
-// Input is what Step takes: a request of a user, worker, health check or other
-// controller, the reply to an effect, or a tick.
+// Input is an event that Step handles: a request of a user, worker, operator or health check,
+// a message of another controller, the reply to an effect, or a tick.
 type Input interface{ input() }
 
-// Tick lets time pass.
+// Tick has no content. It causes periodic work to be done when there are no other inputs.
 type Tick struct{}
 
 // Submit is POST /work: a user submits a job.
@@ -37,8 +37,8 @@
 	ID        string
 }
 
-// Ready is GET /ready, the health check.
-type Ready struct{ RequestID uint64 }
+// CheckReadiness is GET /ready: a health check asks whether users should be sent here.
+type CheckReadiness struct{ RequestID uint64 }
 
 // ListRoles is GET /duties: an operator asks who leads which role.
 type ListRoles struct{ RequestID uint64 }
@@ -52,30 +52,28 @@
 // CommandReply is the reply to SendCommands.
 type CommandReply struct {
 	Machine      string
-	FencingToken api.FencingToken // of the commands
-	StartsTasks  bool             // the commands start tasks
-	Unsent       bool             // too many were in flight: nothing left this process
+	FencingToken api.FencingToken // token that the commands were sent under
+	StartsTasks  bool             // at least one of the commands starts a task
+	Unsent       bool             // too many commands were in flight, so nothing left this process
 	Status       int
 	Heartbeat    *api.Heartbeat
 }
 
-// StoreReply is the reply to a StoreCall. Of its results only that of the call's
-// operation is set.
+// StoreReply is the reply to a StoreCall. Only the result of the call's operation is set.
 type StoreReply struct {
-	Call        uint64
+	CallID      uint64
 	Status      int
 	Unsent      bool // its grant had ended: nothing left this process
 	Item        api.KeyValue
 	Page        api.KeyValuePage
 	Transaction api.TransactionResult
 	Watch       api.WatchResponse
-	Lease       uint64
+	LeaseID     uint64
 }
 
-// CloudReply is the reply to a CloudCall. Of its results only that of the call's
-// operation is set.
+// CloudReply is the reply to a CloudCall. Only the result of the call's operation is set.
 type CloudReply struct {
-	Call      uint64
+	CallID    uint64
 	Status    int
 	Unsent    bool // its grant had ended: nothing left this process
 	Catalog   api.Catalog
@@ -94,7 +92,7 @@
 	Reason leadership.Reason
 }
 
-// Stop has the controller resign its roles and then end.
+// Stop makes the controller resign its roles. Stopped reports when it has done so.
 type Stop struct{}
 
 func (Tick) input()            {}
@@ -102,7 +100,7 @@
 func (GetStatus) input()       {}
 func (Cancel) input()          {}
 func (Explain) input()         {}
-func (Ready) input()           {}
+func (CheckReadiness) input()  {}
 func (ListRoles) input()       {}
 func (WorkerHeartbeat) input() {}
 func (CommandReply) input()    {}
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -1,7 +1,7 @@
-// Package message holds the inputs and effects of the controller's state machine: what
-// Step takes, and what it returns to be sent, written, answered or logged.
+// Package message defines the inputs that the controller's state machine handles and the
+// effects that it returns to be sent, written, answered or logged.
 //
-// Requests and their replies are matched by number: an Answer carries the RequestID of
-// the input that it answers, a StoreReply or CloudReply the Call of the effect that it
-// answers. Statuses are HTTP's; StatusNoReply means that no reply came.
+// Requests and replies are matched by ID: an Answer has the RequestID of the input that it
+// answers, and a StoreReply or CloudReply has the CallID of the effect that it replies to.
+// Statuses are HTTP statuses. StatusNoReply means that no reply came.
 package message
--- a/internal/message/status.go
+++ b/internal/message/status.go
@@ -1,7 +1,7 @@
 package message
 
-// Statuses of replies and answers. They are HTTP's, under the names that net/http gives
-// them; net/http itself does input and output, so the state machine must not import it.
+// Statuses of replies and answers. They are HTTP statuses and have the same names as in
+// net/http. The state machine must not import net/http, because that package does I/O.
 const (
 	// StatusNoReply means that no reply came: whether the request was carried out is
 	// unknown, unless the reply is marked as unsent.
--- a/internal/message/status_test.go
+++ b/internal/message/status_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestStatusesAreHTTPs guards the copies of HTTP's statuses against slips.
-func TestStatusesAreHTTPs(t *testing.T) {
+// TestStatusesMatchHTTP checks that the statuses have the same values as in net/http.
+func TestStatusesMatchHTTP(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
 		name      string
@@ -25,7 +25,7 @@
 		{"ServiceUnavailable", StatusServiceUnavailable, http.StatusServiceUnavailable},
 	} {
 		if tc.got != tc.want {
-			t.Errorf("Status%s is %d, want %d", tc.name, tc.got, tc.want)
+			t.Errorf("Status%s: got %d, want %d", tc.name, tc.got, tc.want)
 		}
 	}
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -20,13 +20,13 @@
 	}
 	received, err := Decode(encoded)
 	if err != nil || !reflect.DeepEqual(sent, received) {
-		t.Errorf("got %+v, %v", received, err)
+		t.Errorf("got %+v, error %v, want the heartbeat that was sent", received, err)
 	}
 }
 
-// TestDecodeRefuses guards that a message of another version or of nobody is refused,
-// with a text that names both.
-func TestDecodeRefuses(t *testing.T) {
+// TestDecodeRefusesInvalidHeader checks that a message of another version or without a sender
+// is refused, with an error that contains the version and the sender.
+func TestDecodeRefusesInvalidHeader(t *testing.T) {
 	for _, tc := range []struct {
 		heartbeat Heartbeat
 		want      string
@@ -41,23 +41,23 @@
 		_, err = Decode(encoded)
 		var header *HeaderError
 		if !errors.As(err, &header) || err.Error() != tc.want {
-			t.Errorf("%+v: error %v, want %s", tc.heartbeat, err, tc.want)
+			t.Errorf("%+v: got error %v, want %s", tc.heartbeat, err, tc.want)
 		}
 	}
 }
 
-// goldenHeartbeat has every field set, so that its bytes name them all.
+// goldenHeartbeat has all fields set, so that all their names occur in its encoding.
 var goldenHeartbeat = Heartbeat{
 	Node: "nodo-1", Healthy: true, IdleMachines: []IdleMachine{{"n-000001"}},
 	MachineRequests: []MachineRequest{{
 		Machine: "n-000002", Partition: 1, Reclaim: true, Tier: 7, Guaranteed: true, Spare: true, InheritedTier: 10,
 	}},
 	WriteRate: 0.5, CancelledJobs: []string{"wk-000001"}, SchemaVersion: 2, Stopping: true,
-	Failed: []string{"n-000003"}, Unlisted: []string{"n-000004"}, Orphans: []Orphan{{"n-000005", "g4", "a", true}},
+	FailedMachines: []string{"n-000003"}, UnlistedMachines: []string{"n-000004"}, Orphans: []Orphan{{"n-000005", "g4", "a", true}},
 }
 
-// goldenBytes are those of goldenHeartbeat as versions without names in the field
-// tags encoded it. They must stay: both versions serve side by side.
+// goldenBytes is the encoding of goldenHeartbeat by versions without names in the field tags.
+// It must not change, because different versions run side by side.
 const goldenBytes = "8ca15603a44e6f6465a66e6f646f2d31a753746f72654f4bc3a449646c659181a74d616368696e65a86e2d3030303030" +
 	"31a441736b739187a74d616368696e65a86e2d303030303032a45061727401a75265636c61696dc3a45469657207aa47" +
 	"756172616e74656564c3a55370617265c3a44c656e740aa6577269746573cb3fe0000000000000a943616e63656c6c65" +
@@ -72,11 +72,11 @@
 		t.Fatal(err)
 	}
 	if got := hex.EncodeToString(encoded); got != goldenBytes {
-		t.Errorf("encoded as %s, want %s", got, goldenBytes)
+		t.Errorf("encoding: got %s, want %s", got, goldenBytes)
 	}
 	received, err := Decode(encoded)
 	if err != nil || !reflect.DeepEqual(&sent, received) {
-		t.Errorf("decoded as %+v, %v", received, err)
+		t.Errorf("decoding: got %+v, error %v, want the heartbeat that was sent", received, err)
 	}
 }
 
@@ -89,7 +89,7 @@
 	f.Fuzz(func(t *testing.T, encoded []byte) {
 		heartbeat, err := Decode(encoded)
 		if err == nil && (heartbeat.Node == "" || heartbeat.Version != Version) {
-			t.Errorf("taken: %+v", heartbeat)
+			t.Errorf("got %+v without an error, want one for an invalid header", heartbeat)
 		}
 	})
 }
--- a/internal/planning/isolation.go
+++ b/internal/planning/isolation.go
@@ -128,7 +128,7 @@
 		if machine.Address == "" || machine.Record.MarkedForDeletion {
 			continue
 		}
-		m.Emit(message.ProbeCommand(machine.Name, machine.Address, max(1, machine.Incarnation)))
+		m.Emit(message.NewProbe(machine.Name, machine.Address, max(1, machine.Incarnation)))
 		sent++
 		if sent == probesPerRound {
 			m.nextProbeIndex += offset + 1
--- a/internal/provisioning/list_findings.go
+++ b/internal/provisioning/list_findings.go
@@ -121,12 +121,12 @@
 // ApplyPeerFindings acts on what another controller found in the list, where it concerns
 // machines of ours or orphans.
 func (l *InstanceList) ApplyPeerFindings(heartbeat *peer.Heartbeat) {
-	for _, name := range heartbeat.Failed {
+	for _, name := range heartbeat.FailedMachines {
 		if machine := l.ledMachine(name); machine != nil {
 			l.registry.ScaleIn(machine, reasonFailed)
 		}
 	}
-	for _, name := range heartbeat.Unlisted {
+	for _, name := range heartbeat.UnlistedMachines {
 		if l.ledMachine(name) != nil {
 			l.handleUnlistedInstance(name)
 		}
--- a/internal/provisioning/orphan_adoption.go
+++ b/internal/provisioning/orphan_adoption.go
@@ -32,7 +32,7 @@
 	l.refresh(seen)
 	if l.Now > seen.firstSeenAt+unknownWorkerGrace && l.roles.MayPerform(leadership.OrphanAdopter) {
 		seen.firstSeenAt = l.Now
-		l.Emit(message.ProbeCommand(heartbeat.Machine, heartbeat.Address, heartbeat.Incarnation))
+		l.Emit(message.NewProbe(heartbeat.Machine, heartbeat.Address, heartbeat.Incarnation))
 	}
 }
 
--- a/internal/server/input_queue_test.go
+++ b/internal/server/input_queue_test.go
@@ -12,9 +12,9 @@
 	queue := newInputQueue(1)
 	queue.enqueue(message.WorkerHeartbeat{})
 	for range 100 { // a select takes either of two channels, at random
-		queue.enqueueUrgent(&message.StoreReply{Call: 7})
+		queue.enqueueUrgent(&message.StoreReply{CallID: 7})
 		next, ok := queue.next(t.Context(), nil)
-		if reply, isReply := next.event.(*message.StoreReply); !ok || !isReply || reply.Call != 7 {
+		if reply, isReply := next.event.(*message.StoreReply); !ok || !isReply || reply.CallID != 7 {
 			t.Fatalf("taken first is %+v", next.event)
 		}
 	}
--- a/internal/server/public_handler.go
+++ b/internal/server/public_handler.go
@@ -38,7 +38,7 @@
 	switch path {
 	case "/ready":
 		h.serve(ctx, fasthttp.MethodGet, h.queue.urgent, func(requestID uint64) message.Input {
-			return message.Ready{RequestID: requestID}
+			return message.CheckReadiness{RequestID: requestID}
 		})
 	case "/duties":
 		h.serve(ctx, fasthttp.MethodGet, h.queue.regular, func(requestID uint64) message.Input {
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -55,7 +55,7 @@
 
 // call answers a request of a node's.
 func (c *cloud) call(sender *node, call message.CloudCall) *message.CloudReply {
-	reply := &message.CloudReply{Call: call.Call, Status: http.StatusOK}
+	reply := &message.CloudReply{CallID: call.CallID, Status: http.StatusOK}
 	c.calls++
 	if c.down {
 		reply.Status = http.StatusServiceUnavailable
--- a/internal/simulation/digest_test.go
+++ b/internal/simulation/digest_test.go
@@ -110,10 +110,10 @@
 		}
 		add("answer", effect.RequestID, effect.Status, effect.Body, effect.RetryAfterS)
 	case message.StoreCall:
-		add("store", effect.Call, effect.Op, effect.Key, effect.Since, effect.WaitMs, effect.Lease, effect.TTLMs,
+		add("store", effect.CallID, effect.Op, effect.Key, effect.Since, effect.WaitMs, effect.LeaseID, effect.TTLMs,
 			effect.Transaction.Body(), effect.Urgent)
 	case message.CloudCall:
-		add("cloud", effect.Call, effect.Op, effect.Launch.Body(), effect.Delete.Body(), effect.After)
+		add("cloud", effect.CallID, effect.Op, effect.Launch.Body(), effect.Delete.Body(), effect.After)
 	case message.SendCommands:
 		add("commands", effect.Machine, effect.Addr, effect.StartsTasks, effect.Body.Body())
 	case message.Broadcast:
--- a/internal/simulation/effects.go
+++ b/internal/simulation/effects.go
@@ -82,13 +82,13 @@
 func (s *Simulation) callStore(node *node, call message.StoreCall) {
 	reply := s.firstInput(node)
 	timeout := storeTimeout + micros.FromMilliseconds(call.WaitMs)
-	s.after(timeout, func() { reply(&message.StoreReply{Call: call.Call}) })
+	s.after(timeout, func() { reply(&message.StoreReply{CallID: call.CallID}) })
 	if call.Op != message.OpTransaction {
 		s.sendToStore(node, call, reply)
 		return
 	}
 	send := func() { s.sendToStore(node, call, reply) }
-	refuse := func() { reply(&message.StoreReply{Call: call.Call, Unsent: true}) }
+	refuse := func() { reply(&message.StoreReply{CallID: call.CallID, Unsent: true}) }
 	s.sendOrder(node, call.Transaction.Grant(), leadership.Write, send, refuse)
 }
 
@@ -126,8 +126,8 @@
 // callCloud sends a request to the cloud; one that changes something passes the gate first.
 func (s *Simulation) callCloud(node *node, call message.CloudCall) {
 	reply := s.firstInput(node)
-	s.after(cloudTimeout, func() { reply(&message.CloudReply{Call: call.Call}) })
-	refuse := func() { reply(&message.CloudReply{Call: call.Call, Unsent: true}) }
+	s.after(cloudTimeout, func() { reply(&message.CloudReply{CallID: call.CallID}) })
+	refuse := func() { reply(&message.CloudReply{CallID: call.CallID, Unsent: true}) }
 	send := func() { s.sendToCloud(node, call, reply) }
 	switch call.Op {
 	case message.OpLaunch:
--- a/internal/simulation/loopback_services_test.go
+++ b/internal/simulation/loopback_services_test.go
@@ -37,7 +37,7 @@
 		message.OpGet:         reply.Item,
 		message.OpList:        reply.Page,
 		message.OpTransaction: reply.Transaction,
-		message.OpGrantLease:  api.LeaseResponse{Lease: reply.Lease},
+		message.OpGrantLease:  api.LeaseResponse{Lease: reply.LeaseID},
 		message.OpRenewLease:  struct{}{},
 		message.OpWatch:       reply.Watch,
 	}
@@ -63,7 +63,7 @@
 		return message.StoreCall{Op: message.OpGrantLease, TTLMs: lease.TTLMs}, err
 	case strings.HasSuffix(path, "/extend"):
 		lease, _ := strconv.ParseUint(strings.Split(path, "/")[2], 10, 64) // zero is no lease's id
-		return message.StoreCall{Op: message.OpRenewLease, Lease: lease}, nil
+		return message.StoreCall{Op: message.OpRenewLease, LeaseID: lease}, nil
 	case path == "/follow":
 		since, wait := queryNumber(query, "Since"), queryNumber(query, "BlockMs")
 		return message.StoreCall{Op: message.OpWatch, Since: api.Revision(since), WaitMs: wait}, nil
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -147,7 +147,7 @@
 
 // call answers a request of a node's, at once or, if it is a watch, once there is an event.
 func (s *keyValueStore) call(sender *node, call message.StoreCall, reply func(*message.StoreReply)) {
-	answer := &message.StoreReply{Call: call.Call, Status: s.admit(sender, call)}
+	answer := &message.StoreReply{CallID: call.CallID, Status: s.admit(sender, call)}
 	if answer.Status != http.StatusOK {
 		reply(answer)
 		return
@@ -160,7 +160,7 @@
 	case message.OpGrantLease:
 		s.grantLease(micros.FromMilliseconds(int(call.TTLMs)), answer)
 	case message.OpRenewLease:
-		s.renewLease(call.Lease, answer)
+		s.renewLease(call.LeaseID, answer)
 	case message.OpWatch:
 		if s.openWatch(sender, call, answer, reply) {
 			return
@@ -215,7 +215,7 @@
 func (s *keyValueStore) grantLease(ttl micros.Micros, answer *message.StoreReply) {
 	s.lastLease++
 	s.leases[s.lastLease] = &storeLease{ttl: ttl, expiresAt: s.sim.now + ttl}
-	answer.Lease = s.lastLease
+	answer.LeaseID = s.lastLease
 }
 
 func (s *keyValueStore) renewLease(id uint64, answer *message.StoreReply) {
--- a/internal/simulation/store_watch.go
+++ b/internal/simulation/store_watch.go
@@ -35,7 +35,7 @@
 		return false
 	}
 	watch := &storeWatch{node: sender, since: call.Since, reply: func(got *message.StoreReply) {
-		got.Call = call.Call
+		got.CallID = call.CallID
 		reply(got)
 	}}
 	s.watches = append(s.watches, watch)
--- a/internal/store/decode.go
+++ b/internal/store/decode.go
@@ -24,7 +24,7 @@
 			return &jsonhttp.MalformedError{Cause: err}
 		}
 	}
-	reply.Lease = lease.Lease
+	reply.LeaseID = lease.Lease
 	if status == fasthttp.StatusOK && lacksNumber(operation, reply) {
 		return &jsonhttp.MalformedError{Cause: errMissingNumber}
 	}
@@ -39,7 +39,7 @@
 	case message.OpTransaction:
 		return reply.Transaction.Revision == 0
 	case message.OpGrantLease:
-		return reply.Lease == 0
+		return reply.LeaseID == 0
 	default:
 		return false
 	}
--- a/internal/store/request.go
+++ b/internal/store/request.go
@@ -41,7 +41,7 @@
 		request.URI = "/holds"
 		request.Body = api.LeaseRequest{TTLMs: call.TTLMs}
 	case message.OpRenewLease:
-		request.URI = "/holds/" + strconv.FormatUint(call.Lease, decimal) + "/extend"
+		request.URI = "/holds/" + strconv.FormatUint(call.LeaseID, decimal) + "/extend"
 		request.Body = struct{}{}
 		request.Timeout = renewalTimeout
 	case message.OpWatch:
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -87,7 +87,7 @@
 // Do carries out a call and returns its reply, whose status is 0 where none came and 429
 // where the budget did not allow the call.
 func (c *Client) Do(ctx context.Context, call message.StoreCall) *message.StoreReply {
-	reply := &message.StoreReply{Call: call.Call}
+	reply := &message.StoreReply{CallID: call.CallID}
 	read := func(status int, body []byte) error { return decode(call.Op, status, body, reply) }
 	err := c.http.Do(ctx, c.request(call), read)
 	var notSent *jsonhttp.NotSentError
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -55,7 +55,7 @@
 			t.Errorf("status %d became %d", status, reply.Status)
 		}
 		noRevision := operation == message.OpTransaction && reply.Transaction.Revision == 0
-		noLease := operation == message.OpGrantLease && reply.Lease == 0
+		noLease := operation == message.OpGrantLease && reply.LeaseID == 0
 		if reply.Status == 200 && (noRevision || noLease) {
 			t.Errorf("garbage passed for a reply: %q", body)
 		}
