--- a/internal/cluster/dependency_test.go
+++ b/internal/cluster/dependency_test.go
@@ -21,8 +21,8 @@
 // replyToReads replies to all reads of the store that are in flight, and returns their number.
 func replyToReads(t *testing.T, env *coordination.Environment, reply message.StoreReply) int {
 	t.Helper()
-	calls := env.StoreCalls
-	env.StoreCalls = map[uint64]func(*message.StoreReply){}
+	calls := env.StoreReplyHandlers
+	env.StoreReplyHandlers = map[uint64]func(*message.StoreReply){}
 	for _, onRead := range calls {
 		onRead(&reply)
 	}
@@ -78,7 +78,7 @@
 			}
 			env.Now += 2 * outcomeRetryInterval
 			graph.ReadUnknownOutcomes()
-			if readAgain := len(env.StoreCalls) == 1; readAgain != tc.readAgain {
+			if readAgain := len(env.StoreReplyHandlers) == 1; readAgain != tc.readAgain {
 				t.Errorf("got read again %t, want the opposite", readAgain)
 			}
 		})
--- a/internal/cluster/partition_log.go
+++ b/internal/cluster/partition_log.go
@@ -65,11 +65,11 @@
 // partition has changes, the outcome of its last commit is known and the budget permits it. It
 // also resends transactions whose outcome is unknown.
 func (l *PartitionLog) CommitChanges() {
-	l.transactions.ResendTransactions()
+	l.transactions.Resend()
 	if !l.cache.Synced {
 		return
 	}
-	l.budget.RefillBudget(l.allowedWriteRate())
+	l.budget.Refill(l.allowedWriteRate())
 	partitions := l.cluster.Partitions
 	for offset := range partitions {
 		// Each commit advances nextPartition, so that the partitions take turns in being first.
@@ -89,7 +89,7 @@
 		}
 		l.budget.Charge(len(commit.Request.Writes))
 		partition.CommitInFlight, partition.lastCommitAt = commit, l.Now
-		l.transactions.SubmitTransaction(commit.Transaction)
+		l.transactions.Submit(commit.Transaction)
 		l.nextPartition++
 	}
 }
@@ -102,7 +102,7 @@
 	if l.Now < partition.lastCommitAt+commitInterval {
 		return false
 	}
-	return partition.hasChanges() && l.storeLease.LeaseValid()
+	return partition.hasChanges() && l.storeLease.Valid()
 }
 
 // allowedWriteRate returns how many writes per second this controller may make. It is at least
--- a/internal/coordination/answer_window.go
+++ b/internal/coordination/answer_window.go
@@ -6,49 +6,50 @@
 )
 
 const (
-	// maxStartAge is how old the watch cache may be when a task is started: it does not
-	// show a cancellation that another controller confirmed since.
-	maxStartAge = 4 * micros.Second
+	// maxCacheAgeForStart is the maximum age of the watch cache at which a task may be
+	// started. An older cache may lack a cancellation that another controller confirmed.
+	maxCacheAgeForStart = 4 * micros.Second
 
-	// answerGracePeriod is how long after our lease's end heartbeats are answered
-	// whatever the other controllers say.
+	// answerGracePeriod is how long after our lease expired we answer heartbeats even if
+	// another controller is healthy.
 	answerGracePeriod = micros.Second
 )
 
-// AnswerDeadline is when the answer window ends: from then on no heartbeat is answered
-// and no worker commanded.
+// AnswerDeadline returns the end of the answer window. From then on we answer no
+// heartbeat and send no command to a worker.
 func (l *StoreLease) AnswerDeadline() micros.Micros {
-	return l.certainAsOf() + l.Settings.AnswerWindow()
+	return l.confirmedAsOf() + l.Settings.AnswerWindow()
 }
 
-// certainAsOf is when the answer window begins: the last moment at which our lease was
-// certain to be valid and the watch cache to be complete. A renewal alone does not move
-// it: one once succeeded while the watch still hung after a refusal, and a cancellation
-// that another controller confirmed in between took effect later than cancel_s in the
-// outage after it.
-func (l *StoreLease) certainAsOf() micros.Micros {
+// confirmedAsOf returns the start of the answer window: the last time at which our lease
+// was known to be valid and the watch cache to be complete. A renewal alone must not move
+// it. A renewal can succeed while the watch still hangs after a refusal. Another
+// controller may confirm a cancellation in the meantime, and in an outage that follows the
+// cancellation would take effect later than cancel_s.
+func (l *StoreLease) confirmedAsOf() micros.Micros {
 	return min(l.Lease.RenewalSentAt, l.cache.CurrentAsOf)
 }
 
-// CommandGrant returns the permission to command workers, until the answer deadline.
+// CommandGrant returns a grant to command workers, which expires at the answer deadline.
 func (l *StoreLease) CommandGrant(role *leadership.RoleState) leadership.Grant {
 	return role.Grant(leadership.Command, l.Now, l.AnswerDeadline())
 }
 
-// MayStartTasks reports whether tasks may be started: a leader that lost the store
-// keeps the tasks that run and starts none.
+// MayStartTasks reports whether tasks may be started. A leader that cannot reach the
+// store keeps its running tasks and starts none.
 func (l *StoreLease) MayStartTasks() bool {
-	return l.LeaseValid() && l.Now < l.cache.CurrentAsOf+maxStartAge
+	return l.Valid() && l.Now < l.cache.CurrentAsOf+maxCacheAgeForStart
 }
 
-// MayAnswerFor reports whether we may answer heartbeats for a partition.
+// MayAnswerFor reports whether we lead a partition and may answer the heartbeats of its
+// workers. role is the role of the partition's leader.
 func (l *StoreLease) MayAnswerFor(role *leadership.RoleState) bool {
 	return role.Leads() && l.mayAnswerHeartbeats()
 }
 
-// mayAnswerHeartbeats reports whether a leader may answer heartbeats now. After our
-// lease's end we do so only while the store may be unavailable to all: if another
-// controller reaches it, the workers move on to that one at once.
+// mayAnswerHeartbeats reports whether a leader may answer heartbeats now. After our lease
+// expired we answer only while the store may be unavailable to all controllers. If another
+// controller reaches the store, workers must move to that one at once.
 func (l *StoreLease) mayAnswerHeartbeats() bool {
 	if l.Lease.RenewalSentAt == 0 || l.Now >= l.AnswerDeadline() {
 		return false
@@ -56,11 +57,12 @@
 	if l.Now < l.Lease.RenewalSentAt+l.Settings.LeaseTTL()+answerGracePeriod {
 		return true
 	}
-	return !l.peers.HealthyPeerKnown() && !l.justResumed()
+	return !l.peers.AnyPeerHealthy() && !l.justResumed()
 }
 
-// TrackAnswering notes since when heartbeats can be answered.
-func (l *StoreLease) TrackAnswering() {
+// UpdateAnsweringSince sets the time since which heartbeats can be answered, or clears it
+// while they can't. It is called regularly.
+func (l *StoreLease) UpdateAnsweringSince() {
 	switch {
 	case !l.cache.Synced || !l.mayAnswerHeartbeats():
 		l.answeringSince = 0
@@ -69,10 +71,10 @@
 	}
 }
 
-// MissedHeartbeatsCountFrom returns the time from which a machine's missed heartbeats
-// count, given that of its last: not while we could not answer them. After an outage of
-// 70 s in which no heartbeat could be answered, 77 of some 390 machines were deleted as
-// failed before their heartbeats came again.
-func (l *StoreLease) MissedHeartbeatsCountFrom(at micros.Micros) micros.Micros {
-	return max(at, l.answeringSince)
+// AnswerableSince returns the later of a given time and the time since which we can answer
+// heartbeats. Timeouts of machines count from it, because a machine must not time out while
+// we can't answer it. Without this, an outage of 70 s without answers had 77 of about 390
+// machines deleted as failed before their heartbeats resumed.
+func (l *StoreLease) AnswerableSince(since micros.Micros) micros.Micros {
+	return max(since, l.answeringSince)
 }
--- a/internal/coordination/election.go
+++ b/internal/coordination/election.go
@@ -7,36 +7,37 @@
 	"spurmoor/internal/records"
 )
 
-// reacquireCredit is how much of the delay by our rank counts as passed when an attempt
-// to acquire a role has ended.
+// reacquireCredit is the part of our failover delay that counts as already waited when an
+// attempt to acquire a role has ended and the role is still vacant.
 const reacquireCredit = micros.Second
 
-// ReconcileRoles acquires the roles that are vacant and ours to acquire, and resigns
-// those that we should not lead.
-func (m *RoleManager) ReconcileRoles() {
+// Reconcile acquires the vacant roles that we should lead and resigns the roles that we
+// should not lead. It does nothing until the watch cache is synced.
+func (m *RoleManager) Reconcile() {
 	if !m.cache.Synced {
 		return
 	}
 	for _, state := range m.Roles {
-		m.reconcileRole(state)
+		m.reconcile(state)
 	}
 }
 
-// reconcileRole acquires or resigns one role, if that is due.
-func (m *RoleManager) reconcileRole(state *leadership.RoleState) {
-	switch wanted := m.wantsRole(state); {
+// reconcile acquires or resigns one role if that is due.
+func (m *RoleManager) reconcile(state *leadership.RoleState) {
+	switch wanted := m.shouldLead(state); {
 	case state.Leads() && !wanted:
-		m.ResignRole(state, m.resignReason(state))
+		m.Resign(state, m.resignReason(state))
 	case state.Leads():
 		m.returnToDefaultLeader(state)
-	case wanted && !state.Acquiring && m.mayAcquireRoles() && m.IsVacant(state):
-		m.acquireRole(state)
+	case wanted && !state.Acquiring && m.isEligibleLeader() && m.MayAcquire(state):
+		m.acquire(state)
 	}
 }
 
-// wantsRole reports whether we should lead a role, or acquire it once it is vacant.
-// Adopted orphans are recorded in a partition, so the orphan adopter must lead one.
-func (m *RoleManager) wantsRole(state *leadership.RoleState) bool {
+// shouldLead reports whether we should keep a role that we lead, or acquire it once it is
+// vacant. The orphan adopter must lead a partition, because adopted orphans are recorded in
+// one.
+func (m *RoleManager) shouldLead(state *leadership.RoleState) bool {
 	switch {
 	case m.Stopping:
 		return false
@@ -48,32 +49,34 @@
 	return m.IsExclusive(state.Role.Kind)
 }
 
-// acquireRole writes our claim under a vacant role's key, if the key is still as we
-// know it.
-func (m *RoleManager) acquireRole(state *leadership.RoleState) {
+// acquire writes our claim to the key of a vacant role. The write is refused if the key has
+// changed since we last saw it.
+func (m *RoleManager) acquire(state *leadership.RoleState) {
 	state.Acquiring = true
 	key := RoleKey(state.Role)
-	claim := records.MustMarshal(m.LeaderClaim())
-	m.transactions.SubmitTransaction(&Transaction{
+	claim := records.MustMarshal(m.OwnClaim())
+	m.transactions.Submit(&Transaction{
 		Grant: electionGrant,
 		Request: api.Transaction{
 			Compares: []api.Compare{{Key: key, Version: api.Revision(state.Term)}},
 			Writes:   []api.Write{{Put: key, Value: claim, Lease: m.storeLease.Lease.ID}},
 		},
-		// We lead the role only once the watch cache shows our claim: it then shows all
-		// that was committed before, too.
-		OnCommitted: func(api.Revision) { m.cache.ReadLatest(func(bool) { m.acquisitionEnded(state) }) },
-		OnRefused:   func() { m.acquisitionEnded(state) },
+		// We lead the role only once the watch cache shows our claim. By then it also shows
+		// everything that was committed before.
+		OnCommitted: func(api.Revision) { m.cache.ReadLatest(func(bool) { m.finishAcquisition(state) }) },
+		OnRefused:   func() { m.finishAcquisition(state) },
 	})
 }
 
-// acquisitionEnded lets the role be acquired anew, should it be vacant still.
-func (m *RoleManager) acquisitionEnded(state *leadership.RoleState) {
+// finishAcquisition ends an attempt to acquire a role, so that the next can begin if the
+// role is still vacant.
+func (m *RoleManager) finishAcquisition(state *leadership.RoleState) {
 	state.Acquiring = false
 	state.VacantAt = max(state.VacantAt, m.Now-reacquireCredit)
 }
 
-// electionGrant permits to acquire a role or to resign it: the write compares its key.
+// electionGrant returns a shared grant to acquire or resign a role. It is safe without
+// leadership because the write compares the version of the role's key.
 func electionGrant() leadership.Grant {
 	return leadership.SharedGrant(leadership.ForElection, leadership.Write)
 }
--- a/internal/coordination/environment_test.go
+++ b/internal/coordination/environment_test.go
@@ -10,23 +10,23 @@
 	"spurmoor/internal/settings"
 )
 
-// startOfTest is the time at which the tests begin.
-const startOfTest = 1000 * micros.Second
+// testStart is the time at which each test starts.
+const testStart = 1000 * micros.Second
 
 // newTestEnvironment returns the environment of the first of three controllers.
 func newTestEnvironment(t *testing.T) *Environment {
 	t.Helper()
-	set := &settings.Settings{Operators: settings.Defaults(), Nodes: []string{"ctl-a", "ctl-b", "ctl-c"}}
-	set.Node, set.Operators.Parts = "ctl-a", 3
-	workers := &set.Deployment.Workers
+	config := &settings.Settings{Operators: settings.Defaults(), Nodes: []string{"ctl-a", "ctl-b", "ctl-c"}}
+	config.Node, config.Operators.Parts = "ctl-a", 3
+	workers := &config.Deployment.Workers
 	workers.ReportS, workers.LeaseS, workers.CancelS = 3, 20, 45
-	set.Deployment.Store = settings.State{RPS: 200, WriteRPS: 20, ValueKB: 8, MaxTransactionOps: 12}
-	env := NewEnvironment(set, 7, rand.New(rand.NewPCG(1, 1)))
-	env.Now = startOfTest
+	config.Deployment.Store = settings.State{RPS: 200, WriteRPS: 20, ValueKB: 8, MaxTransactionOps: 12}
+	env := NewEnvironment(config, 7, rand.New(rand.NewPCG(1, 1)))
+	env.Now = testStart
 	return env
 }
 
-// takeStoreCalls returns the calls to the store that were sent since the last time.
+// takeStoreCalls returns the emitted calls to the store and clears all effects.
 func takeStoreCalls(env *Environment) []message.StoreCall {
 	var calls []message.StoreCall
 	for _, effect := range env.Effects {
@@ -38,32 +38,34 @@
 	return calls
 }
 
-// takeStoreCall returns the only call to the store that was sent since the last time.
+// takeStoreCall returns the only emitted call to the store and clears all effects. The test
+// fails if there is not exactly one call.
 func takeStoreCall(t *testing.T, env *Environment) message.StoreCall {
 	t.Helper()
 	calls := takeStoreCalls(env)
 	if len(calls) != 1 {
-		t.Fatalf("%d calls to the store, want 1", len(calls))
+		t.Fatalf("got %d calls to the store, want 1", len(calls))
 	}
 	return calls[0]
 }
 
-// replyTo gives a call its reply.
+// replyTo delivers the reply to a call.
 func replyTo(env *Environment, call message.StoreCall, reply message.StoreReply) {
-	handle := env.StoreCalls[call.CallID]
-	delete(env.StoreCalls, call.CallID)
+	handle := env.StoreReplyHandlers[call.CallID]
+	delete(env.StoreReplyHandlers, call.CallID)
 	reply.CallID = call.CallID
 	handle(&reply)
 }
 
-// recordedSink records what the watch cache hands to its sink.
-type recordedSink struct {
+// recordingSink is a sink that records the keys, and counts the calls of ReplaceAll and
+// Synchronized.
+type recordingSink struct {
 	replaced     int
-	keys         map[string]api.Revision // by key, its version
+	keys         map[string]api.Revision // versions, by key
 	synchronized int
 }
 
-func (s *recordedSink) ReplaceAll(pairs []api.KeyValue) {
+func (s *recordingSink) ReplaceAll(pairs []api.KeyValue) {
 	s.replaced++
 	s.keys = map[string]api.Revision{}
 	for _, pair := range pairs {
@@ -71,15 +73,15 @@
 	}
 }
 
-func (s *recordedSink) ApplyPut(key string, _ []byte, version api.Revision) { s.keys[key] = version }
+func (s *recordingSink) ApplyPut(key string, _ []byte, version api.Revision) { s.keys[key] = version }
 
-func (s *recordedSink) ApplyDelete(key string, _ api.Revision) { delete(s.keys, key) }
+func (s *recordingSink) ApplyDelete(key string, _ api.Revision) { delete(s.keys, key) }
 
-func (s *recordedSink) Synchronized(api.Revision, int) { s.synchronized++ }
+func (s *recordingSink) Synchronized(api.Revision, int) { s.synchronized++ }
 
-// newSyncedCache returns a watch cache that has listed all keys, up to revision 10.
-func newSyncedCache(env *Environment) (*WatchCache, *recordedSink) {
-	cache, sink := NewWatchCache(env), &recordedSink{keys: map[string]api.Revision{}}
+// newSyncedCache returns a synced watch cache at revision 10, and its sink.
+func newSyncedCache(env *Environment) (*WatchCache, *recordingSink) {
+	cache, sink := NewWatchCache(env), &recordingSink{keys: map[string]api.Revision{}}
 	cache.Sink, cache.Synced, cache.Revision = sink, true, 10
 	return cache, sink
 }
--- a/internal/coordination/fleet_roles.go
+++ b/internal/coordination/fleet_roles.go
@@ -9,15 +9,16 @@
 	"spurmoor/internal/records"
 )
 
-// IsExclusive reports whether a fleet role has one leader: if the operators want it and
-// every controller knows what the role's key means. Until then each controller acts
-// under it, as earlier versions did, and the compares of its writes keep that safe.
+// IsExclusive reports whether a fleet role has a single leader. That is so if the settings
+// ask for it and every controller can read the role's key. Otherwise every controller acts
+// under the role, as earlier versions did, and the compares of their writes keep that safe.
 func (m *RoleManager) IsExclusive(kind leadership.RoleKind) bool {
 	wanted := m.Settings.Operators.Duties.IsExclusive(leadership.Role{Kind: kind})
-	return wanted && m.schema.AllReadSchema(records.SchemaRoles)
+	return wanted && m.schema.AllRead(records.SchemaRoles)
 }
 
-// FleetGrant returns the permission for an action under a fleet role.
+// FleetGrant returns a grant for an action under a fleet role. The grant permits nothing if
+// the role is exclusive and we don't lead it.
 func (m *RoleManager) FleetGrant(kind leadership.RoleKind, action leadership.Action) leadership.Grant {
 	if !m.IsExclusive(kind) {
 		return leadership.SharedGrant(leadership.ForFleet, action)
@@ -25,15 +26,15 @@
 	return m.storeLease.Grant(m.FleetRole(kind), action)
 }
 
-// MayPerform reports whether this controller may act under a fleet role now.
-func (m *RoleManager) MayPerform(kind leadership.RoleKind) bool {
+// MayActAs reports whether this controller may act under a fleet role now.
+func (m *RoleManager) MayActAs(kind leadership.RoleKind) bool {
 	return m.FleetGrant(kind, leadership.Write).Check(leadership.Write, m.Now) == ""
 }
 
-// TrackExclusiveRoles logs when the fleet roles begin or cease to have one leader each.
-func (m *RoleManager) TrackExclusiveRoles() {
+// UpdateExclusive updates whether the fleet roles have one leader each, and logs a change.
+func (m *RoleManager) UpdateExclusive() {
 	wanted := m.Settings.Operators.Duties.Exclusive
-	exclusive := len(wanted) > 0 && m.schema.AllReadSchema(records.SchemaRoles)
+	exclusive := len(wanted) > 0 && m.schema.AllRead(records.SchemaRoles)
 	if exclusive == m.Exclusive {
 		return
 	}
@@ -41,11 +42,11 @@
 	m.LogInfo("fleet roles are exclusive", logkey.Exclusive, exclusive, logkey.Roles, wanted)
 }
 
-// ApplyFleetRole takes in the key of a fleet role by the role's name. A claim that
-// cannot be read is an error but counts: it names no leader, yet nobody acquires the
-// role until the key is deleted. Names that this version does not know are a later
-// version's, and ignored.
-func (m *RoleManager) ApplyFleetRole(name string, value []byte, version api.Revision) error {
+// ApplyFleetRolePut applies a new value of the key of a fleet role, which is given by its
+// name. It returns an error if the claim can't be decoded. Such a claim still counts: it
+// names no leader, and nobody acquires the role until the key is deleted. Unknown names
+// belong to a later version and are ignored.
+func (m *RoleManager) ApplyFleetRolePut(name string, value []byte, version api.Revision) error {
 	state := m.fleetRoleNamed(name)
 	if state == nil || state.Term >= leadership.Term(version) {
 		return nil
@@ -55,18 +56,18 @@
 	if err != nil {
 		claim = leadership.Claim{}
 	}
-	m.ObserveRole(state, claim, version)
+	m.Observe(state, claim, version)
 	return err //nolint:wrapcheck // the caller logs it beside the key
 }
 
-// DeleteFleetRole takes in that the key of a fleet role was deleted at a version.
-func (m *RoleManager) DeleteFleetRole(name string, version api.Revision) {
+// ApplyFleetRoleDelete applies the deletion of the key of a fleet role at a version.
+func (m *RoleManager) ApplyFleetRoleDelete(name string, version api.Revision) {
 	if state := m.fleetRoleNamed(name); state != nil && state.Term < leadership.Term(version) {
-		m.ObserveRole(state, leadership.Claim{}, 0)
+		m.Observe(state, leadership.Claim{}, 0)
 	}
 }
 
-// fleetRoleNamed returns the fleet role of a name; nil: there is none.
+// fleetRoleNamed returns the fleet role of a name, or nil if there is none.
 func (m *RoleManager) fleetRoleNamed(name string) *leadership.RoleState {
 	role, err := leadership.ParseFleetRole(name)
 	if err != nil {
@@ -75,12 +76,13 @@
 	return m.FleetRole(role.Kind)
 }
 
-// ForgetFleetRoles discards who leads the fleet roles, before all keys are listed again.
-func (m *RoleManager) ForgetFleetRoles() {
+// ClearFleetRoles clears the leaders of all fleet roles before all keys are listed again.
+// We stop acting under those that we lead.
+func (m *RoleManager) ClearFleetRoles() {
 	for _, state := range m.fleetRoles {
 		if state.Leads() {
-			m.LoseRole(state, "everything is listed again")
+			m.StopLeading(state, "everything is listed again")
 		}
-		state.Forget(m.Now)
+		state.ClearClaim(m.Now)
 	}
 }
--- a/internal/coordination/listing.go
+++ b/internal/coordination/listing.go
@@ -6,30 +6,32 @@
 	"spurmoor/internal/micros"
 )
 
-// listing is a list of all keys in progress: after the start, or when the store no
-// longer has the changes since our revision.
+// listing is the state of a list of all keys in progress. Keys are listed at the start, and
+// again when the store no longer has the changes since our revision.
 type listing struct {
 	revision api.Revision // of the first page
 	pairs    []api.KeyValue
 }
 
-// startListing begins to list all keys, page by page, unless that is under way.
+// startListing starts to list all keys page by page, unless a list is in progress or the
+// next is not due.
 func (w *WatchCache) startListing() {
 	if w.listing != nil || w.Now < w.nextWatchAt {
 		return
 	}
 	w.listing = &listing{}
-	w.listPage(w.listing, "")
+	w.requestPage(w.listing, "")
 }
 
-// listPage requests the page that follows a key.
-func (w *WatchCache) listPage(list *listing, after string) {
+// requestPage requests the page that begins after a key.
+func (w *WatchCache) requestPage(list *listing, after string) {
 	call := message.StoreCall{Op: message.OpList, Key: after}
-	w.CallStore(call, func(reply *message.StoreReply) { w.pageListed(list, reply) })
+	w.CallStore(call, func(reply *message.StoreReply) { w.handlePageReply(list, reply) })
 }
 
-// pageListed takes in a page, and requests the next or, after the last, the changes.
-func (w *WatchCache) pageListed(list *listing, reply *message.StoreReply) {
+// handlePageReply handles the reply with a page. It requests the next page or, after the
+// last, the changes since the first.
+func (w *WatchCache) handlePageReply(list *listing, reply *message.StoreReply) {
 	if reply.Status != message.StatusOK {
 		w.abortListing()
 		return
@@ -40,21 +42,23 @@
 	}
 	list.pairs = append(list.pairs, page.Pairs...)
 	if n := len(page.Pairs); page.More && n > 0 {
-		w.listPage(list, page.Pairs[n-1].Key)
+		w.requestPage(list, page.Pairs[n-1].Key)
 		return
 	}
-	w.readChangesSince(list)
+	w.requestChangesSince(list)
 }
 
-// readChangesSince requests the changes since the first page: pages are read one after
-// the other, and only all of them with these changes show one state of the store.
-func (w *WatchCache) readChangesSince(list *listing) {
+// requestChangesSince requests the changes since the first page of a list. The pages are
+// read at different revisions and show one consistent state of the store only together
+// with these changes.
+func (w *WatchCache) requestChangesSince(list *listing) {
 	sentAt := w.Now
 	call := message.StoreCall{Op: message.OpWatch, Since: list.revision, Urgent: true}
 	w.CallStore(call, func(reply *message.StoreReply) { w.completeListing(list, reply, sentAt) })
 }
 
-// completeListing hands all keys and the changes since to the sink.
+// completeListing handles the reply with the changes since the first page. It passes all
+// keys and these changes to the sink.
 func (w *WatchCache) completeListing(list *listing, reply *message.StoreReply, sentAt micros.Micros) {
 	if reply.Status != message.StatusOK {
 		w.abortListing()
@@ -68,7 +72,7 @@
 	w.Sink.Synchronized(w.Revision, len(list.pairs))
 }
 
-// abortListing discards the pages listed so far; all keys are listed anew later.
+// abortListing discards the pages listed so far. All keys are listed again later.
 func (w *WatchCache) abortListing() {
 	w.listing = nil
 	w.retryLater()
--- a/internal/coordination/outcome_test.go
+++ b/internal/coordination/outcome_test.go
@@ -6,8 +6,8 @@
 	"spurmoor/internal/message"
 )
 
-// TestOutcomeOf guards against a reply that does not say what became of a transaction
-// but is taken for one that does.
+// TestOutcomeOf guards against a known outcome for a reply that does not tell whether the
+// transaction was committed.
 func TestOutcomeOf(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
@@ -25,7 +25,7 @@
 		{"unavailable", message.StoreReply{Status: message.StatusServiceUnavailable}, OutcomeUnknown},
 	} {
 		if got := OutcomeOf(&tc.reply); got != tc.want {
-			t.Errorf("%s: outcome %d, want %d", tc.name, got, tc.want)
+			t.Errorf("%s: got outcome %d, want %d", tc.name, got, tc.want)
 		}
 	}
 }
--- a/internal/coordination/peer_tracker.go
+++ b/internal/coordination/peer_tracker.go
@@ -5,23 +5,23 @@
 	"spurmoor/internal/peer"
 )
 
-// Controllers send each other a heartbeat every second.
+// Timeouts for the heartbeats of other controllers, which come every second.
 const (
-	// peerTimeout is how old the last heartbeat of another controller may be while it
-	// counts as running.
+	// peerTimeout is the maximum age of another controller's last heartbeat at which that
+	// controller counts as running.
 	peerTimeout = 4 * micros.Second
 
-	// healthyPeerTimeout is how old the last heartbeat of another controller may be
-	// while that controller's word that it is healthy still counts.
+	// healthyPeerTimeout is the maximum age of another controller's last heartbeat at
+	// which that controller counts as healthy if the heartbeat says so.
 	healthyPeerTimeout = 3 * micros.Second
 
-	// outageNoticeDelay is how long after us another controller may notice an outage
+	// outageNoticeDelay is how much later than us another controller may notice an outage
 	// of the store.
 	outageNoticeDelay = 3 * micros.Second / 2
 )
 
-// PeerTracker is what the other controllers said of themselves in their heartbeats, and
-// when they are to be sent our next one.
+// PeerTracker tracks the state that the other controllers report in their heartbeats, and
+// the time of our next heartbeat to them.
 type PeerTracker struct {
 	*Environment
 	storeHealth *StoreHealth
@@ -30,25 +30,26 @@
 	NextHeartbeatAt micros.Micros
 }
 
-// NewPeerTracker makes a peer tracker.
+// NewPeerTracker returns a peer tracker that has seen no heartbeat yet.
 func NewPeerTracker(env *Environment, health *StoreHealth) *PeerTracker {
 	return &PeerTracker{Environment: env, storeHealth: health, ByNode: map[string]*peerStatus{}}
 }
 
-// peerStatus is what is known of another controller.
+// peerStatus is the state of another controller by its last heartbeat.
 type peerStatus struct {
 	LastHeartbeatAt micros.Micros
 	IdleMachines    map[string]bool
-	WriteRate       float64 // changes that it makes, a second
+	WriteRate       float64 // writes to the store per second
 
 	healthy       bool
 	healthySince  micros.Micros
 	schemaVersion int
-	stopping      bool // it resigns its roles and ends
+	stopping      bool // it is resigning its roles before it exits
 }
 
-// ObservePeer takes in another controller's heartbeat.
-func (p *PeerTracker) ObservePeer(heartbeat *peer.Heartbeat) {
+// Observe applies a heartbeat of another controller. The time since which that controller
+// is healthy restarts if it was unhealthy or not heard from for peerTimeout.
+func (p *PeerTracker) Observe(heartbeat *peer.Heartbeat) {
 	status := p.ByNode[heartbeat.Node]
 	if status == nil || p.Now > status.LastHeartbeatAt+peerTimeout || !status.healthy {
 		status = &peerStatus{healthySince: p.Now}
@@ -63,11 +64,13 @@
 	}
 }
 
-// RequestBroadcast has our next heartbeat sent at once.
+// RequestBroadcast makes our next heartbeat due now.
 func (p *PeerTracker) RequestBroadcast() { p.NextHeartbeatAt = p.Now }
 
-// HealthyPeerKnown reports whether another controller lately said that it is healthy.
-func (p *PeerTracker) HealthyPeerKnown() bool {
+// AnyPeerHealthy reports whether another controller recently said that it is healthy. While
+// the store is unavailable to us, only heartbeats that are recent enough to reflect that
+// count.
+func (p *PeerTracker) AnyPeerHealthy() bool {
 	for _, status := range p.ByNode {
 		if status.healthy && p.Now < status.LastHeartbeatAt+healthyPeerTimeout && p.mayKnowOfOutage(status) {
 			return true
@@ -76,16 +79,17 @@
 	return false
 }
 
-// mayKnowOfOutage reports whether another controller's last heartbeat is recent enough
-// to tell of an outage of the store that we noticed. One from before says nothing of
-// it: all controllers once left the users' load balancer at the start of each outage.
+// mayKnowOfOutage reports whether another controller's last heartbeat is recent enough to
+// reflect an outage of the store that we noticed. Earlier heartbeats must not count: each
+// controller would take the others for healthy, and at the start of each outage all of them
+// would leave the load balancer for users.
 func (p *PeerTracker) mayKnowOfOutage(status *peerStatus) bool {
 	outageSince := p.storeHealth.UnavailableSince
 	return outageSince == 0 || status.LastHeartbeatAt > outageSince+outageNoticeDelay
 }
 
-// AnyPeerAlive reports whether a heartbeat of another controller came of late; it is
-// true for a controller that has no others.
+// AnyPeerAlive reports whether a heartbeat of another controller arrived recently. It
+// returns true if there is only one controller.
 func (p *PeerTracker) AnyPeerAlive() bool {
 	for _, status := range p.ByNode {
 		if p.Now < status.LastHeartbeatAt+peerTimeout {
--- a/internal/coordination/resignation.go
+++ b/internal/coordination/resignation.go
@@ -8,27 +8,27 @@
 )
 
 const (
-	// minLeadership is for how long a role is led before it is returned to its default
-	// leader, so that roles do not move to and fro.
-	minLeadership = 15 * micros.Second
+	// minLeadershipTime is how long a role is led before it may be returned to its default
+	// leader, so that roles don't move back and forth.
+	minLeadershipTime = 15 * micros.Second
 
-	// minHealthyTime is for how long the default leader must have been healthy before a
-	// role is returned to it.
+	// minHealthyTime is how long the default leader must have been healthy before a role
+	// is returned to it.
 	minHealthyTime = 8 * micros.Second
 
-	// resignedRoleDelay is for how long after resigning a role we do not acquire it
-	// again.
+	// resignedRoleDelay is how long we don't acquire a role again after we resigned it.
 	resignedRoleDelay = 3 * micros.Second
 )
 
-// ResignRole resigns a role. We stop acting under it before its key is deleted.
-func (m *RoleManager) ResignRole(state *leadership.RoleState, why string) {
+// Resign resigns a role that we lead and logs the reason. We stop acting under the role
+// before its key is deleted.
+func (m *RoleManager) Resign(state *leadership.RoleState, reason string) {
 	term := state.Term
-	m.LoseRole(state, why)
+	m.StopLeading(state, reason)
 	state.Resign(m.Now)
 	state.VacantAt = m.Now + resignedRoleDelay
 	key := RoleKey(state.Role)
-	m.transactions.SubmitTransaction(&Transaction{
+	m.transactions.Submit(&Transaction{
 		Grant: electionGrant,
 		Request: api.Transaction{
 			Compares: []api.Compare{{Key: key, Version: api.Revision(term)}},
@@ -39,7 +39,7 @@
 	})
 }
 
-// resignReason says why a role that we lead and should not is resigned.
+// resignReason returns why we resign a role that we lead but should not lead.
 func (m *RoleManager) resignReason(state *leadership.RoleState) string {
 	switch {
 	case m.Stopping:
@@ -50,18 +50,18 @@
 	return "a controller does not know the fleet's roles"
 }
 
-// returnToDefaultLeader resigns a role in favour of its default leader, once that has
-// been healthy for a while.
+// returnToDefaultLeader resigns a role in favour of its default leader, once we have led it
+// for minLeadershipTime and the default leader has been healthy for minHealthyTime.
 func (m *RoleManager) returnToDefaultLeader(state *leadership.RoleState) {
-	node := m.Settings.Nodes[m.defaultLeader(state.Role)]
-	if node == m.Settings.Node || m.Now < state.AcquiredAt+minLeadership || !m.isSteadilyHealthy(node) {
+	node := m.Settings.Nodes[m.defaultLeaderIndex(state.Role)]
+	if node == m.Settings.Node || m.Now < state.AcquiredAt+minLeadershipTime || !m.isSteadilyHealthy(node) {
 		return
 	}
-	m.ResignRole(state, "returned to its default leader "+node)
+	m.Resign(state, "returned to its default leader "+node)
 }
 
-// isSteadilyHealthy reports whether another controller has been healthy for a while and
-// is not about to end.
+// isSteadilyHealthy reports whether another controller has been healthy for minHealthyTime
+// and is not stopping.
 func (m *RoleManager) isSteadilyHealthy(node string) bool {
 	status := m.peers.ByNode[node]
 	if status == nil || !status.healthy || status.stopping {
@@ -70,16 +70,16 @@
 	return m.Now <= status.LastHeartbeatAt+healthyPeerTimeout && m.Now >= status.healthySince+minHealthyTime
 }
 
-// BeginStop has this controller resign all its roles.
+// BeginStop starts to stop this controller: Reconcile then resigns all its roles.
 func (m *RoleManager) BeginStop() {
 	m.Stopping = true
 	m.LogInfo("controller stopping")
 }
 
-// CompleteStop reports once that all roles are resigned and no transaction is without
-// its outcome.
+// CompleteStop emits message.Stopped once, when this controller is stopping and every
+// transaction is settled, including those that resign the roles.
 func (m *RoleManager) CompleteStop() {
-	if !m.Stopping || m.stopped || !m.transactions.allTransactionsSettled() {
+	if !m.Stopping || m.stopped || !m.transactions.allSettled() {
 		return
 	}
 	m.stopped = true
--- a/internal/coordination/role_status.go
+++ b/internal/coordination/role_status.go
@@ -8,7 +8,7 @@
 	"spurmoor/internal/message"
 )
 
-// HandleListRoles answers who leads which role.
+// HandleListRoles answers the request for the state of all roles.
 func (m *RoleManager) HandleListRoles(request message.ListRoles) {
 	list := api.Roles{
 		Node:            m.Settings.Node,
@@ -22,7 +22,7 @@
 	m.Answer(request.RequestID, message.StatusOK, list)
 }
 
-// roleStatus describes one role.
+// roleStatus returns the state of one role as shown to operators.
 func (m *RoleManager) roleStatus(state *leadership.RoleState) api.RoleStatus {
 	status := api.RoleStatus{
 		Role:          state.Role.String(),
@@ -40,18 +40,19 @@
 	return status
 }
 
-// refusedOrdersUnder counts the orders refused under a role, by action and reason.
+// refusedOrdersUnder returns how many orders were refused under a role, by action and
+// reason.
 func (m *RoleManager) refusedOrdersUnder(name string) map[string]int {
-	return m.audit.countByLabel(func(role string) bool { return role == name })
+	return m.refusals.countByLabel(func(role string) bool { return role == name })
 }
 
-// refusedOrdersWithoutRole counts the orders refused under shared grants, by action and
-// reason.
+// refusedOrdersWithoutRole returns how many orders were refused that had a shared grant or
+// none, by action and reason.
 func (m *RoleManager) refusedOrdersWithoutRole() map[string]int {
-	return m.audit.countByLabel(func(role string) bool { return !m.hasRole(role) })
+	return m.refusals.countByLabel(func(role string) bool { return !m.hasRole(role) })
 }
 
-// hasRole reports whether there is a role of a name.
+// hasRole reports whether a role has the given name.
 func (m *RoleManager) hasRole(name string) bool {
 	return slices.ContainsFunc(m.Roles, func(state *leadership.RoleState) bool { return state.Role.String() == name })
 }
--- a/internal/coordination/roles.go
+++ b/internal/coordination/roles.go
@@ -10,41 +10,42 @@
 	"spurmoor/internal/records"
 )
 
-// RoleManager knows which roles there are and who leads them, and has this controller
-// acquire and resign them. A role's leader is whoever wrote the role's key, which is
-// attached to the leader's lease; the version of the key is the term. Every write made
-// under a role compares that version.
+// RoleManager tracks the leader of each role, and acquires and resigns roles for this
+// controller. A role's leader is the controller that wrote the role's key. The key is
+// attached to the leader's lease, and its version is the term. Every write made under a
+// role compares that version.
 type RoleManager struct {
 	*Environment
-	audit        *OrderAudit
+	refusals     *RefusalCounter
 	cache        *WatchCache
 	peers        *PeerTracker
 	schema       *SchemaTracker
 	storeLease   *StoreLease
 	transactions *TransactionSender
-	workerReach  *WorkerReach
-	Observer     partitionObserver // set once the observer, which reads from here, is made
+	reachability *WorkerReachability
+	Observer     partitionObserver // set after construction, because the observer needs this manager
 
-	Roles      []*leadership.RoleState // the partitions' first, by index
-	fleetRoles []*leadership.RoleState // of them, those that exist once for the whole fleet
-	Exclusive  bool                    // the fleet roles have one leader each, as last logged
-	Stopping   bool                    // this controller resigns its roles and ends
-	stopped    bool                    // it has resigned them all
+	Roles      []*leadership.RoleState // first those of the partitions' leaders, by index
+	fleetRoles []*leadership.RoleState // the elements of Roles that exist once for the whole fleet
+	Exclusive  bool                    // the fleet roles have one leader each; see UpdateExclusive
+	Stopping   bool                    // this controller is resigning its roles before it exits
+	stopped    bool                    // message.Stopped was emitted
 }
 
-// partitionObserver is told when this controller begins or ceases to lead a partition.
+// partitionObserver is notified when this controller starts or stops leading a partition.
 type partitionObserver interface {
 	PartitionAcquired(index int)
-	PartitionLost(index int, why string)
+	PartitionLost(index int, reason string)
 }
 
-// NewRoleManager makes a role manager.
-func NewRoleManager(env *Environment, audit *OrderAudit, cache *WatchCache, peers *PeerTracker, schema *SchemaTracker,
-	lease *StoreLease, transactions *TransactionSender, reach *WorkerReach,
+// NewRoleManager returns a role manager that knows all roles but none of their leaders. The
+// caller must set Observer before any role is observed.
+func NewRoleManager(env *Environment, refusals *RefusalCounter, cache *WatchCache, peers *PeerTracker, schema *SchemaTracker,
+	lease *StoreLease, transactions *TransactionSender, reach *WorkerReachability,
 ) *RoleManager {
 	manager := &RoleManager{
-		Environment: env, audit: audit, cache: cache, peers: peers, schema: schema, storeLease: lease,
-		transactions: transactions, workerReach: reach,
+		Environment: env, refusals: refusals, cache: cache, peers: peers, schema: schema, storeLease: lease,
+		transactions: transactions, reachability: reach,
 	}
 	for index := range env.Settings.Operators.Parts {
 		manager.Roles = append(manager.Roles, &leadership.RoleState{Role: leadership.PartitionRole(index)})
@@ -64,40 +65,41 @@
 	return records.FleetRolePrefix + role.String()
 }
 
-// LeaderClaim returns what this controller writes under the key of a role to acquire it.
-func (m *RoleManager) LeaderClaim() leadership.Claim {
+// OwnClaim returns the claim that this controller writes to a role's key to acquire the
+// role.
+func (m *RoleManager) OwnClaim() leadership.Claim {
 	return leadership.Claim{Node: m.Settings.Node, Incarnation: m.Incarnation}
 }
 
-// PartitionRole returns the role of a partition's leader.
+// PartitionRole returns the state of the role of a partition's leader.
 func (m *RoleManager) PartitionRole(index int) *leadership.RoleState { return m.Roles[index] }
 
-// FleetRole returns the fleet role of a kind.
+// FleetRole returns the state of a fleet role. It panics if the kind is no fleet role.
 func (m *RoleManager) FleetRole(kind leadership.RoleKind) *leadership.RoleState {
-	at := slices.IndexFunc(m.fleetRoles, func(state *leadership.RoleState) bool { return state.Role.Kind == kind })
-	return m.fleetRoles[at]
+	index := slices.IndexFunc(m.fleetRoles, func(state *leadership.RoleState) bool { return state.Role.Kind == kind })
+	return m.fleetRoles[index]
 }
 
-// LeadsAnyPartition reports whether this controller leads a partition.
+// LeadsAnyPartition reports whether this controller leads at least one partition.
 func (m *RoleManager) LeadsAnyPartition() bool {
 	return slices.ContainsFunc(m.Roles, func(state *leadership.RoleState) bool {
 		return state.Role.Kind == leadership.PartitionLeader && state.Leads()
 	})
 }
 
-// ObserveRole takes in a role's key: its claim and version, or version 0 if there is no
-// key.
-func (m *RoleManager) ObserveRole(state *leadership.RoleState, claim leadership.Claim, version api.Revision) {
+// Observe applies the state of a role's key in the store: its claim and version, or version
+// 0 if the key does not exist. We start or stop acting under the role accordingly.
+func (m *RoleManager) Observe(state *leadership.RoleState, claim leadership.Claim, version api.Revision) {
 	leased := m.storeLease.Lease.ID != 0
-	if state.Contradicts(claim, leadership.Term(version), m.LeaderClaim(), leased) {
-		m.LoseRole(state, "taken or expired")
+	if state.Contradicts(claim, leadership.Term(version), m.OwnClaim(), leased) {
+		m.StopLeading(state, "taken or expired")
 	}
-	if state.Observe(m.Now, claim, leadership.Term(version), m.LeaderClaim(), leased) {
+	if state.Observe(m.Now, claim, leadership.Term(version), m.OwnClaim(), leased) {
 		m.roleAcquired(state)
 	}
 }
 
-// roleAcquired begins to act under a role.
+// roleAcquired starts acting under a role.
 func (m *RoleManager) roleAcquired(state *leadership.RoleState) {
 	if state.Role.Kind == leadership.PartitionLeader {
 		m.Observer.PartitionAcquired(state.Role.Index)
@@ -106,21 +108,22 @@
 	m.LogInfo("role acquired", logkey.Role, state.Role.String(), logkey.Term, state.Term)
 }
 
-// LoseRole stops acting under a role.
-func (m *RoleManager) LoseRole(state *leadership.RoleState, why string) {
+// StopLeading stops acting under a role and logs the reason. It does not delete the role's
+// key.
+func (m *RoleManager) StopLeading(state *leadership.RoleState, reason string) {
 	state.End(m.Now)
 	if state.Role.Kind == leadership.PartitionLeader {
-		m.Observer.PartitionLost(state.Role.Index, why)
+		m.Observer.PartitionLost(state.Role.Index, reason)
 		return
 	}
-	m.LogInfo("role lost", logkey.Role, state.Role.String(), logkey.Reason, why)
+	m.LogInfo("role lost", logkey.Role, state.Role.String(), logkey.Reason, reason)
 }
 
-// leaseLost stops acting under all roles.
+// leaseLost stops acting under all roles after the store ended our lease.
 func (m *RoleManager) leaseLost() {
 	for _, state := range m.Roles {
 		if state.Leads() {
-			m.LoseRole(state, "our lease expired")
+			m.StopLeading(state, "our lease expired")
 		}
 	}
 }
--- a/internal/coordination/schema.go
+++ b/internal/coordination/schema.go
@@ -10,111 +10,112 @@
 )
 
 const (
-	// schemaRetryInterval is how long after an announcement the next is made, if it
-	// failed.
+	// schemaRetryInterval is the time between two attempts to announce our schema version.
 	schemaRetryInterval = 5 * micros.Second
 
-	// schemaReportTimeout is how old another controller's heartbeat may be while its
-	// word that it does not read a schema version counts.
+	// schemaReportTimeout is the maximum age of another controller's heartbeat at which it
+	// counts as evidence that the controller does not read a schema version.
 	schemaReportTimeout = 5 * micros.Second
 )
 
-// SchemaTracker is which schema version of the records each controller reads, and the
-// announcement of ours. A record's new form is written only once all controllers read
-// it.
+// SchemaTracker tracks which schema version of the records each controller can read, and
+// announces ours. A new form of a record is written only once all controllers can read it.
 type SchemaTracker struct {
 	*Environment
 	budget *WriteBudget
 	cache  *WatchCache
 	peers  *PeerTracker
 
-	schemaVersions           map[string]int // by node, the newest that its controller was seen to read
-	NextSchemaAnnouncementAt micros.Micros
-	schemaKeyVersion         api.Revision // of the key of our own announcement
-	schemaAgreed             bool         // all controllers read our version, as last logged
+	versions           map[string]int // by node, the newest that its controller is known to read
+	NextAnnouncementAt micros.Micros
+	keyVersion         api.Revision // of the key of our announcement; 0 if none was seen
+	agreed             bool         // all controllers read our schema version, as last logged
 }
 
-// NewSchemaTracker makes a schema tracker.
+// NewSchemaTracker returns a schema tracker that knows no controller's schema version yet.
 func NewSchemaTracker(env *Environment, budget *WriteBudget, cache *WatchCache, peers *PeerTracker) *SchemaTracker {
-	return &SchemaTracker{Environment: env, budget: budget, cache: cache, peers: peers, schemaVersions: map[string]int{}}
+	return &SchemaTracker{Environment: env, budget: budget, cache: cache, peers: peers, versions: map[string]int{}}
 }
 
-// ObserveSchema notes that a controller reads a schema version.
-func (s *SchemaTracker) ObserveSchema(node string, schemaVersion int) {
-	s.schemaVersions[node] = max(s.schemaVersions[node], schemaVersion)
+// Observe records that a controller reads a schema version. Lower versions than the one
+// known are ignored.
+func (s *SchemaTracker) Observe(node string, schemaVersion int) {
+	s.versions[node] = max(s.versions[node], schemaVersion)
 }
 
-// ObserveSchemaKey notes the version of the key of our own announcement.
-func (s *SchemaTracker) ObserveSchemaKey(version api.Revision) {
-	s.schemaKeyVersion = max(s.schemaKeyVersion, version)
+// ObserveKey records the version of the key of our own announcement, which the next
+// announcement compares.
+func (s *SchemaTracker) ObserveKey(version api.Revision) {
+	s.keyVersion = max(s.keyVersion, version)
 }
 
-// AllReadSchema reports whether all controllers read a schema version.
-func (s *SchemaTracker) AllReadSchema(schemaVersion int) bool {
+// AllRead reports whether all controllers, including this one, read a schema version.
+func (s *SchemaTracker) AllRead(schemaVersion int) bool {
 	for _, node := range s.Settings.Nodes {
-		if !s.readsSchema(node, schemaVersion) {
+		if !s.reads(node, schemaVersion) {
 			return false
 		}
 	}
 	return true
 }
 
-// readsSchema reports whether a controller reads a schema version. One whose latest
-// heartbeat says that it does not has been downgraded, whatever it announced before.
-func (s *SchemaTracker) readsSchema(node string, schemaVersion int) bool {
+// reads reports whether a controller reads a schema version. A controller whose latest
+// heartbeat reports a lower version was downgraded, whatever it announced before.
+func (s *SchemaTracker) reads(node string, schemaVersion int) bool {
 	status := s.peers.ByNode[node]
 	if status != nil && status.schemaVersion < schemaVersion && s.Now < status.LastHeartbeatAt+schemaReportTimeout {
 		return false
 	}
-	return node == s.Settings.Node || s.schemaVersions[node] >= schemaVersion
+	return node == s.Settings.Node || s.versions[node] >= schemaVersion
 }
 
 // RecordsRequests reports whether requests for machines are recorded before they are
-// sent: if the operators want it and every controller reads the record.
+// sent. That is so if the settings ask for it and every controller reads the record.
 func (s *SchemaTracker) RecordsRequests() bool {
-	return s.Settings.Operators.Duties.RecordRentals && s.AllReadSchema(records.SchemaRoles)
+	return s.Settings.Operators.Duties.RecordRentals && s.AllRead(records.SchemaRoles)
 }
 
-// AnnounceSchema announces in the key-value store which schema version this controller
-// reads: a controller that starts while another is down learns that one's from there.
-func (s *SchemaTracker) AnnounceSchema() {
+// Announce writes to the key-value store which schema version this controller reads, until
+// that has succeeded once. A controller that starts while another is down reads that one's
+// version from there.
+func (s *SchemaTracker) Announce() {
 	if !s.cache.Synced {
 		return
 	}
 	s.logAgreement()
-	if s.schemaVersions[s.Settings.Node] >= records.SchemaVersion || s.Now < s.NextSchemaAnnouncementAt {
+	if s.versions[s.Settings.Node] >= records.SchemaVersion || s.Now < s.NextAnnouncementAt {
 		return
 	}
-	s.NextSchemaAnnouncementAt = s.Now + schemaRetryInterval
-	s.budget.ChargeWrites(1)
+	s.NextAnnouncementAt = s.Now + schemaRetryInterval
+	s.budget.ChargeUnthrottled(1)
 	grant := leadership.SharedGrant(leadership.ForSchema, leadership.Write)
 	order := leadership.NewOrder(grant, s.announcement())
-	s.CallStore(message.StoreCall{Op: message.OpTransaction, Transaction: order}, s.handleAnnouncement)
+	s.CallStore(message.StoreCall{Op: message.OpTransaction, Transaction: order}, s.handleAnnouncementReply)
 }
 
-// announcement returns the transaction that writes which schema version we read.
+// announcement returns the transaction that announces our schema version.
 func (s *SchemaTracker) announcement() *api.Transaction {
 	key := records.SchemaPrefix + s.Settings.Node
 	record := records.NodeSchema{SchemaVersion: records.SchemaVersion, Release: records.Version}
 	return &api.Transaction{
-		Compares: []api.Compare{{Key: key, Version: s.schemaKeyVersion}},
+		Compares: []api.Compare{{Key: key, Version: s.keyVersion}},
 		Writes:   []api.Write{{Put: key, Value: records.MustMarshal(record)}},
 	}
 }
 
-// handleAnnouncement takes in the reply to the announcement.
-func (s *SchemaTracker) handleAnnouncement(reply *message.StoreReply) {
+// handleAnnouncementReply handles the reply to an announcement.
+func (s *SchemaTracker) handleAnnouncementReply(reply *message.StoreReply) {
 	if reply.Status == message.StatusOK {
-		s.ObserveSchema(s.Settings.Node, records.SchemaVersion)
+		s.Observe(s.Settings.Node, records.SchemaVersion)
 	}
 }
 
-// logAgreement logs when all controllers begin or cease to read our schema version.
+// logAgreement logs a change of whether all controllers read our schema version.
 func (s *SchemaTracker) logAgreement() {
-	agreed := s.AllReadSchema(records.SchemaVersion)
-	if agreed == s.schemaAgreed {
+	agreed := s.AllRead(records.SchemaVersion)
+	if agreed == s.agreed {
 		return
 	}
-	s.schemaAgreed = agreed
+	s.agreed = agreed
 	s.LogInfo("schema agreed by all controllers", logkey.Schema, records.SchemaVersion, logkey.All, agreed)
 }
--- a/internal/coordination/store_health.go
+++ b/internal/coordination/store_health.go
@@ -5,22 +5,23 @@
 	"spurmoor/internal/micros"
 )
 
-// StoreHealth is whether the key-value store answers this controller.
+// StoreHealth tracks whether the key-value store answers this controller.
 type StoreHealth struct {
 	*Environment
 
-	UnavailableSince micros.Micros // when it stopped answering; 0: it answers
-	Refusing         bool          // since then some calls failed by an answer, not for want of one
+	UnavailableSince micros.Micros // when the store stopped answering; 0 if it answers
+	Refusing         bool          // since then at least one call got a reply with a server error
 }
 
-// NewStoreHealth makes a store health.
+// NewStoreHealth returns a store health that assumes an available store.
 func NewStoreHealth(env *Environment) *StoreHealth { return &StoreHealth{Environment: env} }
 
-// ObserveStoreReply takes in what a reply, or its absence, says of whether the store
-// answers.
-func (h *StoreHealth) ObserveStoreReply(reply *message.StoreReply) {
+// ObserveReply updates the health by the result of a call. No reply or a server error
+// means that the store is unavailable. Any other reply except StatusTooManyRequests means
+// that it is available.
+func (h *StoreHealth) ObserveReply(reply *message.StoreReply) {
 	switch {
-	case reply.Unsent: // says nothing of the store
+	case reply.Unsent: // says nothing about the store
 	case reply.Status == message.StatusNoReply || reply.Status >= message.StatusInternalServerError:
 		h.Refusing = h.Refusing || reply.Status != message.StatusNoReply
 		if h.UnavailableSince == 0 {
--- a/internal/coordination/store_lease_test.go
+++ b/internal/coordination/store_lease_test.go
@@ -8,59 +8,62 @@
 	"spurmoor/internal/micros"
 )
 
-// TestRenewLease guards against a lease that counts from the reply to its renewal: the
-// store may have received the renewal as soon as it was sent.
-func TestRenewLease(t *testing.T) {
+// TestRenew guards against a lease that counts from the reply to its renewal. The store may
+// have received the renewal as soon as it was sent, so such a lease would count as valid for
+// too long.
+func TestRenew(t *testing.T) {
 	t.Parallel()
 	manager := newTestManager(t)
 	lease, env := manager.storeLease, manager.Environment
 	lease.Observer = manager
 	env.Now += micros.Second
-	lease.RenewLease()
+	lease.Renew()
 	sentAt := env.Now
 	call := takeStoreCall(t, env)
 	if call.Op != message.OpRenewLease || call.LeaseID != 5 {
-		t.Fatalf("renewed by %+v", call)
+		t.Fatalf("got call %+v, want the renewal of lease 5", call)
 	}
 	env.Now += micros.Second
-	lease.RenewLease()
+	lease.Renew()
 	if calls := takeStoreCalls(env); len(calls) > 0 {
-		t.Fatal("a second renewal is sent while one is in flight")
+		t.Fatal("got a second renewal while one is in flight, want none")
 	}
 	replyTo(env, call, message.StoreReply{Status: message.StatusOK})
 	if lease.Lease.RenewalSentAt != sentAt || lease.NextRenewalAt != env.Now+env.Settings.LeaseTTL()/renewalsPerTTL {
-		t.Errorf("counts from %d, next renewal at %d", lease.Lease.RenewalSentAt, lease.NextRenewalAt)
+		t.Errorf("got a lease from %d and the next renewal at %d, want the time sent and a fraction of the TTL from now",
+			lease.Lease.RenewalSentAt, lease.NextRenewalAt)
 	}
 }
 
-// TestLeaseLost guards against a role that is led on after the store ended our lease.
+// TestLeaseLost guards against a controller that goes on leading a role after the store
+// ended its lease.
 func TestLeaseLost(t *testing.T) {
 	t.Parallel()
 	manager := newTestManager(t)
 	lease, env := manager.storeLease, manager.Environment
 	lease.Observer = manager
 	state := manager.FleetRole(leadership.InstanceSweeper)
-	manager.ObserveRole(state, manager.LeaderClaim(), 8)
+	manager.Observe(state, manager.OwnClaim(), 8)
 	grant := lease.Grant(state, leadership.Write)
 	if reason := grant.Check(leadership.Write, env.Now); reason != "" {
-		t.Fatalf("the leader's grant is refused: %s", reason)
+		t.Fatalf("got reason %q for the leader's grant, want none", reason)
 	}
-	lease.RenewLease()
+	lease.Renew()
 	replyTo(env, takeStoreCall(t, env), message.StoreReply{Status: message.StatusNotFound})
-	if state.Leads() || lease.LeaseValid() {
-		t.Error("leads without a lease")
+	if state.Leads() || lease.Valid() {
+		t.Error("got a leader or a valid lease after the store ended the lease, want neither")
 	}
 	if reason := grant.Check(leadership.Write, env.Now); reason != leadership.RoleEnded {
-		t.Errorf("a grant of the lost role: %q", reason)
+		t.Errorf("got reason %q for a grant of the lost role, want that the role ended", reason)
 	}
-	lease.RenewLease()
+	lease.Renew()
 	if call := takeStoreCall(t, env); call.Op != message.OpGrantLease || call.TTLMs != env.Settings.LeaseTTL().Milliseconds() {
-		t.Errorf("a new lease is requested by %+v", call)
+		t.Errorf("got call %+v, want the request for a new lease", call)
 	}
 }
 
-// TestMayAnswerHeartbeats guards until when a leader without the store answers
-// heartbeats.
+// TestMayAnswerHeartbeats guards against a leader that can't reach the store and stops
+// answering heartbeats too early or too late.
 func TestMayAnswerHeartbeats(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
@@ -89,7 +92,7 @@
 		lease.cache.CurrentAsOf = lease.Now
 		tc.change(lease)
 		if got := lease.mayAnswerHeartbeats(); got != tc.want {
-			t.Errorf("%s: may answer %t, want %t", tc.name, got, tc.want)
+			t.Errorf("%s: got may answer %t, want %t", tc.name, got, tc.want)
 		}
 	}
 }
--- a/internal/coordination/transactions.go
+++ b/internal/coordination/transactions.go
@@ -11,55 +11,58 @@
 )
 
 const (
-	// grantRetryInterval is how long after a transaction for which there was no grant it
-	// is tried again.
+	// grantRetryInterval is the time until a transaction without a valid grant is tried
+	// again.
 	grantRetryInterval = micros.Second / 8
 
-	// resendInterval is how long a transaction waits at least between two attempts to
-	// settle it that were not given a time of their own.
+	// resendInterval is the minimum time between two attempts to send or settle a
+	// transaction, unless the first attempt sets the time of the next.
 	resendInterval = micros.Second
 
-	// A transaction without an outcome is sent again after a time that doubles from
-	// minRetryDelay with each attempt, maxRetryDoublings times at most, up to
-	// maxRetryDelay; before jitter.
+	// A transaction with an unknown outcome is sent again after a delay. The delay is
+	// minRetryDelay, doubled with each attempt at most maxRetryDoublings times, and at most
+	// maxRetryDelay, all before jitter.
 	minRetryDelay     = micros.Second / 8
 	maxRetryDelay     = micros.Second
 	maxRetryDoublings = 4
 
-	// settleRetryInterval is how long after a failed read a refused transaction is
-	// settled anew, before jitter.
+	// settleRetryInterval is the time from a failed read to the next attempt to settle a
+	// refused transaction, before jitter.
 	settleRetryInterval = micros.Second / 2
 )
 
 // Transaction is a compare-and-swap transaction that is sent again until its outcome is
 // known.
 //
-// A transaction without an outcome may have been carried out, and may still be: the
-// network may deliver it late or twice. The same transaction is therefore sent again,
-// never one built anew: with random faults, the writes of one were taken for the
-// other's. Since its compares name the versions of keys that it writes, it
-// is carried out once at most; a repetition of one that was carried out is refused. So a
-// refusal says only that no further copy will be carried out. Whether an earlier one
-// was, a read tells that was sent after the refusal.
+// While the outcome is unknown, the transaction may have been committed and may still be
+// committed, because the network may deliver it late or twice. Therefore the same
+// transaction is sent again, never a rebuilt one. With a rebuilt one, the writes of the
+// first could be taken for those of the second, as tests with random faults showed.
+//
+// The compares name the versions of the keys that the transaction writes, so at most one
+// copy is committed and later copies are refused. A refusal therefore says only that no
+// further copy will be committed. A read that is sent after the refusal shows whether an
+// earlier copy was.
 type Transaction struct {
 	Request   api.Transaction
-	Grant     func() leadership.Grant // asked each time that it is sent
-	Settled   bool                    // its outcome is known, or no longer matters
-	Malformed bool                    // the store refused it as malformed, perhaps as too large
+	Grant     func() leadership.Grant // called before each attempt
+	Settled   bool                    // the outcome is known or no longer matters
+	Malformed bool                    // the store rejected it as invalid, for example as too large
 
-	// OnCommitted is called once it is known to be carried out, at a revision.
+	// OnCommitted is called at most once, when the transaction is known to be committed, with
+	// the revision of the commit.
 	OnCommitted func(revision api.Revision)
-	// OnRefused is called once it was refused and the watch cache is newer than the
-	// refusal.
+	// OnRefused is called at most once, when the transaction was refused and the watch cache
+	// is newer than the refusal.
 	OnRefused func()
 
 	inFlight   bool
 	attempts   int
-	refused    bool // a read must settle it
+	refused    bool // a later read must settle it
 	nextSendAt micros.Micros
 }
 
-// TransactionSender sends transactions until their outcomes are known.
+// TransactionSender sends each submitted transaction until its outcome is known.
 type TransactionSender struct {
 	*Environment
 	cache *WatchCache
@@ -67,20 +70,21 @@
 	transactions []*Transaction
 }
 
-// NewTransactionSender makes a transaction sender.
+// NewTransactionSender returns a transaction sender that settles refused transactions by
+// reads of cache.
 func NewTransactionSender(env *Environment, cache *WatchCache) *TransactionSender {
 	return &TransactionSender{Environment: env, cache: cache}
 }
 
-// SubmitTransaction sends a transaction until its outcome is known.
-func (s *TransactionSender) SubmitTransaction(transaction *Transaction) {
+// Submit sends a transaction now and, with Resend, again until its outcome is known.
+func (s *TransactionSender) Submit(transaction *Transaction) {
 	s.transactions = append(s.transactions, transaction)
 	s.send(transaction)
 }
 
-// ResendTransactions advances the transactions whose outcomes are not known, and drops
-// the others.
-func (s *TransactionSender) ResendTransactions() {
+// Resend advances all unsettled transactions and drops the settled ones. It must be called
+// regularly.
+func (s *TransactionSender) Resend() {
 	unsettled := s.transactions[:0]
 	for _, transaction := range s.transactions {
 		if transaction.Settled {
@@ -93,12 +97,12 @@
 	s.transactions = unsettled
 }
 
-// allTransactionsSettled reports whether no outcome is awaited.
-func (s *TransactionSender) allTransactionsSettled() bool {
+// allSettled reports whether all submitted transactions are settled.
+func (s *TransactionSender) allSettled() bool {
 	return !slices.ContainsFunc(s.transactions, func(transaction *Transaction) bool { return !transaction.Settled })
 }
 
-// advance sends a transaction again, or settles a refused one, if it is due.
+// advance sends a transaction again, or tries to settle a refused one, if that is due.
 func (s *TransactionSender) advance(transaction *Transaction) {
 	if transaction.inFlight || s.Now < transaction.nextSendAt {
 		return
@@ -111,7 +115,7 @@
 	}
 }
 
-// send sends a transaction, if its grant permits that now.
+// send sends a transaction if its grant permits that now. Otherwise it schedules a retry.
 func (s *TransactionSender) send(transaction *Transaction) {
 	grant := transaction.Grant()
 	if grant.Check(leadership.Write, s.Now) != "" {
@@ -125,7 +129,7 @@
 	s.CallStore(call, func(reply *message.StoreReply) { s.handleReply(transaction, reply) })
 }
 
-// handleReply takes in the reply to a transaction.
+// handleReply handles the reply to a transaction.
 func (s *TransactionSender) handleReply(transaction *Transaction, reply *message.StoreReply) {
 	transaction.inFlight = false
 	if transaction.Settled {
@@ -146,13 +150,14 @@
 	}
 }
 
-// retryDelay is how long after so many attempts a transaction is sent again, before
-// jitter.
+// retryDelay returns the delay before the next attempt after the given number of attempts,
+// before jitter.
 func retryDelay(attempts int) micros.Micros {
 	return min(maxRetryDelay, minRetryDelay<<min(attempts, maxRetryDoublings))
 }
 
-// handleRefusal notes that the store refused a transaction, and has a read settle it.
+// handleRefusal records that the store refused a transaction and requests the read that
+// settles it.
 func (s *TransactionSender) handleRefusal(transaction *Transaction, reply *message.StoreReply) {
 	s.LogDebug("transaction refused", logkey.Status, reply.Status, logkey.FailedKeys, reply.Transaction.FailedKeys)
 	transaction.refused = true
@@ -160,8 +165,8 @@
 }
 
 // settleRefused settles a refused transaction once the watch cache is newer than the
-// refusal. If an earlier copy was carried out, the cache has shown its writes by then;
-// who submitted it then marks it as settled, if a refusal would mislead.
+// refusal. If an earlier copy was committed, the cache has shown its writes by then. The
+// submitter must then have marked the transaction as settled if OnRefused would be wrong.
 func (s *TransactionSender) settleRefused(transaction *Transaction) {
 	s.cache.ReadLatest(func(ok bool) {
 		switch {
--- a/internal/coordination/transactions_test.go
+++ b/internal/coordination/transactions_test.go
@@ -9,15 +9,15 @@
 	"spurmoor/internal/micros"
 )
 
-// senderFixture is a transaction sender with one transaction submitted.
+// senderFixture is a transaction sender to which one transaction was submitted.
 type senderFixture struct {
 	*TransactionSender
 	transaction *Transaction
-	committed   []api.Revision // the revisions told to OnCommitted
-	refusals    int            // calls of OnRefused
+	committed   []api.Revision // the arguments of the calls of OnCommitted
+	refusals    int            // the number of calls of OnRefused
 }
 
-// submitOne submits one transaction. Its grant is asked anew for each attempt.
+// submitOne submits one transaction to a new sender. grant is called before each attempt.
 func submitOne(t *testing.T, grant func() leadership.Grant) *senderFixture {
 	t.Helper()
 	env := newTestEnvironment(t)
@@ -32,86 +32,88 @@
 		OnCommitted: func(revision api.Revision) { fixture.committed = append(fixture.committed, revision) },
 		OnRefused:   func() { fixture.refusals++ },
 	}
-	fixture.SubmitTransaction(fixture.transaction)
+	fixture.Submit(fixture.transaction)
 	return fixture
 }
 
-// advanceBy lets time pass and sends what is due.
-func (f *senderFixture) advanceBy(span micros.Micros) {
+// advanceTime advances the clock by span and resends what is due.
+func (f *senderFixture) advanceTime(span micros.Micros) {
 	f.Now += span
-	f.ResendTransactions()
+	f.Resend()
 }
 
-// takeAttempt returns the only call since the last time, which must carry the transaction.
+// takeAttempt returns the only emitted call, which must carry the transaction, and clears all
+// effects.
 func (f *senderFixture) takeAttempt(t *testing.T) message.StoreCall {
 	t.Helper()
 	call := takeStoreCall(t, f.Environment)
 	if call.Op != message.OpTransaction || call.Transaction.Body() != &f.transaction.Request {
-		t.Fatalf("another call than the same transaction: %+v", call)
+		t.Fatalf("got call %+v, want the same transaction", call)
 	}
 	return call
 }
 
-// expectOutcome checks how often each handler was called.
+// expectOutcome checks how often OnCommitted and OnRefused were called.
 func (f *senderFixture) expectOutcome(t *testing.T, commits, refusals int) {
 	t.Helper()
 	if len(f.committed) != commits || f.refusals != refusals {
-		t.Fatalf("told of %d commits and %d refusals, want %d and %d", len(f.committed), f.refusals, commits, refusals)
+		t.Fatalf("got %d commits and %d refusals, want %d and %d", len(f.committed), f.refusals, commits, refusals)
 	}
 }
 
-// TestUnknownOutcomeIsSentAgain guards against a transaction without an answer that is
-// given up or built anew: the same is sent until its outcome is known.
+// TestUnknownOutcomeIsSentAgain guards against a transaction that is abandoned or rebuilt
+// because its outcome is unknown. The same transaction must be sent until its outcome is
+// known.
 func TestUnknownOutcomeIsSentAgain(t *testing.T) {
 	t.Parallel()
 	fixture := submitOne(t, electionGrant)
 	for attempt, status := range []int{message.StatusNoReply, message.StatusServiceUnavailable, message.StatusTooManyRequests} {
 		call := fixture.takeAttempt(t)
-		fixture.advanceBy(10 * micros.Second)
+		fixture.advanceTime(10 * micros.Second)
 		if calls := takeStoreCalls(fixture.Environment); len(calls) > 0 {
-			t.Fatalf("attempt %d: sent again while in flight", attempt)
+			t.Fatalf("attempt %d: got another call while it is in flight, want none", attempt)
 		}
 		replyTo(fixture.Environment, call, message.StoreReply{Status: status})
-		fixture.ResendTransactions()
+		fixture.Resend()
 		if calls := takeStoreCalls(fixture.Environment); len(calls) > 0 {
-			t.Fatalf("attempt %d: sent again at once", attempt)
+			t.Fatalf("attempt %d: got another call at once, want none before the retry delay", attempt)
 		}
 		fixture.expectOutcome(t, 0, 0)
-		fixture.advanceBy(2 * maxRetryDelay)
+		fixture.advanceTime(2 * maxRetryDelay)
 	}
-	if fixture.allTransactionsSettled() {
-		t.Fatal("settled without an outcome")
+	if fixture.allSettled() {
+		t.Fatal("got settled without an outcome, want unsettled")
 	}
 	replyTo(fixture.Environment, fixture.takeAttempt(t), message.StoreReply{
 		Status:      message.StatusOK,
 		Transaction: api.TransactionResult{Revision: 11},
 	})
 	fixture.expectOutcome(t, 1, 0)
-	if fixture.committed[0] != 11 || !fixture.allTransactionsSettled() {
-		t.Errorf("committed at %d, settled %t", fixture.committed[0], fixture.allTransactionsSettled())
+	if fixture.committed[0] != 11 || !fixture.allSettled() {
+		t.Errorf("got committed at %d and settled %t, want 11 and true", fixture.committed[0], fixture.allSettled())
 	}
-	fixture.advanceBy(10 * micros.Second)
+	fixture.advanceTime(10 * micros.Second)
 	if calls := takeStoreCalls(fixture.Environment); len(calls) > 0 {
-		t.Error("sent again after its outcome was known")
+		t.Error("got another call after the outcome was known, want none")
 	}
 }
 
-// refuse gives the transaction's attempt a refusal and returns the read that settles it.
+// refuse delivers a refusal as the reply to an attempt and returns the read that settles it.
 func (f *senderFixture) refuse(t *testing.T, status int) message.StoreCall {
 	t.Helper()
 	replyTo(f.Environment, f.takeAttempt(t), message.StoreReply{Status: status})
 	f.expectOutcome(t, 0, 0)
-	f.cache.watchInFlight = true // only reads are of interest
+	f.cache.watchInFlight = true // so that only reads are sent
 	f.cache.MaintainWatch()
 	read := takeStoreCall(t, f.Environment)
 	if read.Op != message.OpWatch || !read.Urgent {
-		t.Fatalf("a refusal is followed by %+v, not by a read", read)
+		t.Fatalf("got call %+v after a refusal, want a read", read)
 	}
 	return read
 }
 
-// TestRefusalIsSettledByARead guards against a refusal that is believed at once: an
-// earlier copy may have been carried out, which only a later read shows.
+// TestRefusalIsSettledByARead guards against a refusal that is reported at once. An earlier
+// copy of the transaction may have been committed, which only a later read shows.
 func TestRefusalIsSettledByARead(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
@@ -130,20 +132,22 @@
 			replyTo(fixture.Environment, read, message.StoreReply{Status: message.StatusOK, Watch: api.WatchResponse{Revision: 12}})
 			fixture.expectOutcome(t, 0, 1)
 			if fixture.transaction.Malformed != tc.malformed || !fixture.transaction.Settled {
-				t.Errorf("malformed %t, settled %t", fixture.transaction.Malformed, fixture.transaction.Settled)
+				t.Errorf("got malformed %t and settled %t, want as in the case and true",
+					fixture.transaction.Malformed, fixture.transaction.Settled)
 			}
 		})
 	}
 }
 
-// TestRefusalOfACommittedTransaction guards against a transaction that was carried out
-// without an answer, and is reported as refused because its repetition was: the read
-// shows its writes first, and whoever waits for them settles it.
+// TestRefusalOfACommittedTransaction guards against a committed transaction that is reported
+// as refused. That can happen if the reply to the first copy is lost and the second copy is
+// refused. The read shows the writes of the transaction before it settles the refusal, and
+// the sink then marks the transaction as settled.
 func TestRefusalOfACommittedTransaction(t *testing.T) {
 	t.Parallel()
 	fixture := submitOne(t, electionGrant)
 	replyTo(fixture.Environment, fixture.takeAttempt(t), message.StoreReply{Status: message.StatusNoReply})
-	fixture.advanceBy(2 * maxRetryDelay)
+	fixture.advanceTime(2 * maxRetryDelay)
 	fixture.cache.Sink = &settlingSink{transaction: fixture.transaction}
 	read := fixture.refuse(t, message.StatusConflict)
 	put := api.Event{Put: "k", Value: []byte("1"), Version: 11}
@@ -152,55 +156,56 @@
 		Watch:  api.WatchResponse{Revision: 11, Events: []api.Event{put}},
 	})
 	fixture.expectOutcome(t, 0, 0)
-	if !fixture.allTransactionsSettled() {
-		t.Error("not settled although its write was seen")
+	if !fixture.allSettled() {
+		t.Error("got unsettled after the write was seen, want settled")
 	}
 }
 
-// settlingSink marks a transaction as settled when its write is seen.
+// settlingSink is a sink that marks a transaction as settled when it sees a write.
 type settlingSink struct {
-	recordedSink
+	recordingSink
 	transaction *Transaction
 }
 
 func (s *settlingSink) ApplyPut(string, []byte, api.Revision) { s.transaction.Settled = true }
 
 // TestFailedReadIsRepeated guards against a refused transaction that is sent again, or
-// taken for refused, because the read that was to settle it failed.
+// reported as refused, although the read that should settle it failed.
 func TestFailedReadIsRepeated(t *testing.T) {
 	t.Parallel()
 	fixture := submitOne(t, electionGrant)
 	replyTo(fixture.Environment, fixture.refuse(t, message.StatusConflict), message.StoreReply{Status: message.StatusNoReply})
 	fixture.expectOutcome(t, 0, 0)
-	fixture.advanceBy(2 * settleRetryInterval)
+	fixture.advanceTime(2 * settleRetryInterval)
 	if calls := takeStoreCalls(fixture.Environment); len(calls) > 0 {
-		t.Fatalf("a refused transaction was followed by %+v before the next read", calls)
+		t.Fatalf("got calls %+v after a refusal and before the next read, want none", calls)
 	}
 	fixture.cache.MaintainWatch()
 	read := takeStoreCall(t, fixture.Environment)
 	if read.Op != message.OpWatch {
-		t.Fatalf("%+v is no read", read)
+		t.Fatalf("got call %+v, want a read", read)
 	}
 	replyTo(fixture.Environment, read, message.StoreReply{Status: message.StatusOK})
 	fixture.expectOutcome(t, 0, 1)
 }
 
-// TestTransactionWaitsForItsGrant guards against a transaction that is sent without a
-// grant, or never once it has one.
-func TestTransactionWaitsForItsGrant(t *testing.T) {
+// TestTransactionWaitsForGrant guards against a transaction that is sent without a grant, or
+// that is not sent after a grant is given.
+func TestTransactionWaitsForGrant(t *testing.T) {
 	t.Parallel()
 	var grant leadership.Grant
 	fixture := submitOne(t, func() leadership.Grant { return grant })
-	fixture.advanceBy(grantRetryInterval)
+	fixture.advanceTime(grantRetryInterval)
 	if calls := takeStoreCalls(fixture.Environment); len(calls) > 0 {
-		t.Fatal("sent without a grant")
+		t.Fatal("got a call without a grant, want none")
 	}
 	grant = electionGrant()
-	fixture.advanceBy(resendInterval)
+	fixture.advanceTime(resendInterval)
 	fixture.takeAttempt(t)
 }
 
-// TestRetryDelay guards the doubling of the time between two attempts, and its bound.
+// TestRetryDelay guards against a retry delay that does not double with each attempt, or that
+// exceeds its maximum.
 func TestRetryDelay(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
@@ -214,7 +219,7 @@
 		{1000, micros.Second},
 	} {
 		if got := retryDelay(tc.attempts); got != tc.want {
-			t.Errorf("after %d attempts: %d us, want %d", tc.attempts, got, tc.want)
+			t.Errorf("after %d attempts: got %d us, want %d", tc.attempts, got, tc.want)
 		}
 	}
 }
--- a/internal/coordination/vacancy.go
+++ b/internal/coordination/vacancy.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	// failoverStep is how much later than the candidate before it each further one
-	// acquires a vacant role.
+	// failoverStep is how much later than the preceding candidate each further one acquires a
+	// vacant role.
 	failoverStep = 3 * micros.Second / 2
 
-	// stoppingPeerTimeout is for how long after its last heartbeat a controller that
-	// said that it stops is no candidate for vacant roles.
+	// stoppingPeerTimeout is how long a controller that reported that it is stopping is no
+	// candidate for vacant roles, counted from its last heartbeat.
 	stoppingPeerTimeout = 10 * micros.Second
 )
 
-// IsVacant reports whether we may acquire a role now: an earlier incarnation of ours
-// claims it, or nobody does and it is our turn.
-func (m *RoleManager) IsVacant(state *leadership.RoleState) bool {
+// MayAcquire reports whether we may acquire a role now. We may if an earlier incarnation of
+// this controller claims it, or if the role is vacant and our failover delay has passed.
+func (m *RoleManager) MayAcquire(state *leadership.RoleState) bool {
 	if state.Term > 0 {
 		return state.Claim.Node == m.Settings.Node
 	}
@@ -27,24 +27,27 @@
 	return m.Now >= state.VacantAt+micros.Micros(rank)*failoverStep
 }
 
-// mayAcquireRoles reports whether we are fit to acquire roles: our lease lasts for at
-// least half its time to live, and workers reach us, or no healthier controller is known.
-func (m *RoleManager) mayAcquireRoles() bool {
+// isEligibleLeader reports whether we are in a state to acquire roles. At least half of the
+// time to live of our lease must be left, and we must not have become isolated from workers
+// within isolationDuration. While we are still isolated after that, we acquire roles only if
+// no other controller is known to be healthy.
+func (m *RoleManager) isEligibleLeader() bool {
 	lease := m.storeLease.Lease
 	switch {
 	case lease.ID == 0 || m.Now >= lease.RenewalSentAt+m.Settings.LeaseTTL()/2:
 		return false
-	case m.Now < m.workerReach.NoFailoverBefore:
+	case m.Now < m.reachability.NoAcquisitionBefore:
 		return false
 	}
-	return !m.workerReach.IsolatedFromWorkers || !m.peers.HealthyPeerKnown()
+	return !m.reachability.Isolated || !m.peers.AnyPeerHealthy()
 }
 
-// failoverRank is how many candidates for a role come before a node. They come in the
-// nodes' order, from the default leader on; those that are stopping do not count.
+// failoverRank returns how many candidates for a role precede a node. The candidates are
+// the nodes in the order of the settings, beginning with the default leader and without
+// those that are stopping.
 func (m *RoleManager) failoverRank(role leadership.Role, node string) int {
 	nodes := m.Settings.Nodes
-	first := m.defaultLeader(role)
+	first := m.defaultLeaderIndex(role)
 	rank := 0
 	for i := range nodes {
 		candidate := nodes[(first+i)%len(nodes)]
@@ -58,18 +61,19 @@
 	return rank
 }
 
-// isStopping reports whether another controller lately said that it stops.
+// isStopping reports whether another controller recently reported that it is stopping.
 func (m *RoleManager) isStopping(node string) bool {
 	status := m.peers.ByNode[node]
 	return status != nil && status.stopping && m.Now <= status.LastHeartbeatAt+stoppingPeerTimeout
 }
 
-// defaultLeader is the controller that leads a role while all are healthy, by its place
-// among the nodes. The roles are spread over the nodes in turn, the partitions' first.
-func (m *RoleManager) defaultLeader(role leadership.Role) int {
-	place := role.Index
+// defaultLeaderIndex returns the index, among the nodes, of the controller that leads a role
+// while all controllers are healthy. The roles are assigned to the nodes in turn, beginning
+// with those of the partitions' leaders.
+func (m *RoleManager) defaultLeaderIndex(role leadership.Role) int {
+	index := role.Index
 	if role.Kind != leadership.PartitionLeader {
-		place = m.Settings.Operators.Parts + slices.Index(leadership.FleetRoles(), role)
+		index = m.Settings.Operators.Parts + slices.Index(leadership.FleetRoles(), role)
 	}
-	return place % len(m.Settings.Nodes)
+	return index % len(m.Settings.Nodes)
 }
--- a/internal/coordination/vacancy_test.go
+++ b/internal/coordination/vacancy_test.go
@@ -7,21 +7,21 @@
 	"spurmoor/internal/micros"
 )
 
-// newTestManager returns a role manager with a valid lease.
+// newTestManager returns the role manager of ctl-a with a valid lease.
 func newTestManager(t *testing.T) *RoleManager {
 	t.Helper()
 	env := newTestEnvironment(t)
 	cache, _ := newSyncedCache(env)
-	health, budget, audit, reach := NewStoreHealth(env), NewWriteBudget(env), NewOrderAudit(env), NewWorkerReach(env)
+	health, budget, refusals, reach := NewStoreHealth(env), NewWriteBudget(env), NewRefusalCounter(env), NewWorkerReachability(env)
 	peers := NewPeerTracker(env, health)
 	schema := NewSchemaTracker(env, budget, cache, peers)
 	lease := NewStoreLease(env, cache, peers)
 	lease.Lease.ID, lease.Lease.RenewalSentAt = 5, env.Now
-	return NewRoleManager(env, audit, cache, peers, schema, lease, NewTransactionSender(env, cache), reach)
+	return NewRoleManager(env, refusals, cache, peers, schema, lease, NewTransactionSender(env, cache), reach)
 }
 
-// TestFailoverRank guards the order in which controllers acquire a vacant role: from
-// its default leader on, without those that are stopping.
+// TestFailoverRank guards against a wrong order in which controllers acquire a vacant role.
+// The order begins with the default leader and leaves out stopping controllers.
 func TestFailoverRank(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
@@ -45,19 +45,19 @@
 				manager.peers.ByNode[tc.stopping] = &peerStatus{stopping: true, LastHeartbeatAt: manager.Now}
 			}
 			if got := manager.failoverRank(tc.role, tc.node); got != tc.want {
-				t.Errorf("rank %d, want %d", got, tc.want)
+				t.Errorf("got rank %d, want %d", got, tc.want)
 			}
 			manager.Now += stoppingPeerTimeout + 1
 			if tc.name == "one before it is stopping" && manager.failoverRank(tc.role, tc.node) != tc.want+1 {
-				t.Error("a controller that said long ago that it stops is no candidate")
+				t.Error("got no rank for a controller that reported long ago that it is stopping, want it among the candidates")
 			}
 		})
 	}
 }
 
-// TestIsVacant guards against two controllers that acquire a role at the same time, and
-// against a role whose leader's lease may still be valid.
-func TestIsVacant(t *testing.T) {
+// TestMayAcquire guards against two controllers that acquire a role at the same time, and
+// against the acquisition of a role whose leader's lease may still be valid.
+func TestMayAcquire(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
 		name  string
@@ -76,16 +76,16 @@
 			manager := newTestManager(t)
 			tc.state.VacantAt = manager.Now
 			manager.Now += tc.after
-			if got := manager.IsVacant(&tc.state); got != tc.want {
-				t.Errorf("vacant %t, want %t", got, tc.want)
+			if got := manager.MayAcquire(&tc.state); got != tc.want {
+				t.Errorf("got may acquire %t, want %t", got, tc.want)
 			}
 		})
 	}
 }
 
-// TestMayAcquireRoles guards against a controller that acquires roles with a lease that
-// is about to expire, or while no worker reaches it.
-func TestMayAcquireRoles(t *testing.T) {
+// TestIsEligibleLeader guards against a controller that acquires roles although its lease
+// is about to expire or no worker reaches it.
+func TestIsEligibleLeader(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
 		name   string
@@ -95,19 +95,19 @@
 		{"healthy", func(*RoleManager) {}, true},
 		{"no lease", func(m *RoleManager) { m.storeLease.Lease.ID = 0 }, false},
 		{"half the lease is over", func(m *RoleManager) { m.Now += m.Settings.LeaseTTL() / 2 }, false},
-		{"no worker reaches us", func(m *RoleManager) { m.workerReach.Isolate() }, false},
+		{"no worker reaches us", func(m *RoleManager) { m.reachability.MarkIsolated() }, false},
 		{"no worker reached us a while ago, and nobody else is healthy", func(m *RoleManager) {
-			m.workerReach.IsolatedFromWorkers = true
+			m.reachability.Isolated = true
 		}, true},
 		{"no worker reached us a while ago, and another is healthy", func(m *RoleManager) {
-			m.workerReach.IsolatedFromWorkers = true
+			m.reachability.Isolated = true
 			m.peers.ByNode["ctl-b"] = &peerStatus{healthy: true, LastHeartbeatAt: m.Now}
 		}, false},
 	} {
 		manager := newTestManager(t)
 		tc.change(manager)
-		if got := manager.mayAcquireRoles(); got != tc.want {
-			t.Errorf("%s: may acquire %t, want %t", tc.name, got, tc.want)
+		if got := manager.isEligibleLeader(); got != tc.want {
+			t.Errorf("%s: got eligible %t, want %t", tc.name, got, tc.want)
 		}
 	}
 }
--- a/internal/coordination/watch_cache.go
+++ b/internal/coordination/watch_cache.go
@@ -7,55 +7,57 @@
 )
 
 const (
-	// MaxReadAge is how old a read may be when a user is answered from it.
+	// MaxReadAge is the maximum age of a read from which a user is answered.
 	MaxReadAge = micros.Second
 
-	// watchRetryInterval is how long after a failed list or watch the next is sent,
-	// before jitter.
+	// watchRetryInterval is the time from a failed list or watch to the next, before
+	// jitter.
 	watchRetryInterval = micros.Second / 2
 
-	// readIntervalsPerWatch is how many read intervals lie between the reply to a watch
-	// and the next watch.
+	// readIntervalsPerWatch is the time from the reply to a watch until the next watch, in
+	// read intervals.
 	readIntervalsPerWatch = 2
 )
 
-// WatchCache follows the live keys of the key-value store: it lists them once, watches
-// their changes and hands both to a sink. It also reads at once for those who must not
-// be given anything older than their question.
+// WatchCache follows the live keys of the key-value store. It lists them once, watches them
+// for changes, and passes both to a sink. ReadLatest also reads changes at once, for callers
+// that must not act on anything older than their call.
 type WatchCache struct {
 	*Environment
-	Sink recordSink // set once the sink, which reads from here, is made
+	Sink recordSink // set after construction, because the sink needs this cache
 
-	Synced      bool          // all keys are listed, and the changes since are known
-	Revision    api.Revision  // up to which changes were applied
-	CurrentAsOf micros.Micros // all that was committed before then was applied
+	Synced      bool          // all keys are listed and their changes are being watched
+	Revision    api.Revision  // all changes up to this revision are applied
+	CurrentAsOf micros.Micros // everything committed before this time is applied
 
-	pendingReads  []func(ok bool) // wait for a read sent after they asked
+	pendingReads  []func(ok bool) // callers of ReadLatest that wait for the next read
 	readInFlight  bool
 	watchInFlight bool
-	nextWatchAt   micros.Micros // of the next list too
+	nextWatchAt   micros.Micros // time of the next watch or list
 	nextReadAt    micros.Micros
-	listing       *listing // nil: the keys are not being listed
+	listing       *listing // the list in progress; nil if there is none
 }
 
-// NewWatchCache makes a watch cache.
+// NewWatchCache returns a watch cache that has listed nothing. The caller must set Sink
+// before replies are handled.
 func NewWatchCache(env *Environment) *WatchCache { return &WatchCache{Environment: env} }
 
-// recordSink is given what the watch cache reads, in the order of its revisions.
+// recordSink receives what the watch cache reads, in the order of revisions.
 type recordSink interface {
-	// ReplaceAll gives all live keys, in place of what was known before.
+	// ReplaceAll replaces everything known before by all live keys.
 	ReplaceAll(pairs []api.KeyValue)
-	// ApplyPut gives a key's new value, and its version.
+	// ApplyPut applies a key's new value and version.
 	ApplyPut(key string, value []byte, version api.Revision)
-	// ApplyDelete reports that a key was deleted, at a version.
+	// ApplyDelete applies the deletion of a key at a version.
 	ApplyDelete(key string, version api.Revision)
-	// Synchronized reports that all keys and the changes since were given.
+	// Synchronized is called after ReplaceAll, once the changes since are applied, too.
+	// keys is the number of keys listed.
 	Synchronized(revision api.Revision, keys int)
 }
 
-// ReadLatest calls done after a read of the store that was sent after now. done is
-// given false if there was no such read, or its reply came too late to be told to a
-// user; it may be called before ReadLatest returns.
+// ReadLatest calls done once a read of the store that is sent after this call has been
+// applied. It calls done with false if the read failed, if its reply came too late to answer
+// a user, or if the cache is not synced. It may call done before it returns.
 func (w *WatchCache) ReadLatest(done func(ok bool)) {
 	if !w.Synced {
 		done(false)
@@ -64,8 +66,8 @@
 	w.pendingReads = append(w.pendingReads, done)
 }
 
-// MaintainWatch keeps one watch open and sends the reads that are waited for. Until all
-// keys are listed it lists them instead.
+// MaintainWatch keeps one watch open and sends the reads that ReadLatest requested. While
+// the cache is not synced it lists all keys instead. It is called after every input.
 func (w *WatchCache) MaintainWatch() {
 	if !w.Synced {
 		w.failPendingReads()
@@ -76,46 +78,47 @@
 	w.startWatch()
 }
 
-// failPendingReads tells at once those who wait for a read that there is none: listing
-// all keys again may take as long as an outage lasts.
+// failPendingReads fails all pending reads at once. Otherwise their callers would wait for
+// the list of all keys, which may take as long as an outage lasts.
 func (w *WatchCache) failPendingReads() {
 	for _, done := range w.takePendingReads() {
 		done(false)
 	}
 }
 
-// takePendingReads returns those who wait for a read. Whoever asks from now on waits
-// for the next one.
+// takePendingReads returns the pending reads and clears them, so that later callers of
+// ReadLatest wait for another read.
 func (w *WatchCache) takePendingReads() []func(ok bool) {
-	waiting := w.pendingReads
+	pending := w.pendingReads
 	w.pendingReads = nil
-	return waiting
+	return pending
 }
 
-// startRead reads for those who wait, if the time between two reads has passed.
+// startRead sends a read for the pending callers, if none is in flight and the time
+// between two reads has passed.
 func (w *WatchCache) startRead() {
 	if len(w.pendingReads) == 0 || w.readInFlight || w.Now < w.nextReadAt {
 		return
 	}
 	w.readInFlight = true
 	w.nextReadAt = w.Now + w.Settings.readInterval()
-	waiting, sentAt := w.takePendingReads(), w.Now
+	pending, sentAt := w.takePendingReads(), w.Now
 	call := message.StoreCall{Op: message.OpWatch, Since: w.Revision, Urgent: true}
-	w.CallStore(call, func(reply *message.StoreReply) { w.finishRead(reply, sentAt, waiting) })
+	w.CallStore(call, func(reply *message.StoreReply) { w.handleReadReply(reply, sentAt, pending) })
 }
 
-// finishRead applies the reply to a read and tells those who wait for it.
-func (w *WatchCache) finishRead(reply *message.StoreReply, sentAt micros.Micros, waiting []func(ok bool)) {
+// handleReadReply applies the reply to a read and notifies the callers that wait for it.
+func (w *WatchCache) handleReadReply(reply *message.StoreReply, sentAt micros.Micros, pending []func(ok bool)) {
 	w.readInFlight = false
-	// A reply that the network held back shows how things were: its asker may have been
-	// told of a cancellation by another controller since.
+	// A reply that the network delayed may be outdated: another controller may have
+	// confirmed a cancellation to the same user since.
 	ok := w.ApplyWatchReply(reply, sentAt) && w.Now < sentAt+MaxReadAge
-	for _, done := range waiting {
+	for _, done := range pending {
 		done(ok)
 	}
 }
 
-// startWatch opens the watch, if none is open and the next is due.
+// startWatch sends a watch if none is in flight and the next is due.
 func (w *WatchCache) startWatch() {
 	if w.watchInFlight || w.Now < w.nextWatchAt {
 		return
@@ -124,11 +127,11 @@
 	sentAt := w.Now
 	waitMs := int(w.Settings.watchTimeout().Milliseconds())
 	call := message.StoreCall{Op: message.OpWatch, Since: w.Revision, WaitMs: waitMs}
-	w.CallStore(call, func(reply *message.StoreReply) { w.finishWatch(reply, sentAt) })
+	w.CallStore(call, func(reply *message.StoreReply) { w.handleWatchReply(reply, sentAt) })
 }
 
-// finishWatch applies the reply to a watch and sets the time of the next.
-func (w *WatchCache) finishWatch(reply *message.StoreReply, sentAt micros.Micros) {
+// handleWatchReply applies the reply to a watch and schedules the next watch.
+func (w *WatchCache) handleWatchReply(reply *message.StoreReply, sentAt micros.Micros) {
 	w.watchInFlight = false
 	w.nextWatchAt = w.Now + readIntervalsPerWatch*w.Settings.readInterval()
 	if !w.ApplyWatchReply(reply, sentAt) && w.Synced {
@@ -136,12 +139,12 @@
 	}
 }
 
-// retryLater sets the time of the next watch or list after one that failed.
+// retryLater schedules the next watch or list after one that failed.
 func (w *WatchCache) retryLater() { w.nextWatchAt = w.Now + w.Jitter(watchRetryInterval) }
 
-// ApplyWatchReply applies the changes in the reply to a watch that was sent at a time.
-// It reports whether the cache is now as new as the reply. When the store no longer
-// has the changes since our revision, all keys are listed again.
+// ApplyWatchReply applies the changes in the reply to a watch that was sent at sentAt. It
+// reports whether the reply was valid, so that the cache is at least as new as the reply. If
+// the store no longer has the changes since our revision, all keys are listed again.
 func (w *WatchCache) ApplyWatchReply(reply *message.StoreReply, sentAt micros.Micros) bool {
 	switch reply.Status {
 	case message.StatusOK:
@@ -159,8 +162,8 @@
 	return true
 }
 
-// applyEvent applies one change, unless it was applied before: of two replies that
-// overtook each other, the older once brought back a job that had ended.
+// applyEvent applies one change unless it was applied before. A reply may arrive after a
+// newer one, and its older changes could bring back a job that has ended.
 func (w *WatchCache) applyEvent(event api.Event) {
 	switch {
 	case event.Version <= w.Revision:
--- a/internal/coordination/watch_cache_test.go
+++ b/internal/coordination/watch_cache_test.go
@@ -8,20 +8,20 @@
 	"spurmoor/internal/micros"
 )
 
-// watchReply returns a reply to a watch.
+// watchReply returns a successful reply to a watch.
 func watchReply(revision api.Revision, events ...api.Event) message.StoreReply {
 	return message.StoreReply{Status: message.StatusOK, Watch: api.WatchResponse{Revision: revision, Events: events}}
 }
 
-// newUnsyncedCache returns a watch cache that has listed nothing.
-func newUnsyncedCache(env *Environment) (*WatchCache, *recordedSink) {
+// newUnsyncedCache returns a watch cache that has listed nothing, and its sink.
+func newUnsyncedCache(env *Environment) (*WatchCache, *recordingSink) {
 	cache, sink := newSyncedCache(env)
 	cache.Synced, cache.Revision = false, 0
 	return cache, sink
 }
 
-// TestListing guards the first list: all pages, then the changes since the first, and
-// only then is the cache in use.
+// TestListing guards against a cache that counts as synced before all pages and the changes
+// since the first page are known.
 func TestListing(t *testing.T) {
 	t.Parallel()
 	env := newTestEnvironment(t)
@@ -33,35 +33,36 @@
 	}})
 	second := takeStoreCall(t, env)
 	if second.Op != message.OpList || second.Key != "b" {
-		t.Fatalf("the second page is requested by %+v", second)
+		t.Fatalf("got call %+v, want the page after key b", second)
 	}
 	cache.MaintainWatch()
 	if calls := takeStoreCalls(env); len(calls) > 0 {
-		t.Fatalf("a list under way is joined by %+v", calls)
+		t.Fatalf("got calls %+v while a list is in progress, want none", calls)
 	}
 	replyTo(env, second, message.StoreReply{Status: message.StatusOK, Page: api.KeyValuePage{
 		Pairs: []api.KeyValue{{Key: "c", Version: 4}}, Revision: 8,
 	}})
 	changes := takeStoreCall(t, env)
 	if changes.Op != message.OpWatch || changes.Since != 5 {
-		t.Fatalf("the changes since the first page are requested by %+v", changes)
+		t.Fatalf("got call %+v, want the changes since revision 5", changes)
 	}
 	if cache.Synced || sink.replaced > 0 {
-		t.Fatal("in use before the changes since the first page are known")
+		t.Fatal("got a synced cache before the changes since the first page are known, want an unsynced one")
 	}
 	replyTo(env, changes, watchReply(9, api.Event{Delete: "a", Version: 7}, api.Event{Put: "d", Version: 9}))
-	if !cache.Synced || cache.Revision != 9 || cache.CurrentAsOf != startOfTest || sink.synchronized != 1 {
-		t.Errorf("synced %t, revision %d, as of %d", cache.Synced, cache.Revision, cache.CurrentAsOf)
-		t.Errorf("told of %d completed lists", sink.synchronized)
+	if !cache.Synced || cache.Revision != 9 || cache.CurrentAsOf != testStart || sink.synchronized != 1 {
+		t.Errorf("got synced %t, revision %d, current as of %d, want true, 9 and the start of the test",
+			cache.Synced, cache.Revision, cache.CurrentAsOf)
+		t.Errorf("got %d completed lists, want 1", sink.synchronized)
 	}
 	if len(sink.keys) != 3 || sink.keys["d"] != 9 {
-		t.Errorf("the keys are %v", sink.keys)
+		t.Errorf("got keys %v, want b, c and d, with d at version 9", sink.keys)
 	}
 }
 
-// TestFailedListBeginsAnew guards against pages of two lists that are mixed, and against
-// a list that is not repeated.
-func TestFailedListBeginsAnew(t *testing.T) {
+// TestFailedListRestarts guards against a list that contains pages of an earlier, failed list,
+// and against a failed list that is not repeated.
+func TestFailedListRestarts(t *testing.T) {
 	t.Parallel()
 	env := newTestEnvironment(t)
 	cache, _ := newUnsyncedCache(env)
@@ -71,17 +72,17 @@
 	replyTo(env, takeStoreCall(t, env), message.StoreReply{Status: message.StatusNoReply})
 	cache.MaintainWatch()
 	if calls := takeStoreCalls(env); len(calls) > 0 {
-		t.Fatal("listed again at once")
+		t.Fatal("got another call right after the failure, want none")
 	}
 	env.Now += 2 * watchRetryInterval
 	cache.MaintainWatch()
 	if call := takeStoreCall(t, env); call.Op != message.OpList || call.Key != "" || len(cache.listing.pairs) > 0 {
-		t.Errorf("the list goes on with %+v, %d keys kept", call, len(cache.listing.pairs))
+		t.Errorf("got call %+v with %d keys kept, want the first page and no keys", call, len(cache.listing.pairs))
 	}
 }
 
-// TestApplyWatchReply guards which changes are applied, and what a failed watch does to
-// the cache.
+// TestApplyWatchReply guards against changes that are missed or applied twice, and against a
+// failed watch that makes the cache look current.
 func TestApplyWatchReply(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
@@ -103,21 +104,21 @@
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			cache, sink := newSyncedCache(newTestEnvironment(t))
-			if got := cache.ApplyWatchReply(&tc.reply, startOfTest); got != tc.want {
-				t.Errorf("up to date %t, want %t", got, tc.want)
+			if got := cache.ApplyWatchReply(&tc.reply, testStart); got != tc.want {
+				t.Errorf("got applied %t, want %t", got, tc.want)
 			}
 			if cache.Synced != tc.wantSynced || cache.Revision != tc.wantRevision || len(sink.keys) != tc.wantKeys {
-				t.Errorf("synced %t, revision %d, keys %v", cache.Synced, cache.Revision, sink.keys)
+				t.Errorf("got synced %t, revision %d, keys %v, want those of the case", cache.Synced, cache.Revision, sink.keys)
 			}
-			if (cache.CurrentAsOf == startOfTest) != tc.want {
-				t.Errorf("current as of %d", cache.CurrentAsOf)
+			if (cache.CurrentAsOf == testStart) != tc.want {
+				t.Errorf("got current as of %d, want the time sent only if the reply was applied", cache.CurrentAsOf)
 			}
 		})
 	}
 }
 
-// TestReadLatest guards against a user's answer from a read that was sent before the
-// question, or whose reply the network held back.
+// TestReadLatest guards against a user who is answered from a read that was sent before the
+// user's request, or whose reply the network delayed.
 func TestReadLatest(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
@@ -134,7 +135,7 @@
 			t.Parallel()
 			env := newTestEnvironment(t)
 			cache, _ := newSyncedCache(env)
-			cache.watchInFlight = true // only reads are of interest
+			cache.watchInFlight = true // so that only reads are sent
 			var first, second []bool
 			cache.ReadLatest(func(ok bool) { first = append(first, ok) })
 			cache.MaintainWatch()
@@ -143,33 +144,33 @@
 			env.Now += tc.after
 			replyTo(env, read, message.StoreReply{Status: tc.status})
 			if len(first) != 1 || first[0] != tc.want {
-				t.Errorf("told %v, want %t", first, tc.want)
+				t.Errorf("got results %v for the first caller, want one %t", first, tc.want)
 			}
 			if len(second) > 0 {
-				t.Error("a read sent before the question answers it")
+				t.Error("got a result from a read sent before the request, want none yet")
 			}
 			env.Now += env.Settings.readInterval()
 			cache.MaintainWatch()
 			replyTo(env, takeStoreCall(t, env), message.StoreReply{Status: message.StatusOK})
 			if len(second) != 1 || !second[0] {
-				t.Errorf("the later question is told %v", second)
+				t.Errorf("got results %v for the second caller, want one true", second)
 			}
 		})
 	}
 }
 
-// TestReadLatestWhileListing guards against a user who waits for as long as an outage
-// lasts.
+// TestReadLatestWhileListing guards against a user who waits as long as an outage lasts. While
+// the keys are being listed, reads must fail at once.
 func TestReadLatestWhileListing(t *testing.T) {
 	t.Parallel()
 	env := newTestEnvironment(t)
 	cache, _ := newSyncedCache(env)
-	var told []bool
-	cache.ReadLatest(func(ok bool) { told = append(told, ok) })
+	var results []bool
+	cache.ReadLatest(func(ok bool) { results = append(results, ok) })
 	cache.Synced = false
 	cache.MaintainWatch()
-	cache.ReadLatest(func(ok bool) { told = append(told, ok) })
-	if len(told) != 2 || told[0] || told[1] {
-		t.Errorf("told %v, want false twice", told)
+	cache.ReadLatest(func(ok bool) { results = append(results, ok) })
+	if len(results) != 2 || results[0] || results[1] {
+		t.Errorf("got results %v, want false twice", results)
 	}
 }
--- a/internal/coordination/write_budget.go
+++ b/internal/coordination/write_budget.go
@@ -3,83 +3,83 @@
 import "spurmoor/internal/micros"
 
 const (
-	// CommitBatchWait is how long a commit may wait until the budget holds all terminal
-	// states that are due, as far as one transaction does: each commit costs a log entry
-	// beside them. With four one-task jobs a second over 18 changes a second the entries
-	// took what the terminal states needed.
+	// CommitBatchWait is how long a commit may wait until the budget allows for all terminal
+	// states that are due and fit into one transaction. Each commit costs a log entry in
+	// addition. Without batching, at four one-task jobs per second and a budget of 18 writes
+	// per second, the log entries used up the writes that the terminal states needed.
 	CommitBatchWait = micros.Second * 8 / 5
 
-	// CancelledTerminalWait is how long the terminal state of a cancelled job may wait
-	// for a budget that others need.
+	// CancelledTerminalWait is how long the terminal state of a cancelled job may wait while
+	// other writes need the budget.
 	CancelledTerminalWait = 300 * micros.Second
 
-	// minBudgetCapacity is how many changes the budget holds at least, so that one
-	// transaction with a few of them fits at any rate.
-	minBudgetCapacity = 6
+	// minCapacityWrites is the minimum capacity of the budget, in writes. It lets a
+	// transaction with a few writes fit however low the rate is.
+	minCapacityWrites = 6
 
-	// rateMeasureInterval is how often the rate of changes is measured.
+	// rateMeasureInterval is the minimum interval over which the write rate is measured.
 	rateMeasureInterval = micros.Second
 
-	// newestRateWeight is what the newest interval counts in the running average of the
-	// rate of changes.
+	// newestRateWeight is the weight of the newest interval in the moving average of the
+	// write rate.
 	newestRateWeight = 0.5
 
-	// maxDebtSeconds bounds the debt that changes for users leave, in seconds of what the
-	// store admits.
+	// maxDebtSeconds limits the debt that unthrottled writes leave, in seconds of the
+	// store's write rate.
 	maxDebtSeconds = 0.5
 )
 
-// WriteBudget is a token bucket for the changes that a controller makes to the store: a
-// share of what the store admits, by the partitions that it leads. Accepting and
-// cancelling users' jobs does not wait for the budget but is charged to it, so that
+// WriteBudget is a token bucket for the writes of a controller to the store. Its rate is the
+// controller's share of the store's write rate, by the partitions that it leads. Writes that
+// accept or cancel users' jobs don't wait for the budget but are charged to it, so that
 // users never wait behind commits.
 type WriteBudget struct {
 	*Environment
 
-	Available  float64 // changes that may be made now; below 0 after many for users
-	Capacity   float64 // the most that Available grows to
+	Available  float64 // writes that may be made now; below 0 after many unthrottled ones
+	Capacity   float64 // the maximum of Available
 	refilledAt micros.Micros
 
-	spent         float64 // changes made in all
-	spentMeasured float64 // of them, those counted in spendRate
-	measuredAt    micros.Micros
-	spendRate     float64 // changes made of late, a second
+	totalWrites    float64 // writes charged so far
+	measuredWrites float64 // those of totalWrites that writeRate includes
+	measuredAt     micros.Micros
+	writeRate      float64 // moving average, in writes per second
 }
 
-// NewWriteBudget makes a write budget.
+// NewWriteBudget returns an empty budget, which Refill fills.
 func NewWriteBudget(env *Environment) *WriteBudget { return &WriteBudget{Environment: env} }
 
-// RefillBudget adds what the time since the last call allows, at a rate of changes a
-// second. The budget holds what a second adds.
-func (b *WriteBudget) RefillBudget(rate float64) {
-	b.Capacity = max(rate, minBudgetCapacity)
+// Refill adds the writes for the time since the last call, at a rate in writes per second.
+// The budget's capacity is one second of that rate, but at least minCapacityWrites.
+func (b *WriteBudget) Refill(rate float64) {
+	b.Capacity = max(rate, minCapacityWrites)
 	b.Available = min(b.Capacity, b.Available+rate*(b.Now-b.refilledAt).Seconds())
 	b.refilledAt = b.Now
 }
 
-// Charge counts changes that waited until the budget had room for them.
-func (b *WriteBudget) Charge(changes int) {
-	b.Available -= float64(changes)
-	b.spent += float64(changes)
+// Charge charges writes that waited until the budget allowed them.
+func (b *WriteBudget) Charge(writes int) {
+	b.Available -= float64(writes)
+	b.totalWrites += float64(writes)
 }
 
-// ChargeWrites counts changes that did not wait for the budget, as those for users. The
-// debt is bounded, so that commits go on soon after.
-func (b *WriteBudget) ChargeWrites(changes int) {
+// ChargeUnthrottled charges writes that did not wait for the budget, such as those for
+// users. The debt is limited, so that commits can resume soon afterwards.
+func (b *WriteBudget) ChargeUnthrottled(writes int) {
 	maxDebt := b.Settings.Deployment.Store.WriteRPS * maxDebtSeconds
-	b.spent += float64(changes)
-	b.Available = max(-maxDebt, b.Available-float64(changes))
+	b.totalWrites += float64(writes)
+	b.Available = max(-maxDebt, b.Available-float64(writes))
 }
 
-// MeasureWriteRate returns how many changes a second were made of late: a running
+// MeasureWriteRate returns the recent write rate in writes per second. It is a moving
 // average over intervals of at least rateMeasureInterval.
 func (b *WriteBudget) MeasureWriteRate() float64 {
 	elapsed := b.Now - b.measuredAt
 	if elapsed < rateMeasureInterval {
-		return b.spendRate
+		return b.writeRate
 	}
-	rate := (b.spent - b.spentMeasured) * float64(micros.Second) / float64(elapsed)
-	b.spendRate = (1-newestRateWeight)*b.spendRate + newestRateWeight*rate
-	b.spentMeasured, b.measuredAt = b.spent, b.Now
-	return b.spendRate
+	rate := (b.totalWrites - b.measuredWrites) * float64(micros.Second) / float64(elapsed)
+	b.writeRate = (1-newestRateWeight)*b.writeRate + newestRateWeight*rate
+	b.measuredWrites, b.measuredAt = b.totalWrites, b.Now
+	return b.writeRate
 }
--- a/internal/coordination/write_budget_test.go
+++ b/internal/coordination/write_budget_test.go
@@ -7,8 +7,9 @@
 	"spurmoor/internal/micros"
 )
 
-// TestRefillBudget guards the budget's refill by time and rate, and its capacity.
-func TestRefillBudget(t *testing.T) {
+// TestRefill guards against a budget that does not grow by rate and time, or that grows beyond
+// its capacity.
+func TestRefill(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
 		name                        string
@@ -20,8 +21,8 @@
 		{"no time", 3, 10, 0, 10, 3},
 		{"up to its capacity", 8, 10, micros.Second, 10, 10},
 		{"long after", 0, 10, 3600 * micros.Second, 10, 10},
-		{"a low rate keeps the least capacity", 5, 2, 10 * micros.Second, minBudgetCapacity, 6},
-		{"no rate", 1, 0, 10 * micros.Second, minBudgetCapacity, 1},
+		{"a low rate keeps the least capacity", 5, 2, 10 * micros.Second, minCapacityWrites, 6},
+		{"no rate", 1, 0, 10 * micros.Second, minCapacityWrites, 1},
 		{"out of debt", -10, 10, 1500 * micros.Millisecond, 10, 5},
 		{"a lower rate than before takes what exceeds it", 20, 10, 0, 10, 10},
 	} {
@@ -30,22 +31,22 @@
 			budget := NewWriteBudget(newTestEnvironment(t))
 			budget.refilledAt, budget.Available = budget.Now, tc.available
 			budget.Now += tc.after
-			budget.RefillBudget(tc.rate)
+			budget.Refill(tc.rate)
 			if budget.Capacity != tc.wantCapacity || budget.Available != tc.wantAvailable {
-				t.Errorf("%v of %v, want %v of %v", budget.Available, budget.Capacity, tc.wantAvailable, tc.wantCapacity)
+				t.Errorf("got %v available of %v, want %v of %v", budget.Available, budget.Capacity, tc.wantAvailable, tc.wantCapacity)
 			}
 		})
 	}
 }
 
-// TestChargeWrites guards the bound of the debt that changes for users leave: half a
-// second of the 20 changes a second that the store admits.
-func TestChargeWrites(t *testing.T) {
+// TestChargeUnthrottled guards against an unlimited debt from unthrottled writes. The limit is
+// half a second of the store's 20 writes per second.
+func TestChargeUnthrottled(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
 		name      string
 		available float64
-		changes   int
+		writes    int
 		want      float64
 	}{
 		{"within the budget", 6, 2, 4},
@@ -54,27 +55,26 @@
 	} {
 		budget := NewWriteBudget(newTestEnvironment(t))
 		budget.Available = tc.available
-		budget.ChargeWrites(tc.changes)
+		budget.ChargeUnthrottled(tc.writes)
 		if budget.Available != tc.want {
-			t.Errorf("%s: %v available, want %v", tc.name, budget.Available, tc.want)
+			t.Errorf("%s: got %v available, want %v", tc.name, budget.Available, tc.want)
 		}
 	}
 }
 
-// TestCharge guards against changes that waited for the budget and are not charged in
-// full.
+// TestCharge guards against writes that waited for the budget and are not charged in full.
 func TestCharge(t *testing.T) {
 	t.Parallel()
 	budget := NewWriteBudget(newTestEnvironment(t))
 	budget.Available = 6
 	budget.Charge(4)
 	if budget.Available != 2 {
-		t.Errorf("%v available after 4 of 6", budget.Available)
+		t.Errorf("got %v available after 4 of 6 writes, want 2", budget.Available)
 	}
 }
 
-// TestMeasureWriteRate guards the measured rate: both kinds of changes count, and it
-// follows a steady rate within a few seconds.
+// TestMeasureWriteRate guards against a write rate that leaves out throttled or unthrottled
+// writes, or that does not approach a steady rate within a few seconds.
 func TestMeasureWriteRate(t *testing.T) {
 	t.Parallel()
 	budget := NewWriteBudget(newTestEnvironment(t))
@@ -82,12 +82,12 @@
 	budget.Charge(6)
 	budget.Now += micros.Second / 2
 	if rate := budget.MeasureWriteRate(); rate != 0 {
-		t.Errorf("measured %v a second before a second passed", rate)
+		t.Errorf("got %v writes per second before a second passed, want 0", rate)
 	}
-	budget.ChargeWrites(2)
+	budget.ChargeUnthrottled(2)
 	budget.Now += micros.Second / 2
 	if rate := budget.MeasureWriteRate(); rate != 4 {
-		t.Errorf("measured %v a second after the first second with 8 changes, want half of them", rate)
+		t.Errorf("got %v writes per second after a first second with 8 writes, want 4", rate)
 	}
 	for range 10 {
 		budget.Charge(8)
@@ -95,6 +95,6 @@
 		budget.MeasureWriteRate()
 	}
 	if rate := budget.MeasureWriteRate(); math.Abs(rate-8) > 0.01 {
-		t.Errorf("measured %v a second at a steady 8", rate)
+		t.Errorf("got %v writes per second at a steady 8, want about 8", rate)
 	}
 }
--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -83,7 +83,7 @@
 	if slices.Contains(spec.Dependencies, spec.ID) {
 		return refusalDependsOnItself, false
 	}
-	if !a.schema.AllReadSchema(records.SchemaDependencies) {
+	if !a.schema.AllRead(records.SchemaDependencies) {
 		return refusalDependenciesUnsupported, false
 	}
 	return refusal{}, true
--- a/internal/core/command_reply.go
+++ b/internal/core/command_reply.go
@@ -15,7 +15,7 @@
 // handleCommandReply handles a worker's reply to direct commands, or the lack of one.
 func (h *workerHandler) handleCommandReply(reply message.CommandReply) {
 	if reply.Status != 0 {
-		h.workerReach.ObserveWorkerReply()
+		h.workerReach.ObserveReply()
 	}
 	machine := h.cluster.Machines[reply.Machine]
 	if machine == nil {
--- a/internal/core/components.go
+++ b/internal/core/components.go
@@ -22,10 +22,10 @@
 	// The store, the lease on it, and the roles that depend on the lease.
 	storeHealth  *coordination.StoreHealth
 	trigger      *cluster.CycleTrigger
-	workerReach  *coordination.WorkerReach
+	workerReach  *coordination.WorkerReachability
 	deletions    *cluster.DeletionLog
 	boots        *cluster.BootStatistics
-	audit        *coordination.OrderAudit
+	audit        *coordination.RefusalCounter
 	budget       *coordination.WriteBudget
 	peers        *coordination.PeerTracker
 	cache        *coordination.WatchCache
@@ -97,10 +97,10 @@
 func (c *Controller) initCoordination(env *coordination.Environment) {
 	c.storeHealth = coordination.NewStoreHealth(env)
 	c.trigger = cluster.NewCycleTrigger(env)
-	c.workerReach = coordination.NewWorkerReach(env)
+	c.workerReach = coordination.NewWorkerReachability(env)
 	c.deletions = cluster.NewDeletionLog(env)
 	c.boots = cluster.NewBootStatistics(env)
-	c.audit = coordination.NewOrderAudit(env)
+	c.audit = coordination.NewRefusalCounter(env)
 	c.budget = coordination.NewWriteBudget(env)
 	c.peers = coordination.NewPeerTracker(env, c.storeHealth)
 	c.cache = coordination.NewWatchCache(env)
--- a/internal/core/condition.go
+++ b/internal/core/condition.go
@@ -45,7 +45,7 @@
 	isolation   *planning.IsolationMonitor
 	peers       *coordination.PeerTracker
 	storeHealth *coordination.StoreHealth
-	workerReach *coordination.WorkerReach
+	workerReach *coordination.WorkerReachability
 
 	lastLogged    condition // logged last; the first one that lasts is set without a log line
 	lastLoggedAt  micros.Micros
@@ -60,7 +60,7 @@
 	isolation *planning.IsolationMonitor,
 	peers *coordination.PeerTracker,
 	health *coordination.StoreHealth,
-	reach *coordination.WorkerReach,
+	reach *coordination.WorkerReachability,
 ) *conditionTracker {
 	return &conditionTracker{
 		Environment: env, cache: cache, cluster: cluster, isolation: isolation, peers: peers, storeHealth: health,
@@ -76,7 +76,7 @@
 		return t.conditionWithoutStore()
 	case !t.cache.Synced:
 		return conditionNotSynced
-	case t.workerReach.IsolatedFromWorkers || t.isolation.NoWorkerContactSince > 0:
+	case t.workerReach.Isolated || t.isolation.NoWorkerContactSince > 0:
 		return conditionNoWorkers
 	}
 	return conditionHealthy
@@ -86,11 +86,11 @@
 // on whether other controllers and workers can be heard.
 func (t *conditionTracker) conditionWithoutStore() condition {
 	workersSilent := len(t.cluster.Machines) >= minMachinesToDetectSilence &&
-		t.Now > t.workerReach.LastWorkerContactAt+t.Settings.HeartbeatTimeout()
+		t.Now > t.workerReach.LastContactAt+t.Settings.HeartbeatTimeout()
 	switch {
-	case t.peers.HealthyPeerKnown() && t.storeHealth.Refusing:
+	case t.peers.AnyPeerHealthy() && t.storeHealth.Refusing:
 		return conditionStoreRefusesThisNode
-	case t.peers.HealthyPeerKnown():
+	case t.peers.AnyPeerHealthy():
 		return conditionStoreNotAnsweringThisNode
 	case t.peers.AnyPeerAlive():
 		return conditionStoreUnavailable
--- a/internal/core/controller.go
+++ b/internal/core/controller.go
@@ -60,7 +60,7 @@
 	case message.ListRoles:
 		c.roles.HandleListRoles(input)
 	case message.OrderRefused:
-		c.audit.CountRefusedOrder(input)
+		c.audit.Count(input)
 	case message.Stop:
 		c.handleStop()
 	}
@@ -82,7 +82,7 @@
 	// The watch comes first: users wait for reads, and all other steps need a current replica.
 	c.cache.MaintainWatch()
 	// The lease is next: without a valid lease, nothing is decided or committed.
-	c.storeLease.RenewLease()
+	c.storeLease.Renew()
 	// Jobs may wait for dependencies with unknown outcomes, so these are read at once.
 	c.dependencies.ReadUnknownOutcomes()
 	// Changes are committed last, so that one commit holds all changes made by the input.
@@ -93,14 +93,14 @@
 func (c *Controller) runOnInterval() {
 	// The following steps depend on which connections of this controller work.
 	c.condition.trackCondition()
-	c.storeLease.TrackAnswering()
+	c.storeLease.UpdateAnsweringSince()
 	// The schema comes before the roles: the schema that all controllers can read
 	// determines which records may be written and whether fleet roles are exclusive.
-	c.schema.AnnounceSchema()
-	c.roles.TrackExclusiveRoles()
+	c.schema.Announce()
+	c.roles.UpdateExclusive()
 	c.provisioning.TrackRequestRecording()
 	// Roles come before machines: a controller manages only machines of partitions it leads.
-	c.roles.ReconcileRoles()
+	c.roles.Reconcile()
 	c.manager.ReconcileMachines()
 	// ReconcileMachines has checked whether workers reach us. If none does, some are probed.
 	c.isolation.ProbeWorkers()
@@ -113,7 +113,7 @@
 	c.messenger.broadcastHeartbeat()
 	// The logs describe the state after all the steps above.
 	c.summary.logSummary()
-	c.audit.LogRefusedOrders()
+	c.audit.LogDue()
 	// This comes last: a stop is complete once everything sent above is settled.
 	c.roles.CompleteStop()
 }
@@ -136,26 +136,26 @@
 	c.roles.BeginStop()
 	c.peers.RequestBroadcast()
 	c.messenger.broadcastHeartbeat()
-	c.roles.ReconcileRoles()
+	c.roles.Reconcile()
 }
 
 // handleStoreReply passes a reply from the store to the callback of its call.
 func (c *Controller) handleStoreReply(reply *message.StoreReply) {
-	callback := c.StoreCalls[reply.CallID]
+	callback := c.StoreReplyHandlers[reply.CallID]
 	if callback == nil {
 		return
 	}
-	delete(c.StoreCalls, reply.CallID)
-	c.storeHealth.ObserveStoreReply(reply)
+	delete(c.StoreReplyHandlers, reply.CallID)
+	c.storeHealth.ObserveReply(reply)
 	callback(reply)
 }
 
 // handleCloudReply passes a reply from the cloud to the callback of its call.
 func (c *Controller) handleCloudReply(reply *message.CloudReply) {
-	callback := c.CloudCalls[reply.CallID]
+	callback := c.CloudReplyHandlers[reply.CallID]
 	if callback == nil {
 		return
 	}
-	delete(c.CloudCalls, reply.CallID)
+	delete(c.CloudReplyHandlers, reply.CallID)
 	callback(reply)
 }
--- a/internal/core/heartbeat_reconciliation_test.go
+++ b/internal/core/heartbeat_reconciliation_test.go
@@ -115,7 +115,7 @@
 				t.Fatal("after its heartbeat: got a task that is not observed, want it observed")
 			}
 			if tc.lost {
-				fixture.roles.LoseRole(fixture.partition.RoleState, "test")
+				fixture.roles.StopLeading(fixture.partition.RoleState, "test")
 				fixture.acquirePartition(20)
 			}
 			fixture.workers.observeIncarnation(fixture.machine, 2)
--- a/internal/core/job_writer.go
+++ b/internal/core/job_writer.go
@@ -41,7 +41,7 @@
 	request := &api.Transaction{Compares: compares, Writes: []api.Write{{Put: key, Value: record}}}
 	grant := leadership.SharedGrant(leadership.ForUser, leadership.Write)
 	call := message.StoreCall{Op: message.OpTransaction, Transaction: leadership.NewOrder(grant, request)}
-	w.budget.ChargeWrites(1)
+	w.budget.ChargeUnthrottled(1)
 	w.CallStore(call, func(reply *message.StoreReply) {
 		switch reply.Status {
 		case message.StatusOK:
--- a/internal/core/peer_messenger.go
+++ b/internal/core/peer_messenger.go
@@ -50,7 +50,7 @@
 	schema      *coordination.SchemaTracker
 	storeHealth *coordination.StoreHealth
 	storeLease  *coordination.StoreLease
-	workerReach *coordination.WorkerReach
+	workerReach *coordination.WorkerReachability
 
 	cancellationNotices []cancellationNotice
 }
@@ -68,7 +68,7 @@
 	schema *coordination.SchemaTracker,
 	health *coordination.StoreHealth,
 	lease *coordination.StoreLease,
-	reach *coordination.WorkerReach,
+	reach *coordination.WorkerReachability,
 ) *peerMessenger {
 	return &peerMessenger{
 		Environment: env, budget: budget, cache: cache, cluster: cluster, instances: instances, lending: lending,
@@ -112,7 +112,7 @@
 	if !m.cache.Synced || m.roles.Stopping || m.storeLease.Lease.ID == 0 {
 		return false
 	}
-	if m.workerReach.IsolatedFromWorkers || m.Now < m.workerReach.NoFailoverBefore {
+	if m.workerReach.Isolated || m.Now < m.workerReach.NoAcquisitionBefore {
 		return false
 	}
 	since := m.storeHealth.UnavailableSince
@@ -146,8 +146,8 @@
 	if !slices.Contains(m.Settings.Nodes, heartbeat.Node) || heartbeat.Node == m.Settings.Node {
 		return
 	}
-	m.peers.ObservePeer(heartbeat)
-	m.schema.ObserveSchema(heartbeat.Node, heartbeat.SchemaVersion)
+	m.peers.Observe(heartbeat)
+	m.schema.Observe(heartbeat.Node, heartbeat.SchemaVersion)
 	for _, id := range heartbeat.CancelledJobs {
 		m.observeCancellation(id, heartbeat.Node)
 	}
--- a/internal/core/provisioning_test.go
+++ b/internal/core/provisioning_test.go
@@ -43,13 +43,13 @@
 // the same name.
 func TestNewLeaderRepeatsOpenRequests(t *testing.T) {
 	fixture := newProvisioningFixture(t)
-	fixture.roles.LoseRole(fixture.partition.RoleState, "test")
+	fixture.roles.StopLeading(fixture.partition.RoleState, "test")
 	open := provisioning.RequestsRecord{Open: []provisioning.RequestRecord{
 		{Request: "p0-10-7", Type: "g4", Zone: "alta", Count: 4},
 		{Request: "p0-10-8", Type: "g4", Zone: "alta", Spot: true, Count: 2, Deferred: true},
 	}}
 	fixture.applier.ApplyPut(records.RequestsPrefix+"0", records.MustMarshal(open), 50)
-	fixture.applier.ApplyPut(fixture.partition.Key(), records.MustMarshal(fixture.roles.LeaderClaim()), 60)
+	fixture.applier.ApplyPut(fixture.partition.Key(), records.MustMarshal(fixture.roles.OwnClaim()), 60)
 	var names []string
 	for _, call := range launchCallsOf(fixture.Step(fixture.Now+micros.Second, message.Tick{})) {
 		names = append(names, call.Launch.Body().Name)
@@ -79,7 +79,7 @@
 	if len(sent) != 1 {
 		t.Fatalf("got %d requests, want 1", len(sent))
 	}
-	fixture.roles.LoseRole(fixture.partition.RoleState, "test")
+	fixture.roles.StopLeading(fixture.partition.RoleState, "test")
 	reply := &message.CloudReply{CallID: sent[0].CallID, Status: message.StatusOK, Launched: []string{"n-7", "n-8", "n-9"}}
 	fixture.Step(fixture.Now+micros.Second, reply)
 	pending := fixture.provisioning.PendingMachines(fixture.partition)
--- a/internal/core/readiness.go
+++ b/internal/core/readiness.go
@@ -53,5 +53,5 @@
 	}
 	since := h.storeHealth.UnavailableSince
 	unavailable := since > 0 && h.Now > since+readinessStoreTimeout
-	return !unavailable || !h.peers.HealthyPeerKnown()
+	return !unavailable || !h.peers.AnyPeerHealthy()
 }
--- a/internal/core/record_applier.go
+++ b/internal/core/record_applier.go
@@ -79,7 +79,7 @@
 		{prefix: records.JobPrefix, applyPut: a.applyJob, applyDelete: a.applyJobDeletion},
 		{prefix: records.LogPrefix, applyPut: a.applyLogSlot},
 		{prefix: records.RequestsPrefix, applyPut: a.provisioning.ApplyRequests},
-		{prefix: records.FleetRolePrefix, applyPut: a.roles.ApplyFleetRole, applyDelete: a.roles.DeleteFleetRole},
+		{prefix: records.FleetRolePrefix, applyPut: a.roles.ApplyFleetRolePut, applyDelete: a.roles.ApplyFleetRoleDelete},
 		{prefix: records.PartitionPrefix, applyPut: a.applyPartition, applyDelete: a.applyPartitionDeletion},
 	}
 }
@@ -102,16 +102,16 @@
 func (a *recordApplier) resetReplica() {
 	for _, partition := range a.cluster.Partitions {
 		if partition.Leads() {
-			a.roles.LoseRole(partition.RoleState, "all keys are listed again")
+			a.roles.StopLeading(partition.RoleState, "all keys are listed again")
 			// The new incarnation makes this controller acquire its roles under new
 			// terms: a copy of a commit that is discarded here may still be carried
 			// out under the current term.
 			a.Incarnation++
 		}
-		partition.Forget(a.Now)
+		partition.ClearClaim(a.Now)
 		partition.Log = nil
 	}
-	a.roles.ForgetFleetRoles()
+	a.roles.ClearFleetRoles()
 	a.cluster.Reset()
 	a.dependencies.Reset()
 }
@@ -188,13 +188,13 @@
 // applySchema applies a controller's announcement of the schema version that it can read.
 func (a *recordApplier) applySchema(node string, value []byte, version api.Revision) error {
 	if node == a.Settings.Node {
-		a.schema.ObserveSchemaKey(version)
+		a.schema.ObserveKey(version)
 	}
 	record, err := decodeRecord[records.NodeSchema](value)
 	if err != nil {
 		return err
 	}
-	a.schema.ObserveSchema(node, record.SchemaVersion)
+	a.schema.Observe(node, record.SchemaVersion)
 	return nil
 }
 
@@ -206,7 +206,7 @@
 		return nil // no such partition, or an older claim than the known one
 	}
 	claim, err := decodeRecord[leadership.Claim](value)
-	a.roles.ObserveRole(partition.RoleState, claim, version)
+	a.roles.Observe(partition.RoleState, claim, version)
 	return err
 }
 
@@ -215,7 +215,7 @@
 func (a *recordApplier) applyPartitionDeletion(name string, version api.Revision) {
 	partition := a.partitionByName(name)
 	if partition != nil && partition.Term < leadership.Term(version) {
-		a.roles.ObserveRole(partition.RoleState, leadership.Claim{}, 0)
+		a.roles.Observe(partition.RoleState, leadership.Claim{}, 0)
 	}
 }
 
--- a/internal/core/roles_test.go
+++ b/internal/core/roles_test.go
@@ -22,8 +22,8 @@
 	fixture := newProvisioningFixture(t)
 	fixture.applier.ApplyPut(orphanAdopterKey, []byte(`"?"`), 70)
 	role := fixture.roles.FleetRole(leadership.OrphanAdopter)
-	if fixture.roles.IsVacant(role) || role.Leads() || fixture.roles.MayPerform(leadership.OrphanAdopter) {
-		t.Errorf("unreadable record: got vacant %t, led %t, want neither", fixture.roles.IsVacant(role), role.Leads())
+	if fixture.roles.MayAcquire(role) || role.Leads() || fixture.roles.MayActAs(leadership.OrphanAdopter) {
+		t.Errorf("unreadable record: got vacant %t, led %t, want neither", fixture.roles.MayAcquire(role), role.Leads())
 	}
 	logged := slices.ContainsFunc(effectsOf[message.Log](fixture.Effects), func(line message.Log) bool {
 		return strings.Contains(line.Message, "unreadable value")
@@ -33,7 +33,7 @@
 	}
 	fixture.applier.ApplyDelete(orphanAdopterKey, 71)
 	fixture.Now += 10 * micros.Second
-	if !fixture.roles.IsVacant(role) {
+	if !fixture.roles.MayAcquire(role) {
 		t.Error("after the lease expired: got a role that is not vacant, want it vacant")
 	}
 }
@@ -47,21 +47,21 @@
 	observePeerSchema := func(schema int) {
 		fixture.messenger.handlePeerHeartbeat(&peer.Heartbeat{Node: "nodo-1", Healthy: true, SchemaVersion: schema})
 	}
-	if !fixture.roles.MayPerform(leadership.OrphanAdopter) {
+	if !fixture.roles.MayActAs(leadership.OrphanAdopter) {
 		t.Error("the peer's version is unknown: got a controller that may not adopt orphans, want that it may")
 	}
 	observePeerSchema(records.SchemaRoles)
-	if fixture.roles.MayPerform(leadership.OrphanAdopter) {
+	if fixture.roles.MayActAs(leadership.OrphanAdopter) {
 		t.Error("all support the role: got a controller that performs it without leading it, want only its leader to")
 	}
-	fixture.applier.ApplyPut(orphanAdopterKey, records.MustMarshal(fixture.roles.LeaderClaim()), 80)
-	if !fixture.roles.MayPerform(leadership.OrphanAdopter) {
+	fixture.applier.ApplyPut(orphanAdopterKey, records.MustMarshal(fixture.roles.OwnClaim()), 80)
+	if !fixture.roles.MayActAs(leadership.OrphanAdopter) {
 		t.Fatal("got a leader of the role that may not perform it, want that it may")
 	}
 	observePeerSchema(records.SchemaDependencies) // the peer is rolled back to an older version
 	fixture.Effects = nil
-	fixture.roles.ReconcileRoles()
-	if fixture.roles.FleetRole(leadership.OrphanAdopter).Leads() || !fixture.roles.MayPerform(leadership.OrphanAdopter) {
+	fixture.roles.Reconcile()
+	if fixture.roles.FleetRole(leadership.OrphanAdopter).Leads() || !fixture.roles.MayActAs(leadership.OrphanAdopter) {
 		t.Error("the peer does not support the role: got it kept, want it resigned and performed by all")
 	}
 }
@@ -72,8 +72,8 @@
 func TestResignedTermIsNotLedAgain(t *testing.T) {
 	fixture := newLeaderFixture(t)
 	resigned := fixture.partition.Term
-	fixture.roles.ResignRole(fixture.partition.RoleState, "test")
-	fixture.partition.Forget(fixture.Now) // as when all keys are listed again
+	fixture.roles.Resign(fixture.partition.RoleState, "test")
+	fixture.partition.ClearClaim(fixture.Now) // as when all keys are listed again
 	fixture.acquirePartition(resigned)
 	if fixture.partition.Leads() {
 		t.Error("under the resigned term: got a leader, want none")
@@ -92,8 +92,8 @@
 	previous := records.NodeSchema{SchemaVersion: records.SchemaDependencies, Release: "1.0"}
 	fixture.applier.ApplyPut(key, records.MustMarshal(previous), 33)
 	fixture.Effects = nil
-	fixture.schema.NextSchemaAnnouncementAt = 0
-	fixture.schema.AnnounceSchema()
+	fixture.schema.NextAnnouncementAt = 0
+	fixture.schema.Announce()
 	call := transactionWriting(fixture.Effects, key)
 	if call == nil || !slices.Contains(call.Transaction.Body().Compares, api.Compare{Key: key, Version: 33}) {
 		t.Errorf("got announcement %+v, want a write that compares version 33 of the key", call)
--- a/internal/core/submission_test.go
+++ b/internal/core/submission_test.go
@@ -52,7 +52,7 @@
 			fixture := newSyncedFixture(t)
 			delete(fixture.cluster.Jobs, testJob)
 			fixture.Now = micros.Second
-			requestID := fixture.NextCall + 1000
+			requestID := fixture.LastCallID + 1000
 			effects := fixture.Step(fixture.Now+1, message.Submit{RequestID: requestID, Body: fixture.submission})
 			write := transactionWriting(effects, records.JobPrefix+testJob)
 			if write == nil {
--- a/internal/core/worker_heartbeat.go
+++ b/internal/core/worker_heartbeat.go
@@ -27,7 +27,7 @@
 	storeLease  *coordination.StoreLease
 	tasks       *cluster.TaskLifecycle
 	trigger     *cluster.CycleTrigger
-	workerReach *coordination.WorkerReach
+	workerReach *coordination.WorkerReachability
 }
 
 func newWorkerHandler(
@@ -40,7 +40,7 @@
 	lease *coordination.StoreLease,
 	tasks *cluster.TaskLifecycle,
 	trigger *cluster.CycleTrigger,
-	reach *coordination.WorkerReach,
+	reach *coordination.WorkerReachability,
 ) *workerHandler {
 	return &workerHandler{
 		Environment: env, boots: boots, cache: cache, cluster: cluster, instances: instances, manager: manager,
@@ -53,7 +53,7 @@
 // so its tasks continue to run.
 func (h *workerHandler) handleHeartbeat(request message.WorkerHeartbeat) {
 	heartbeat := request.Heartbeat
-	h.workerReach.ObserveWorkerContact()
+	h.workerReach.ObserveContact()
 	if !h.cache.Synced {
 		refuse(h.Environment, request.RequestID, refusalNotSynced)
 		return
@@ -107,7 +107,7 @@
 func (h *workerHandler) otherLeader(machine *cluster.Machine) string {
 	index := machine.Record.Partition
 	known := index >= 0 && index < len(h.cluster.Partitions) && h.cluster.Partitions[index].Term > 0
-	if !known || h.cluster.LedPartition(machine) != nil || !h.storeLease.LeaseValid() {
+	if !known || h.cluster.LedPartition(machine) != nil || !h.storeLease.Valid() {
 		return ""
 	}
 	if node := h.cluster.Partitions[index].Claim.Node; node != h.Settings.Node {
--- a/internal/leadership/grant.go
+++ b/internal/leadership/grant.go
@@ -9,15 +9,15 @@
 // Action is a kind of order that a grant permits.
 type Action uint8
 
-// Actions. Their names are part of what operators read, see String.
+// Actions. Operators read their names; see String.
 const (
-	// Write is a write of a leader's records to the key-value store.
+	// Write writes records to the key-value store.
 	Write Action = iota + 1
-	// Launch is a request to the cloud for machines.
+	// Launch requests machines from the cloud.
 	Launch
-	// Delete is a request to the cloud to delete machines.
+	// Delete requests that the cloud delete machines.
 	Delete
-	// Command sends commands to a worker, or answers its heartbeat.
+	// Command sends commands to a worker or answers its heartbeat.
 	Command
 )
 
@@ -28,10 +28,10 @@
 	Command: "command",
 }
 
-// String returns the action's name as operators read it.
+// String returns the action's name as shown to operators.
 func (a Action) String() string { return actionNames[a] }
 
-// Reason says why an order must not leave this process; empty: it may.
+// Reason is the reason why an order must not be sent. It is empty if the order may be sent.
 type Reason string
 
 // Reasons for refusing an order. Operators read them.
@@ -40,29 +40,31 @@
 	NoGrant Reason = "no grant"
 	// WrongAction means that the grant permits another action.
 	WrongAction Reason = "grant for another action"
-	// GrantExpired means that the grant's time has run out.
+	// GrantExpired means that the grant has expired.
 	GrantExpired Reason = "expired"
-	// RoleEnded means that the role was resigned or lost since.
+	// RoleEnded means that the role was resigned or lost after the grant was given.
 	RoleEnded Reason = "duty ended"
 )
 
-// Purpose is what a shared grant is for.
+// Purpose is the purpose of a shared grant.
 type Purpose uint8
 
-// Purposes for which every controller may act without leading a role, and why that is
-// safe.
+// Purposes for which every controller may act without leading a role, each with the reason
+// why that is safe.
 const (
-	// ForUser accepts or cancels a job; the write compares the job's key.
+	// ForUser accepts or cancels a job. The write compares the job's key.
 	ForUser Purpose = iota + 1
-	// ForElection acquires or resigns a role; the write compares the role's key.
+	// ForElection acquires or resigns a role. The write compares the role's key.
 	ForElection
-	// ForSchema announces which schema version this controller reads, under its own key.
+	// ForSchema announces which schema version this controller reads. Each controller has a
+	// key of its own for that.
 	ForSchema
-	// ForProbe sends an empty command without a fencing token, on which no worker acts.
+	// ForProbe sends a worker an empty command without a fencing token. No worker acts on
+	// such a command.
 	ForProbe
-	// ForFleet acts under a fleet role that has no single leader yet, because the
-	// operators' settings or another controller's version do not know it. Such writes
-	// compare the keys that they change.
+	// ForFleet acts under a fleet role that has no single leader, because the settings don't
+	// ask for one or another controller's version doesn't know the role. The writes compare
+	// the keys that they change.
 	ForFleet
 )
 
@@ -74,30 +76,32 @@
 	ForFleet:    "fleet",
 }
 
-// leaderTerm is one controller's leadership of a role under one term. The state machine
-// sets ended; whoever sends orders reads it, in other goroutines.
+// leaderTerm is this controller's leadership of a role in one term. The state machine sets
+// ended, and other goroutines that send orders read it.
 type leaderTerm struct {
 	role  Role
 	term  Term
 	ended atomic.Bool
 }
 
-// Grant is the permission for one action until a time. It comes from RoleState.Grant or
-// SharedGrant; the zero Grant permits nothing.
+// Grant permits one action until it expires or the role that it was given under ends.
+// RoleState.Grant and SharedGrant return grants. The zero Grant permits nothing. A Grant may
+// be used by several goroutines at the same time.
 type Grant struct {
-	leaderTerm *leaderTerm // nil: a shared grant, or the zero one
+	leaderTerm *leaderTerm // nil for a shared grant and the zero Grant
 	action     Action
 	grantedAt  micros.Micros
 	expiresAt  micros.Micros
-	purpose    Purpose // of a shared grant
+	purpose    Purpose // of a shared grant; 0 for others
 }
 
-// SharedGrant returns the grant for what every controller may do. It does not expire.
+// SharedGrant returns a grant for an action that every controller may take for the given
+// purpose. It does not expire.
 func SharedGrant(purpose Purpose, action Action) Grant {
 	return Grant{action: action, purpose: purpose}
 }
 
-// RoleName returns the name of the role, or of a shared grant's purpose.
+// RoleName returns the name of the grant's role or, for a shared grant, of its purpose.
 func (g Grant) RoleName() string {
 	if g.leaderTerm == nil {
 		return purposeNames[g.purpose]
@@ -105,7 +109,7 @@
 	return g.leaderTerm.role.String()
 }
 
-// Term returns the term under which the role is led; 0 for a shared grant.
+// Term returns the term in which the grant's role is led, or 0 for a shared grant.
 func (g Grant) Term() Term {
 	if g.leaderTerm == nil {
 		return 0
@@ -113,16 +117,17 @@
 	return g.leaderTerm.term
 }
 
-// Action returns what the grant permits.
+// Action returns the action that the grant permits.
 func (g Grant) Action() Action { return g.action }
 
-// GrantedAt returns when the grant was given; 0 for a shared grant.
+// GrantedAt returns when the grant was given, or 0 for a shared grant.
 func (g Grant) GrantedAt() micros.Micros { return g.grantedAt }
 
-// ExpiresAt returns when the grant ends; 0 for a shared grant, which does not.
+// ExpiresAt returns when the grant expires, or 0 for a shared grant, which never does.
 func (g Grant) ExpiresAt() micros.Micros { return g.expiresAt }
 
-// Check returns why an action must not be done under the grant now; empty if it may be.
+// Check returns the reason why the grant does not permit an action now. It returns an empty
+// reason if the grant permits it.
 func (g Grant) Check(action Action, now micros.Micros) Reason {
 	switch {
 	case g.leaderTerm == nil && g.purpose == 0:
--- a/internal/leadership/lease_test.go
+++ b/internal/leadership/lease_test.go
@@ -6,13 +6,13 @@
 	"spurmoor/internal/micros"
 )
 
-// TestLease guards against a lease that is taken to be valid for longer than the store
-// may keep it, with the leader's clock as slow as allowed, and shows that a clock
-// beyond that breaks it.
+// TestLease guards against a lease that a leader takes for valid after the store may have
+// ended it, with a clock almost as slow as the maximum drift allows. It also shows that a
+// slower clock is unsafe.
 func TestLease(t *testing.T) {
 	t.Parallel()
 	lease := Lease{ID: 1, RenewalSentAt: 1000 * micros.Second, TTL: 6 * micros.Second}
-	actsFor := lease.ExpiresAt() - lease.RenewalSentAt // by the leader's clock
+	validFor := lease.ExpiresAt() - lease.RenewalSentAt // by the leader's clock
 	for _, tc := range []struct {
 		slowPPM micros.Micros
 		safe    bool
@@ -21,21 +21,23 @@
 		{499, true},
 		{2000, false},
 	} {
-		lasts := actsFor * 1_000_000 / (1_000_000 - tc.slowPPM)
-		if safe := lasts <= lease.TTL; safe != tc.safe {
-			t.Errorf("a clock %d millionths slow: acts for %d of %d us, safe %t", tc.slowPPM, lasts, lease.TTL, safe)
+		elapsed := validFor * 1_000_000 / (1_000_000 - tc.slowPPM)
+		if safe := elapsed <= lease.TTL; safe != tc.safe {
+			t.Errorf("a clock slow by %d ppm: valid for %d us of a TTL of %d us, got safe %t, want the opposite",
+				tc.slowPPM, elapsed, lease.TTL, safe)
 		}
 	}
 }
 
-// TestLeaseValid guards the lease's end, and a lease that was never granted.
+// TestLeaseValid guards against a lease that is valid at its end or invalid right before, and
+// against a lease that is valid without ever having been granted.
 func TestLeaseValid(t *testing.T) {
 	t.Parallel()
 	lease := Lease{ID: 1, RenewalSentAt: 1000 * micros.Second, TTL: 6 * micros.Second}
 	if lease.Valid(lease.ExpiresAt()) || !lease.Valid(lease.ExpiresAt()-1) {
-		t.Error("the lease's end is off")
+		t.Error("got a lease valid at its end or invalid right before, want the opposite")
 	}
 	if never := (Lease{TTL: 6 * micros.Second}); never.Valid(1) {
-		t.Error("a lease that was never granted is valid")
+		t.Error("got valid for a lease that was never granted, want invalid")
 	}
 }
--- a/internal/leadership/role_state_test.go
+++ b/internal/leadership/role_state_test.go
@@ -13,18 +13,18 @@
 	other = Claim{Node: "ctl-b", Incarnation: 9}
 )
 
-// leaderState returns the state of a role that own leads under term 10.
+// leaderState returns the state of a role that own leads in term 10.
 func leaderState(t *testing.T) *RoleState {
 	t.Helper()
 	state := &RoleState{Role: PartitionRole(2)}
 	if !state.Observe(100*second, own, 10, own, true) || !state.Leads() {
-		t.Fatal("a claim of ours was not taken for ours")
+		t.Fatal("got no leadership from our own claim, want one")
 	}
 	return state
 }
 
-// TestGrantEnds guards against an order that leaves after its grant's time, or by a
-// grant for something else.
+// TestGrantEnds guards against an order that is permitted after its grant expired, or by a
+// grant for another action.
 func TestGrantEnds(t *testing.T) {
 	t.Parallel()
 	grant := leaderState(t).Grant(Launch, 100*second, 104*second)
@@ -40,12 +40,12 @@
 		{"for a deletion", Delete, 103 * second, WrongAction},
 	} {
 		if got := grant.Check(tc.action, tc.at); got != tc.want {
-			t.Errorf("%s: %q, want %q", tc.name, got, tc.want)
+			t.Errorf("%s: got reason %q, want %q", tc.name, got, tc.want)
 		}
 	}
 }
 
-// TestGrantEndsWithItsRole guards against an order that leaves after its role was
+// TestGrantEndsWithItsRole guards against an order that is permitted after its role was
 // resigned, or without a role.
 func TestGrantEndsWithItsRole(t *testing.T) {
 	t.Parallel()
@@ -53,69 +53,69 @@
 	grant := state.Grant(Launch, 100*second, 104*second)
 	state.Resign(101 * second)
 	if got := grant.Check(Launch, 102*second); got != RoleEnded {
-		t.Errorf("after the role was resigned: %q", got)
+		t.Errorf("got reason %q after the role was resigned, want that the role ended", got)
 	}
 	if got := (Grant{}).Check(Launch, 0); got != NoGrant {
-		t.Errorf("the zero grant: %q", got)
+		t.Errorf("got reason %q for the zero grant, want no grant", got)
 	}
 	if got := state.Grant(Launch, 102*second, 900*second).Check(Launch, 103*second); got != NoGrant {
-		t.Errorf("a grant of a controller that leads nothing: %q", got)
+		t.Errorf("got reason %q for a grant of a controller that does not lead the role, want no grant", got)
 	}
 }
 
-// TestOldGrantStaysEnded guards against an order of a former term that is permitted
-// again when its sender leads the role anew.
+// TestOldGrantStaysEnded guards against an order of an earlier term that is permitted again
+// when its sender leads the role in a later term.
 func TestOldGrantStaysEnded(t *testing.T) {
 	t.Parallel()
 	state := leaderState(t)
 	old := state.Grant(Write, 100*second, 200*second)
 	if !state.Contradicts(other, 20, own, true) {
-		t.Fatal("another's claim does not contradict ours")
+		t.Fatal("got no contradiction from another controller's claim, want one")
 	}
 	state.End(101 * second)
 	state.Observe(101*second, other, 20, own, true)
 	if state.Leads() {
-		t.Fatal("leads although another claims the role")
+		t.Fatal("got leading although another controller claims the role, want not leading")
 	}
 	state.Observe(102*second, own, 30, own, true)
 	fresh := state.Grant(Write, 102*second, 200*second)
 	if fresh.Check(Write, 103*second) != "" || fresh.Term() != 30 {
-		t.Error("the new term gives no grant")
+		t.Error("got no valid grant in the new term, want one of term 30")
 	}
 	if got := old.Check(Write, 103*second); got != RoleEnded {
-		t.Errorf("a grant of the former term: %q", got)
+		t.Errorf("got reason %q for a grant of the earlier term, want that the role ended", got)
 	}
 }
 
-// TestResignedTermIsOver guards against a role that is led again under a term that was
-// resigned, when the watch cache shows its old key once more.
-func TestResignedTermIsOver(t *testing.T) {
+// TestResignedTermIsNotLedAgain guards against a controller that leads a role again in a term
+// that it resigned, because the watch cache shows the role's old key once more.
+func TestResignedTermIsNotLedAgain(t *testing.T) {
 	t.Parallel()
 	state := leaderState(t)
 	if term := state.Resign(101 * second); term != 10 {
-		t.Fatalf("resigned term %d", term)
+		t.Fatalf("got resigned term %d, want 10", term)
 	}
-	state.Forget(102 * second)
+	state.ClearClaim(102 * second)
 	if state.Observe(103*second, own, 10, own, true) {
-		t.Error("leads again under the resigned term")
+		t.Error("got leading in the resigned term, want not leading")
 	}
 	if !state.Observe(104*second, own, 11, own, true) {
-		t.Error("does not lead under a later term")
+		t.Error("got not leading in a later term, want leading")
 	}
 }
 
 // TestSharedGrant guards against a shared grant that expires, permits another action or
-// passes for a role's.
+// appears to belong to a role.
 func TestSharedGrant(t *testing.T) {
 	t.Parallel()
 	grant := SharedGrant(ForUser, Write)
 	if got := grant.Check(Write, 1<<60); got != "" {
-		t.Errorf("a shared grant for writes does not permit one: %q", got)
+		t.Errorf("got reason %q for a write under a shared grant for writes, want none", got)
 	}
 	if got := grant.Check(Launch, 0); got != WrongAction {
-		t.Errorf("a shared grant for writes permits a launch: %q", got)
+		t.Errorf("got reason %q for a launch under a shared grant for writes, want the wrong action", got)
 	}
 	if grant.RoleName() != "users" || grant.Term() != 0 {
-		t.Errorf("a shared grant is %s's, term %d", grant.RoleName(), grant.Term())
+		t.Errorf("got role name %s and term %d of a shared grant, want users and 0", grant.RoleName(), grant.Term())
 	}
 }
--- a/internal/planning/isolation.go
+++ b/internal/planning/isolation.go
@@ -14,7 +14,7 @@
 	cluster     *cluster.State
 	peers       *coordination.PeerTracker
 	roles       *coordination.RoleManager
-	workerReach *coordination.WorkerReach
+	workerReach *coordination.WorkerReachability
 
 	NoWorkerContactSince micros.Micros // when it was found that no worker reaches this controller; 0: workers do
 	nextProbeAt          micros.Micros
@@ -27,7 +27,7 @@
 	state *cluster.State,
 	peers *coordination.PeerTracker,
 	roles *coordination.RoleManager,
-	reach *coordination.WorkerReach,
+	reach *coordination.WorkerReachability,
 ) *IsolationMonitor {
 	return &IsolationMonitor{Environment: env, cluster: state, peers: peers, roles: roles, workerReach: reach}
 }
@@ -79,14 +79,14 @@
 		m.NoWorkerContactSince = m.Now
 	}
 	confirmed := m.Now >= m.NoWorkerContactSince+isolationConfirmationTime
-	if !confirmed || !m.peers.HealthyPeerKnown() || m.Now < m.workerReach.NoFailoverBefore {
+	if !confirmed || !m.peers.AnyPeerHealthy() || m.Now < m.workerReach.NoAcquisitionBefore {
 		return
 	}
 	m.NoWorkerContactSince = 0
-	m.workerReach.Isolate()
+	m.workerReach.MarkIsolated()
 	for _, role := range m.roles.Roles {
 		if role.Leads() {
-			m.roles.ResignRole(role, "no worker reaches this controller")
+			m.roles.Resign(role, "no worker reaches this controller")
 		}
 	}
 }
@@ -97,7 +97,7 @@
 	elapsed := m.Now
 	for _, partition := range m.cluster.Partitions {
 		if partition.Leads() {
-			elapsed = min(elapsed, m.Now-max(m.workerReach.LastWorkerContactAt, partition.AcquiredAt))
+			elapsed = min(elapsed, m.Now-max(m.workerReach.LastContactAt, partition.AcquiredAt))
 		}
 	}
 	return elapsed
@@ -117,7 +117,7 @@
 // the roles back after a fixed time instead leaves the partitions without answers for as
 // long again.
 func (m *IsolationMonitor) ProbeWorkers() {
-	if !m.workerReach.IsolatedFromWorkers || m.Now < m.nextProbeAt {
+	if !m.workerReach.Isolated || m.Now < m.nextProbeAt {
 		return
 	}
 	m.nextProbeAt = m.Now + probeInterval
@@ -136,6 +136,6 @@
 		}
 	}
 	if sent == 0 {
-		m.workerReach.EndIsolation()
+		m.workerReach.ClearIsolated()
 	}
 }
--- a/internal/planning/lending_test.go
+++ b/internal/planning/lending_test.go
@@ -96,7 +96,7 @@
 	if fix.lender.isBorrowable(machine) {
 		t.Error("isBorrowable without an offer: got true, want false")
 	}
-	fix.peers.ObservePeer(&peer.Heartbeat{Node: "nodo-2", Healthy: true, IdleMachines: []peer.IdleMachine{{Machine: machine.Name}}})
+	fix.peers.Observe(&peer.Heartbeat{Node: "nodo-2", Healthy: true, IdleMachines: []peer.IdleMachine{{Machine: machine.Name}}})
 	fix.env.Now += offerDuration - 1
 	if !fix.lender.isBorrowable(machine) {
 		t.Error("isBorrowable with a valid offer: got false, want true")
--- a/internal/planning/machine_manager.go
+++ b/internal/planning/machine_manager.go
@@ -66,7 +66,7 @@
 			continue
 		}
 		machinesUp++
-		if m.Now > m.storeLease.MissedHeartbeatsCountFrom(machine.LastSeenAt)+timeout {
+		if m.Now > m.storeLease.AnswerableSince(machine.LastSeenAt)+timeout {
 			silent++
 		}
 	}
@@ -94,7 +94,7 @@
 // another controller may already lead its partition. Tasks on a machine that will be
 // interrupted are told to checkpoint in an outage of the store as well.
 func (m *MachineManager) reconcileMachine(machine *cluster.Machine, mostSilent bool) {
-	leaseValid := m.storeLease.LeaseValid()
+	leaseValid := m.storeLease.Valid()
 	if leaseValid && m.Now > machine.LeaseExpiresAt && len(machine.TaskIDs) > 0 {
 		m.LogInfo("machine lease expired", logkey.Machine, machine.Name, logkey.Tasks, len(machine.TaskIDs))
 		m.tasks.ReleaseAll(machine, "its lease expired")
--- a/internal/planning/scale_in.go
+++ b/internal/planning/scale_in.go
@@ -58,13 +58,13 @@
 // isBootOverdue reports whether a machine should have come up by now, and this controller
 // has waited for it long enough to know that it has not.
 func (m *MachineManager) isBootOverdue(machine *cluster.Machine) bool {
-	awaitedSince := m.storeLease.MissedHeartbeatsCountFrom(machine.AwaitingHeartbeatSince)
+	awaitedSince := m.storeLease.AnswerableSince(machine.AwaitingHeartbeatSince)
 	return m.Now > awaitedSince+m.Settings.HeartbeatTimeout()+firstHeartbeatMargin && m.boots.IsOverdue(machine)
 }
 
 // isSilent reports whether a machine that was up has sent nothing for too long.
 func (m *MachineManager) isSilent(machine *cluster.Machine) bool {
-	silentSince := m.storeLease.MissedHeartbeatsCountFrom(machine.LastSeenAt)
+	silentSince := m.storeLease.AnswerableSince(machine.LastSeenAt)
 	return machine.FirstHeartbeatAt > 0 && m.Now > silentSince+m.Settings.HeartbeatTimeout()
 }
 
@@ -72,7 +72,7 @@
 // commands for too long, which means that no answer reaches it.
 func (m *MachineManager) ignoresCommands(machine *cluster.Machine) bool {
 	heartbeatInterval := micros.FromSeconds(m.Settings.Deployment.Workers.ReportS)
-	ignoringSince := m.storeLease.MissedHeartbeatsCountFrom(machine.IgnoringCommandsSince)
+	ignoringSince := m.storeLease.AnswerableSince(machine.IgnoringCommandsSince)
 	return machine.IgnoringCommandsSince > 0 && m.Now > ignoringSince+m.Settings.HeartbeatTimeout()+heartbeatInterval
 }
 
--- a/internal/provisioning/catalog.go
+++ b/internal/provisioning/catalog.go
@@ -161,18 +161,18 @@
 	if !c.cache.Synced || c.storedCatalogShape == catalogShape(c.MachineTypes) {
 		return
 	}
-	grant := c.roles.FleetGrant(leadership.CatalogKeeper, leadership.Write)
+	grant := c.roles.FleetGrant(leadership.CatalogUpdater, leadership.Write)
 	if grant.Check(leadership.Write, c.Now) != "" {
 		return
 	}
 	pages := c.paginateCatalog()
-	if len(pages) > 1 && !c.schema.AllReadSchema(records.SchemaDependencies) {
+	if len(pages) > 1 && !c.schema.AllRead(records.SchemaDependencies) {
 		return // the first versions would take the first page for the whole catalog
 	}
 	if len(pages) > c.Settings.Deployment.Store.MaxTransactionOps {
 		return
 	}
-	c.budget.ChargeWrites(len(pages))
+	c.budget.ChargeUnthrottled(len(pages))
 	order := leadership.NewOrder(grant, c.catalogTransaction(grant, pages))
 	c.CallStore(message.StoreCall{Op: message.OpTransaction, Transaction: order}, func(*message.StoreReply) {
 		// The watch cache shows whether it was carried out; if not, the next read of the
@@ -185,7 +185,7 @@
 func (c *MachineCatalog) catalogTransaction(grant leadership.Grant, pages []records.CatalogPage) *api.Transaction {
 	transaction := &api.Transaction{Compares: []api.Compare{{Key: records.CatalogKey, Version: c.catalogVersion}}}
 	if grant.Term() > 0 {
-		key := coordination.RoleKey(leadership.Role{Kind: leadership.CatalogKeeper})
+		key := coordination.RoleKey(leadership.Role{Kind: leadership.CatalogUpdater})
 		transaction.Compares = append(transaction.Compares, api.Compare{Key: key, Version: api.Revision(grant.Term())})
 	}
 	for n, page := range pages {
--- a/internal/provisioning/instance_list.go
+++ b/internal/provisioning/instance_list.go
@@ -77,7 +77,7 @@
 // TrackSweeping notes when it becomes or ceases to be this controller's role to act on the
 // cloud's list.
 func (l *InstanceList) TrackSweeping() {
-	if sweeping := l.roles.MayPerform(leadership.InstanceSweeper); sweeping != l.sweeping {
+	if sweeping := l.roles.MayActAs(leadership.InstanceSweeper); sweeping != l.sweeping {
 		l.sweeping = sweeping
 		l.NextListAt = l.Now
 	}
--- a/internal/provisioning/orphan_adoption.go
+++ b/internal/provisioning/orphan_adoption.go
@@ -30,7 +30,7 @@
 		l.unknownWorkers[heartbeat.Machine] = seen
 	}
 	l.refresh(seen)
-	if l.Now > seen.firstSeenAt+unknownWorkerGrace && l.roles.MayPerform(leadership.OrphanAdopter) {
+	if l.Now > seen.firstSeenAt+unknownWorkerGrace && l.roles.MayActAs(leadership.OrphanAdopter) {
 		seen.firstSeenAt = l.Now
 		l.Emit(message.NewProbe(heartbeat.Machine, heartbeat.Address, heartbeat.Incarnation))
 	}
@@ -48,7 +48,7 @@
 // scaled in like any other machine. It tells whether that is this controller's role.
 // source is how the orphan was found, for the log.
 func (l *InstanceList) AdoptOrphan(orphan peer.Orphan, source string) bool {
-	if !l.roles.MayPerform(leadership.OrphanAdopter) || !l.roles.LeadsAnyPartition() {
+	if !l.roles.MayActAs(leadership.OrphanAdopter) || !l.roles.LeadsAnyPartition() {
 		return false
 	}
 	if l.deletions.RecentlyDeleted(orphan.Machine) || l.isBeingRecorded(orphan.Machine) {
--- a/internal/provisioning/request_records.go
+++ b/internal/provisioning/request_records.go
@@ -70,8 +70,8 @@
 	ledger.mustRecord = false
 	ledger.outdated = false
 	ledger.recordedAt = p.Now
-	p.budget.ChargeWrites(1)
-	p.transactions.SubmitTransaction(transaction)
+	p.budget.ChargeUnthrottled(1)
+	p.transactions.Submit(transaction)
 }
 
 // requestsTransaction makes the write of a partition's open requests. It compares the
