--- a/internal/core/controller.go
+++ b/internal/core/controller.go
@@ -120,14 +120,14 @@
 
 // reconcileCloud sends the requests to the cloud that are due, one of each kind at a time.
 func (c *Controller) reconcileCloud() {
-	c.catalog.ReadCatalogWhenDue()
-	c.instances.TrackSweeping()
+	c.catalog.ReadWhenDue()
+	c.instances.TrackSweeperRole()
 	if !c.instances.SweepsExclusively() && !c.roles.LeadsAnyPartition() {
 		return
 	}
-	c.instances.ListInstancesWhenDue()
+	c.instances.ReadWhenDue()
 	c.provisioning.ReconcileRequests()
-	c.deleter.DeleteInstancesWhenDue()
+	c.deleter.DeleteWhenDue()
 }
 
 // handleStop resigns all roles. The other controllers are notified first, so that they
--- a/internal/core/fixtures_test.go
+++ b/internal/core/fixtures_test.go
@@ -158,8 +158,8 @@
 	fixture.Settings.Operators.Duties.RecordRentals = true
 	fixture.Settings.Deployment.Cloud.RPS = 6
 	// Prevents requests for the cloud's catalog and list of instances.
-	fixture.catalog.NextCatalogReadAt = 1 << 60
-	fixture.instances.NextListAt = 1 << 60
+	fixture.catalog.NextReadAt = 1 << 60
+	fixture.instances.NextReadAt = 1 << 60
 	fixture.provisioning.RecordingRequests = true
 	fixture.roles.Exclusive = true
 	fixture.Effects = nil
--- a/internal/core/machine_records_test.go
+++ b/internal/core/machine_records_test.go
@@ -69,7 +69,7 @@
 	if machine.LaunchedAt != fixture.Now {
 		t.Errorf("age of a machine that was just read: got %d s, want 0 s", (fixture.Now - machine.LaunchedAt).WholeSeconds())
 	}
-	fixture.instances.ObserveListed(api.Instance{ID: "n-2", Type: "g4", Zone: "alta", State: api.InstanceBooting, AgeS: 40})
+	fixture.instances.ObserveInstance(api.Instance{ID: "n-2", Type: "g4", Zone: "alta", State: api.InstanceBooting, AgeS: 40})
 	if machine.LaunchedAt != fixture.Now-40*micros.Second {
 		t.Errorf("age of a listed machine: got %d s, want 40 s", (fixture.Now - machine.LaunchedAt).WholeSeconds())
 	}
--- a/internal/core/provisioning_test.go
+++ b/internal/core/provisioning_test.go
@@ -45,8 +45,8 @@
 	fixture := newProvisioningFixture(t)
 	fixture.roles.StopLeading(fixture.partition.RoleState, "test")
 	open := provisioning.RequestsRecord{Open: []provisioning.RequestRecord{
-		{Request: "p0-10-7", Type: "g4", Zone: "alta", Count: 4},
-		{Request: "p0-10-8", Type: "g4", Zone: "alta", Spot: true, Count: 2, Deferred: true},
+		{Name: "p0-10-7", Type: "g4", Zone: "alta", Count: 4},
+		{Name: "p0-10-8", Type: "g4", Zone: "alta", Spot: true, Count: 2, Deferred: true},
 	}}
 	fixture.applier.ApplyPut(records.RequestsPrefix+"0", records.MustMarshal(open), 50)
 	fixture.applier.ApplyPut(fixture.partition.Key(), records.MustMarshal(fixture.roles.OwnClaim()), 60)
@@ -95,7 +95,7 @@
 	fixture.cluster.SetTask(fixture.job, 0, cluster.TaskRecord{})
 	fixture.registry.ScaleIn(fixture.machine, "test")
 	fixture.Effects = nil
-	fixture.deleter.DeleteInstances()
+	fixture.deleter.DeleteNextBatch()
 	if n := len(effectsOf[message.CloudCall](fixture.Effects)); n != 0 {
 		t.Fatalf("before the tombstone is committed: got %d deletions, want 0", n)
 	}
@@ -103,12 +103,12 @@
 	fixture.machine.Record.MarkedForDeletion = true
 	renewed := fixture.storeLease.Lease.RenewalSentAt
 	fixture.storeLease.Lease.RenewalSentAt = fixture.Now - fixture.Settings.LeaseTTL()
-	fixture.deleter.DeleteInstances()
+	fixture.deleter.DeleteNextBatch()
 	if len(effectsOf[message.CloudCall](fixture.Effects)) != 0 {
 		t.Error("without a valid lease: got a deletion, want none")
 	}
 	fixture.storeLease.Lease.RenewalSentAt = renewed
-	fixture.deleter.DeleteInstances()
+	fixture.deleter.DeleteNextBatch()
 	sent := effectsOf[message.CloudCall](fixture.Effects)
 	if len(sent) != 1 || sent[0].Delete.Grant().Check(leadership.Delete, fixture.Now) != "" {
 		t.Errorf("got deletions %+v, want one with a valid grant", sent)
--- a/internal/core/record_applier.go
+++ b/internal/core/record_applier.go
@@ -181,7 +181,7 @@
 	if err != nil {
 		return err
 	}
-	a.catalog.ObserveCatalogPage(page, record, version)
+	a.catalog.ObservePage(page, record, version)
 	return nil
 }
 
--- a/internal/logkey/logkey.go
+++ b/internal/logkey/logkey.go
@@ -1,8 +1,8 @@
-// Package logkey has the keys of log lines, so that a thing has the same key in every
-// line.
+// Package logkey defines the attribute keys of log lines, so that every line uses the same
+// key for the same thing.
 package logkey
 
-// Keys of log lines. Those that end in _s are in seconds.
+// Attribute keys of log lines. The values of keys that end in _s are in seconds.
 const (
 	AfterS                     = "after_s"
 	AgeS                       = "age_s"
--- a/internal/micros/micros_test.go
+++ b/internal/micros/micros_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestConversions guards the roundings, which are towards zero.
+// TestConversions guards against rounding other than towards zero.
 func TestConversions(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
@@ -21,21 +21,21 @@
 	} {
 		got := FromSeconds(tc.seconds)
 		if got != tc.want || got.WholeSeconds() != tc.whole {
-			t.Errorf("%v s: %d, %d whole seconds", tc.seconds, got, got.WholeSeconds())
+			t.Errorf("%v s: got %d, %d whole seconds; want %d, %d", tc.seconds, got, got.WholeSeconds(), tc.want, tc.whole)
 		}
 	}
 	if span := FromMilliseconds(2500); span.Seconds() != 2.5 || span.Milliseconds() != 2500 {
-		t.Errorf("2500 ms: %v s, %d ms", span.Seconds(), span.Milliseconds())
+		t.Errorf("2500 ms: got %v s, %d ms; want 2.5 s, 2500 ms", span.Seconds(), span.Milliseconds())
 	}
 }
 
-// TestRandomStaysBelowItsLimit guards against a span as long as its limit.
-func TestRandomStaysBelowItsLimit(t *testing.T) {
+// TestRandomStaysBelowLimit guards against a negative span or one that reaches the limit.
+func TestRandomStaysBelowLimit(t *testing.T) {
 	t.Parallel()
 	random := rand.New(rand.NewPCG(1, 2))
 	for range 1000 {
 		if span := Random(random, 3); span < 0 || span >= 3 {
-			t.Fatalf("%d is not within 0 to 2", span)
+			t.Fatalf("got %d, want 0 to 2", span)
 		}
 	}
 }
--- a/internal/provisioning/catalog.go
+++ b/internal/provisioning/catalog.go
@@ -15,14 +15,15 @@
 	"spurmoor/internal/records"
 )
 
-// How often the cloud's catalog is read, and how soon again after a failure.
 const (
-	catalogInterval      = 60 * micros.Second
+	// catalogInterval is how often the cloud's catalog is read.
+	catalogInterval = 60 * micros.Second
+	// catalogRetryInterval is about how long after a failure it is read again.
 	catalogRetryInterval = 2 * micros.Second
 )
 
-// MachineCatalog is which types of machines the cloud has, at which prices, and the copy
-// of that in the store.
+// MachineCatalog holds the machine types that the cloud offers, with their prices, and
+// keeps a copy of them in the key-value store.
 type MachineCatalog struct {
 	*coordination.Environment
 	budget  *coordination.WriteBudget
@@ -31,22 +32,22 @@
 	roles   *coordination.RoleManager
 	schema  *coordination.SchemaTracker
 
-	// What is known of the types, from the cloud or, until it answers, from the store.
+	// The machine types as read from the cloud or, until it answers, from the store.
 	MachineTypes      []api.MachineType
 	machineTypeByName map[string]*api.MachineType
 
-	// Reading the cloud's catalog.
-	NextCatalogReadAt   micros.Micros
-	catalogReadInFlight bool
+	// State of the reads of the cloud's catalog.
+	NextReadAt   micros.Micros
+	readInFlight bool
 
 	// The copy in the store, as the watch cache shows it.
-	catalogVersion     api.Revision                 // of its first page's key
-	storedCatalogShape string                       // see catalogShape
-	catalogPages       map[string]storedCatalogPage // by what follows records.CatalogKey
+	storedVersion       api.Revision          // version of the first page's key
+	storedWithoutPrices string                // the types, see encodeWithoutPrices
+	storedPages         map[string]storedPage // by page name, see ObservePage
 }
 
-// storedCatalogPage is a page of the catalog as the store has it.
-type storedCatalogPage struct {
+// storedPage is a page of the catalog in the store, and the version of its key.
+type storedPage struct {
 	records.CatalogPage
 	version api.Revision
 }
@@ -58,33 +59,38 @@
 ) *MachineCatalog {
 	return &MachineCatalog{
 		Environment: env, budget: budget, cache: cache, cluster: cluster, roles: roles, schema: schema,
-		machineTypeByName: map[string]*api.MachineType{}, catalogPages: map[string]storedCatalogPage{},
+		machineTypeByName: map[string]*api.MachineType{}, storedPages: map[string]storedPage{},
 	}
 }
 
-// TypeNamed returns the type of a name; nil: it is not known.
+// TypeNamed returns the machine type of a name, or nil if it is not known.
 func (c *MachineCatalog) TypeNamed(name string) *api.MachineType { return c.machineTypeByName[name] }
 
-// ReadCatalogWhenDue reads the cloud's catalog now and then: prices change.
-func (c *MachineCatalog) ReadCatalogWhenDue() {
-	if c.catalogReadInFlight || c.Now < c.NextCatalogReadAt {
+// ReadWhenDue reads the cloud's catalog every catalogInterval, as prices change. One read
+// is in flight at a time.
+func (c *MachineCatalog) ReadWhenDue() {
+	if c.readInFlight || c.Now < c.NextReadAt {
 		return
 	}
-	c.catalogReadInFlight = true
-	c.CallCloud(message.CloudCall{Op: message.OpReadCatalog}, c.catalogRead)
+	c.readInFlight = true
+	c.CallCloud(message.CloudCall{Op: message.OpReadCatalog}, c.handleCatalogReply)
 }
 
-func (c *MachineCatalog) catalogRead(reply *message.CloudReply) {
-	c.catalogReadInFlight = false
+// handleCatalogReply takes over the types that the cloud listed and stores a copy. A reply
+// without types counts as a failure.
+func (c *MachineCatalog) handleCatalogReply(reply *message.CloudReply) {
+	c.readInFlight = false
 	if reply.Status != message.StatusOK || len(reply.Catalog.Types) == 0 {
-		c.NextCatalogReadAt = c.Now + c.Jitter(catalogRetryInterval)
+		c.NextReadAt = c.Now + c.Jitter(catalogRetryInterval)
 		return
 	}
-	c.NextCatalogReadAt = c.Now + catalogInterval
+	c.NextReadAt = c.Now + catalogInterval
 	c.setMachineTypes(reply.Catalog.Types)
 	c.storeCatalog()
 }
 
+// setMachineTypes replaces the listed types and updates the type of each machine. Types
+// that are no longer listed can still be found by name.
 func (c *MachineCatalog) setMachineTypes(types []api.MachineType) {
 	c.MachineTypes = types
 	for i := range types {
@@ -95,8 +101,8 @@
 	}
 }
 
-// SlowestFetchSecondsPerGB returns how many seconds a machine of the slowest type takes to
-// fetch a gigabyte; 0: not known.
+// SlowestFetchSecondsPerGB returns how many seconds the slowest machine type takes to fetch
+// a gigabyte of an image, or 0 if that is not known.
 func (c *MachineCatalog) SlowestFetchSecondsPerGB() float64 {
 	slowest := 0.0
 	for _, machineType := range c.MachineTypes {
@@ -107,9 +113,10 @@
 	return slowest
 }
 
-// catalogShape is a catalog without its prices: they change often, and a copy with those of
-// some time ago is good enough.
-func catalogShape(types []api.MachineType) string {
+// encodeWithoutPrices returns the types as JSON with all prices set to 0, to find out
+// whether the stored copy must be written again. Prices change often, and the copy may
+// have outdated ones.
+func encodeWithoutPrices(types []api.MachineType) string {
 	types = slices.Clone(types)
 	for i := range types {
 		types[i].Price, types[i].SpotPrice = 0, 0
@@ -117,57 +124,58 @@
 	return string(records.MustMarshal(types))
 }
 
-// ObserveCatalogPage records a page of the copy in the store, whose key has a version. The
-// copy is known once all its pages are.
-func (c *MachineCatalog) ObserveCatalogPage(name string, record records.CatalogPage, version api.Revision) {
-	c.catalogPages[name] = storedCatalogPage{CatalogPage: record, version: version}
-	first := c.catalogPages[""]
+// ObservePage handles a page of the copy in the store, at a version of its key. The first
+// page has the empty name, the others are named by their numbers, from "1". The copy is
+// used once all its pages have the version of the first: they are written together.
+func (c *MachineCatalog) ObservePage(name string, record records.CatalogPage, version api.Revision) {
+	c.storedPages[name] = storedPage{CatalogPage: record, version: version}
+	first := c.storedPages[""]
 	types := slices.Clone(first.Types)
 	for n := 1; n <= first.Pages; n++ {
-		page := c.catalogPages[strconv.Itoa(n)]
+		page := c.storedPages[strconv.Itoa(n)]
 		if page.version != first.version {
 			return
 		}
 		types = append(types, page.Types...)
 	}
-	c.catalogVersion, c.storedCatalogShape = first.version, catalogShape(types)
+	c.storedVersion, c.storedWithoutPrices = first.version, encodeWithoutPrices(types)
 	if len(c.MachineTypes) == 0 {
 		c.LogInfo("machine catalog read", logkey.Types, len(types))
 		c.setMachineTypes(types)
 	}
 }
 
-// paginateCatalog splits the catalog into pages of which each fits into a value.
-func (c *MachineCatalog) paginateCatalog() []records.CatalogPage {
+// paginate splits the catalog into pages that each fit into a value of the store.
+func (c *MachineCatalog) paginate() []records.CatalogPage {
 	pages := []records.CatalogPage{{}}
 	for _, machineType := range c.MachineTypes {
 		last := &pages[len(pages)-1]
-		// The number of pages, which is not known yet, has no more digits than that of types.
-		longer := records.CatalogPage{Types: append(slices.Clip(last.Types), machineType), Pages: len(c.MachineTypes)}
-		if len(last.Types) > 0 && len(records.MustMarshal(longer)) > c.Settings.MaxValueBytes() {
+		// The number of pages is not known yet. The number of types has at least as many digits.
+		extended := records.CatalogPage{Types: append(slices.Clip(last.Types), machineType), Pages: len(c.MachineTypes)}
+		if len(last.Types) > 0 && len(records.MustMarshal(extended)) > c.Settings.MaxValueBytes() {
 			pages = append(pages, records.CatalogPage{Types: []api.MachineType{machineType}})
 			continue
 		}
-		last.Types = longer.Types
+		last.Types = extended.Types
 	}
 	pages[0].Pages = len(pages) - 1
 	return pages
 }
 
-// storeCatalog keeps a copy of the catalog in the store, if this controller is the one to
-// do so and the types have changed. A controller that starts while the cloud does not
-// answer could else neither accept nor place anything.
+// storeCatalog writes the catalog to the store if this controller may act as catalog keeper
+// and the types differ from the stored ones. Without the copy, a controller
+// that starts while the cloud does not answer could neither accept jobs nor place tasks.
 func (c *MachineCatalog) storeCatalog() {
-	if !c.cache.Synced || c.storedCatalogShape == catalogShape(c.MachineTypes) {
+	if !c.cache.Synced || c.storedWithoutPrices == encodeWithoutPrices(c.MachineTypes) {
 		return
 	}
 	grant := c.roles.FleetGrant(leadership.CatalogUpdater, leadership.Write)
 	if grant.Check(leadership.Write, c.Now) != "" {
 		return
 	}
-	pages := c.paginateCatalog()
+	pages := c.paginate()
 	if len(pages) > 1 && !c.schema.AllRead(records.SchemaDependencies) {
-		return // the first versions would take the first page for the whole catalog
+		return // versions before this schema take the first page for the whole catalog
 	}
 	if len(pages) > c.Settings.Deployment.Store.MaxTransactionOps {
 		return
@@ -175,15 +183,15 @@
 	c.budget.ChargeUnthrottled(len(pages))
 	order := leadership.NewOrder(grant, c.catalogTransaction(grant, pages))
 	c.CallStore(message.StoreCall{Op: message.OpTransaction, Transaction: order}, func(*message.StoreReply) {
-		// The watch cache shows whether it was carried out; if not, the next read of the
-		// cloud's catalog tries again.
+		// The reply is not needed: the watch cache shows whether the pages were written.
+		// If not, they are written after the next read of the cloud's catalog.
 	})
 }
 
-// catalogTransaction writes the pages of the catalog, unless the copy has changed or
-// another controller keeps it now.
+// catalogTransaction returns the transaction that writes the pages of the catalog. It
+// fails if the copy has changed or another controller has become the catalog keeper.
 func (c *MachineCatalog) catalogTransaction(grant leadership.Grant, pages []records.CatalogPage) *api.Transaction {
-	transaction := &api.Transaction{Compares: []api.Compare{{Key: records.CatalogKey, Version: c.catalogVersion}}}
+	transaction := &api.Transaction{Compares: []api.Compare{{Key: records.CatalogKey, Version: c.storedVersion}}}
 	if grant.Term() > 0 {
 		key := coordination.RoleKey(leadership.Role{Kind: leadership.CatalogUpdater})
 		transaction.Compares = append(transaction.Compares, api.Compare{Key: key, Version: api.Revision(grant.Term())})
--- a/internal/provisioning/instance_deletion.go
+++ b/internal/provisioning/instance_deletion.go
@@ -8,8 +8,8 @@
 	"spurmoor/internal/micros"
 )
 
-// InstanceDeleter has the cloud delete machines that are condemned, that is, never to be
-// used again.
+// InstanceDeleter deletes machines in the cloud that are marked for deletion in their
+// records and therefore never used again.
 type InstanceDeleter struct {
 	*coordination.Environment
 	cluster    *cluster.State
@@ -17,10 +17,10 @@
 
 	deleteInFlight      bool
 	nextDeleteAt        micros.Micros
-	nextDeletePartition int // where the search for condemned machines goes on; it only grows
+	nextDeletePartition int // the search begins here, modulo the number of partitions; it only grows
 }
 
-// NewInstanceDeleter makes an instance deleter.
+// NewInstanceDeleter returns a deleter that has sent no request.
 func NewInstanceDeleter(
 	env *coordination.Environment, state *cluster.State, lease *coordination.StoreLease,
 ) *InstanceDeleter {
@@ -28,26 +28,26 @@
 }
 
 const (
-	// maxDeletesPerCall is how many machines one request deletes.
+	// maxDeletesPerCall is the most machines that one request deletes.
 	maxDeletesPerCall = 100
-	// deleteInterval is the least time between two requests: what is condemned meanwhile
-	// goes with the next.
-	deleteInterval = micros.Second
-	// deleteRetryInterval is about how long a request waits that failed.
+	// minDeleteInterval is the least time between two requests. Machines that are marked
+	// meanwhile are deleted together.
+	minDeleteInterval = micros.Second
+	// deleteRetryInterval is about how long after a failure a request is repeated.
 	deleteRetryInterval = 2 * micros.Second
 )
 
-// DeleteInstancesWhenDue has the cloud delete what it should, one request at a time.
-func (d *InstanceDeleter) DeleteInstancesWhenDue() {
+// DeleteWhenDue deletes marked machines, one request at a time.
+func (d *InstanceDeleter) DeleteWhenDue() {
 	if !d.deleteInFlight && d.Now >= d.nextDeleteAt {
-		d.DeleteInstances()
+		d.DeleteNextBatch()
 	}
 }
 
-// DeleteInstances has the cloud delete condemned machines of ours: those of one partition
-// at a time, each in its turn. That they are condemned is committed before, and never
-// taken back, so a request that is carried out late changes nothing.
-func (d *InstanceDeleter) DeleteInstances() {
+// DeleteNextBatch deletes marked machines of one of the partitions that this controller
+// leads; the partitions take turns. The mark is committed before the request is sent and is
+// never removed, so a request that is carried out late does no harm.
+func (d *InstanceDeleter) DeleteNextBatch() {
 	partitions := d.cluster.Partitions
 	for offset := range partitions {
 		partition := partitions[(d.nextDeletePartition+offset)%len(partitions)]
@@ -59,8 +59,8 @@
 	}
 }
 
-// instancesToDelete lists machines of a partition that the cloud is to delete, as many as
-// one request takes; none of a partition that we do not lead.
+// instancesToDelete returns the names of up to maxDeletesPerCall machines of a partition that
+// are to be deleted, or none if this controller does not lead the partition.
 func (d *InstanceDeleter) instancesToDelete(partition *cluster.Partition) []string {
 	if !partition.Leads() {
 		return nil
@@ -77,13 +77,13 @@
 	return names
 }
 
-// awaitsDeletion tells whether a machine is known to be condemned for good, and the cloud
-// was not told yet.
+// awaitsDeletion reports whether a machine is marked, the mark is committed, and no request
+// to delete the machine is in flight or has succeeded.
 func awaitsDeletion(machine *cluster.Machine) bool {
 	return machine.Record.MarkedForDeletion && !machine.RecordChangePending() && !machine.DeleteSent
 }
 
-// sendDelete sends one request, if there is a grant for it now.
+// sendDelete sends a request to delete machines, if there is a grant for it.
 func (d *InstanceDeleter) sendDelete(partition *cluster.Partition, names []string) {
 	grant := d.storeLease.Grant(partition.RoleState, leadership.Delete)
 	if grant.Check(leadership.Delete, d.Now) != "" {
@@ -100,8 +100,8 @@
 	})
 }
 
-// handleDeleteReply takes in whether a request succeeded: then the machines and all on them
-// are gone. Otherwise it is repeated.
+// handleDeleteReply handles the outcome of a request. If it succeeded, the machines and
+// everything on them are gone. Otherwise they are deleted again after deleteRetryInterval.
 func (d *InstanceDeleter) handleDeleteReply(names []string, deleted bool) {
 	for _, name := range names {
 		if machine := d.cluster.Machines[name]; machine != nil {
@@ -110,7 +110,7 @@
 		}
 	}
 	if deleted {
-		d.nextDeleteAt = d.Now + deleteInterval
+		d.nextDeleteAt = d.Now + minDeleteInterval
 	} else {
 		d.nextDeleteAt = d.Now + d.Jitter(deleteRetryInterval)
 	}
--- a/internal/provisioning/instance_list.go
+++ b/internal/provisioning/instance_list.go
@@ -12,8 +12,10 @@
 	"spurmoor/internal/micros"
 )
 
-// InstanceList follows the cloud's list of instances: their addresses, those that failed
-// or are gone, and orphans, of which no record is known.
+// InstanceList reads the cloud's list of instances. It sets the addresses of machines, and
+// finds instances that failed, that are no longer listed, or that are orphans: they have
+// no record. Every controller handles failed instances; the others are handled by a
+// controller with the role of the instance sweeper.
 type InstanceList struct {
 	*coordination.Environment
 	cluster   *cluster.State
@@ -21,16 +23,16 @@
 	registry  *cluster.MachineRegistry
 	roles     *coordination.RoleManager
 
-	NextListAt     micros.Micros
-	listInFlight   bool
-	listRound      int                  // counts the readings of the whole list
-	listed         map[string]*sighting // by instance
-	unknownWorkers map[string]*sighting // workers without a record that sent a heartbeat, by machine
-	sweeping       bool                 // this controller acts on the list
+	NextReadAt     micros.Micros
+	readInFlight   bool
+	listRound      int                     // number of the current or last reading of the whole list
+	listed         map[string]*observation // by instance ID
+	unknownWorkers map[string]*observation // workers that sent a heartbeat and have no record, by machine
+	sweeping       bool                    // this controller acts as instance sweeper
 	findings       ListFindings
 }
 
-// NewInstanceList makes an instance list of which nothing was read yet.
+// NewInstanceList returns an instance list that has not been read yet.
 func NewInstanceList(
 	env *coordination.Environment,
 	state *cluster.State,
@@ -44,85 +46,87 @@
 		deletions:      deletions,
 		registry:       registry,
 		roles:          roles,
-		listed:         map[string]*sighting{},
-		unknownWorkers: map[string]*sighting{},
+		listed:         map[string]*observation{},
+		unknownWorkers: map[string]*observation{},
 	}
 }
 
-// sighting is when an instance was listed, or an unknown worker heard, of late.
-type sighting struct {
-	firstSeenAt micros.Micros // or when it was last acted on
-	lastSeenAt  micros.Micros
-	listRound   int // of the list, when it was last seen
+// observation is when an instance was listed, or an unknown worker sent a heartbeat.
+type observation struct {
+	graceStartedAt micros.Micros // when it was first seen or last acted on; grace periods begin here
+	lastSeenAt     micros.Micros
+	listRound      int // round of the list in which it was last seen
 }
 
 const (
-	// addressListInterval is how often a controller reads the list that does not act on
-	// it: it only wants the addresses of machines that came up meanwhile.
+	// addressListInterval is how often the list is read by a controller that is not the
+	// instance sweeper. It needs only the addresses of machines that have come up.
 	addressListInterval = 60 * micros.Second
-	// minListIntervalS is the least time between two readings, in seconds.
+	// minListIntervalS is the least time in seconds between two readings by a sweeper.
 	minListIntervalS = 5
-	// listRetryInterval is about how long a reading waits that failed.
+	// listRetryInterval is about how long after a failure the list is read again.
 	listRetryInterval = 5 * micros.Second
-	// instancesPerPage is how many instances a page of the list holds.
+	// instancesPerPage is the most instances that a page of the list holds.
 	instancesPerPage = 500
-	// listCallShare is the share of the cloud's calls that all controllers' lists
-	// together may take.
+	// listCallShare is the share of the cloud's rate limit that the readings of all
+	// controllers together may use.
 	listCallShare = 1.0 / 3
-	// an instance must be absent from more than absentRounds readings of the list,
-	// for the list is not read at one moment, and it lags.
-	absentRounds = 2
+	// maxMissedRounds is how many readings of the list in a row may lack an instance that
+	// exists: the pages are read one after another, and the list lags.
+	maxMissedRounds = 2
 )
 
-// TrackSweeping notes when it becomes or ceases to be this controller's role to act on the
-// cloud's list.
-func (l *InstanceList) TrackSweeping() {
+// TrackSweeperRole notices when this controller begins or ceases to act as instance
+// sweeper. The list is then read at once.
+func (l *InstanceList) TrackSweeperRole() {
 	if sweeping := l.roles.MayActAs(leadership.InstanceSweeper); sweeping != l.sweeping {
 		l.sweeping = sweeping
-		l.NextListAt = l.Now
+		l.NextReadAt = l.Now
 	}
 }
 
-// SweepsExclusively tells whether no other controller acts on the cloud's list.
+// SweepsExclusively reports whether this controller is the only instance sweeper.
 func (l *InstanceList) SweepsExclusively() bool {
 	return l.sweeping && l.roles.IsExclusive(leadership.InstanceSweeper)
 }
 
-// ListInstancesWhenDue reads the cloud's list now and then.
-func (l *InstanceList) ListInstancesWhenDue() {
-	if l.listInFlight || l.Now < l.NextListAt {
+// ReadWhenDue starts to read the cloud's list if that is due and no reading is in progress.
+func (l *InstanceList) ReadWhenDue() {
+	if l.readInFlight || l.Now < l.NextReadAt {
 		return
 	}
-	l.listInFlight = true
+	l.readInFlight = true
 	l.listRound++
-	l.requestPage("")
+	l.readPage("")
 }
 
-// requestPage reads the page of the list that follows an instance, and those after it.
-func (l *InstanceList) requestPage(after string) {
+// readPage reads the pages of the list that follow the instance with the ID after, or all
+// pages if it is empty.
+func (l *InstanceList) readPage(after string) {
 	call := message.CloudCall{Op: message.OpListInstances, After: after}
 	l.CallCloud(call, func(reply *message.CloudReply) {
 		if reply.Status != message.StatusOK {
-			l.listInFlight = false
-			l.NextListAt = l.Now + l.Jitter(listRetryInterval)
+			l.readInFlight = false
+			l.NextReadAt = l.Now + l.Jitter(listRetryInterval)
 			return
 		}
 		page := reply.Instances.Instances
 		for _, instance := range page {
-			l.ObserveListed(instance)
+			l.ObserveInstance(instance)
 		}
 		if reply.Instances.More && len(page) > 0 {
-			l.requestPage(page[len(page)-1].ID)
+			l.readPage(page[len(page)-1].ID)
 			return
 		}
-		l.listInFlight = false
-		l.NextListAt = l.Now + l.Jitter(l.listInterval())
+		l.readInFlight = false
+		l.NextReadAt = l.Now + l.Jitter(l.listInterval())
 		l.expireUnlisted()
 	})
 }
 
-// listInterval is how often the cloud's list is read. All controllers' lists together take
-// at most their share of the calls that the cloud admits, however many machines there are.
+// listInterval returns the time between two readings of the list. For a sweeper it is at
+// least the lag of the list, and it grows with the number of pages so that the readings of
+// all controllers together stay within listCallShare.
 func (l *InstanceList) listInterval() micros.Micros {
 	if !l.sweeping {
 		return addressListInterval
@@ -132,32 +136,33 @@
 		readers = 1
 	}
 	pages := float64(1 + len(l.cluster.Machines)/instancesPerPage)
-	paced := pages * float64(readers) / (listCallShare * l.Settings.Deployment.Cloud.RPS)
-	return micros.FromSeconds(max(minListIntervalS, l.Settings.Deployment.Cloud.ListLagS, paced))
+	rateLimitedS := pages * float64(readers) / (listCallShare * l.Settings.Deployment.Cloud.RPS)
+	return micros.FromSeconds(max(minListIntervalS, l.Settings.Deployment.Cloud.ListLagS, rateLimitedS))
 }
 
-// ObserveListed takes in an instance of the cloud's list.
-func (l *InstanceList) ObserveListed(instance api.Instance) {
+// ObserveInstance handles an instance in the cloud's list.
+func (l *InstanceList) ObserveInstance(instance api.Instance) {
 	seen := l.listed[instance.ID]
 	if seen == nil {
-		seen = &sighting{firstSeenAt: l.Now}
+		seen = &observation{graceStartedAt: l.Now}
 		l.listed[instance.ID] = seen
 	}
-	l.refresh(seen)
+	l.markSeen(seen)
 	if machine := l.cluster.Machines[instance.ID]; machine != nil {
-		l.observeKnownInstance(machine, instance)
+		l.observeRecordedInstance(machine, instance)
 		return
 	}
-	// It is of a request that was answered late, or whose sender ended before it could
-	// record the machine. Lists lag, so it is given time.
-	if l.sweeping && l.Now > seen.firstSeenAt+l.orphanTimeout() {
+	// The request for it was answered late, or its sender ended before it recorded the
+	// machine. The list lags, so the instance counts as an orphan only after orphanTimeout.
+	if l.sweeping && l.Now > seen.graceStartedAt+l.orphanTimeout() {
 		l.handleOrphan(instance)
-		seen.firstSeenAt = l.Now
+		seen.graceStartedAt = l.Now
 	}
 }
 
-// observeKnownInstance takes in what the list says of a machine that has a record.
-func (l *InstanceList) observeKnownInstance(machine *cluster.Machine, instance api.Instance) {
+// observeRecordedInstance handles an instance that has a record: it sets the address and the
+// launch time of the machine, and acts on a failure.
+func (l *InstanceList) observeRecordedInstance(machine *cluster.Machine, instance api.Instance) {
 	if machine.Address == "" {
 		machine.Address = instance.Address
 	}
@@ -167,14 +172,14 @@
 	}
 }
 
-// refresh notes that something was seen now.
-func (l *InstanceList) refresh(seen *sighting) {
+// markSeen sets the time and the round in which something was last seen to now.
+func (l *InstanceList) markSeen(seen *observation) {
 	seen.lastSeenAt = l.Now
 	seen.listRound = l.listRound
 }
 
-// expireUnlisted drops what was seen before and is absent from several lists, and acts on
-// the instances among it.
+// expireUnlisted drops the observations of instances and unknown workers that are absent.
+// The instance sweeper acts on the instances among them.
 func (l *InstanceList) expireUnlisted() {
 	for _, name := range slices.Sorted(maps.Keys(l.listed)) {
 		if !l.isAbsent(l.listed[name]) {
@@ -185,11 +190,11 @@
 			l.handleUnlistedInstance(name)
 		}
 	}
-	maps.DeleteFunc(l.unknownWorkers, func(_ string, seen *sighting) bool { return l.isAbsent(seen) })
+	maps.DeleteFunc(l.unknownWorkers, func(_ string, seen *observation) bool { return l.isAbsent(seen) })
 }
 
-// isAbsent tells whether something was not seen for several rounds of the list, and for
-// long enough.
-func (l *InstanceList) isAbsent(seen *sighting) bool {
-	return seen.listRound < l.listRound-absentRounds && l.Now > seen.lastSeenAt+l.unlistedTimeout()
+// isAbsent reports whether something was not seen for more than maxMissedRounds of the list
+// and for longer than unlistedTimeout.
+func (l *InstanceList) isAbsent(seen *observation) bool {
+	return seen.listRound < l.listRound-maxMissedRounds && l.Now > seen.lastSeenAt+l.unlistedTimeout()
 }
--- a/internal/provisioning/launched_machines.go
+++ b/internal/provisioning/launched_machines.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	// shortfallPlanDelay is how soon it is planned again after the cloud launched fewer
-	// machines than were requested.
+	// shortfallPlanDelay is the longest time to the next scheduling cycle after the cloud
+	// launched fewer machines than were requested.
 	shortfallPlanDelay = micros.Second / 5
-	// machineBatchDivisor is the part of a log entry, one in so many, that a batch of
-	// new machines may fill: the rest is left for tasks and for other machines.
+	// machineBatchDivisor bounds a batch of new machines: it may fill the largest log entry
+	// divided by this. The rest is left for tasks and other machines.
 	machineBatchDivisor = 3
 )
 
-// recordLaunched has the machines recorded that the cloud launched for a request. Fewer
-// than requested mean that the cloud has no more of the kind.
+// recordLaunched queues the machines that the cloud launched for a request to be recorded.
+// Fewer machines than requested mean that the cloud has no more of the kind.
 func (p *Provisioner) recordLaunched(partition *cluster.Partition, request *provisioningRequest, names []string) {
 	p.LogInfo("machines launched",
 		logkey.Partition, partition.Index,
@@ -28,32 +28,32 @@
 		logkey.Requested, request.launch.Count,
 		logkey.Launched, len(names))
 	if len(names) < request.launch.Count {
-		p.unavailableUntil[request.kind] = p.Now + p.refusalMemory()
-		p.ledger(partition).countPendingMachines(request.kind, len(names)-request.launch.Count)
+		p.unavailableUntil[request.kind] = p.Now + p.refusalBackoff()
+		p.tracker(partition).adjustPendingMachines(request.kind, len(names)-request.launch.Count)
 		p.trigger.RequestWithin(shortfallPlanDelay)
 	}
 	for batch := range slices.Chunk(names, p.machineBatchSize()) {
-		p.addMachineBatch(partition, request, batch)
+		p.queueMachineBatch(partition, request, batch)
 	}
 	if request.unrecordedBatches == 0 {
-		p.ledger(partition).withdraw(request)
+		p.tracker(partition).remove(request)
 	}
 }
 
-// machineBatchSize is how many machines are recorded at a time.
+// machineBatchSize returns how many machines a batch has at most.
 func (p *Provisioner) machineBatchSize() int {
 	return max(1, p.Settings.MaxValueBytes()/machineBatchDivisor/cluster.MaxMachineRecordBytes)
 }
 
-// addMachineBatch has some of the machines of a request recorded. The request is withdrawn
-// once all of its batches are.
-func (p *Provisioner) addMachineBatch(partition *cluster.Partition, request *provisioningRequest, names []string) {
+// queueMachineBatch queues some of the machines of a request to be recorded together. The
+// request is removed once all its batches are recorded.
+func (p *Provisioner) queueMachineBatch(partition *cluster.Partition, request *provisioningRequest, names []string) {
 	request.unrecordedBatches++
 	onRecorded := func() {
-		p.ledger(partition).countPendingMachines(request.kind, -len(names))
+		p.tracker(partition).adjustPendingMachines(request.kind, -len(names))
 		request.unrecordedBatches--
 		if request.unrecordedBatches == 0 {
-			p.ledger(partition).withdraw(request)
+			p.tracker(partition).remove(request)
 		}
 	}
 	partition.MachineBatches = append(partition.MachineBatches, &cluster.MachineBatch{
@@ -62,8 +62,8 @@
 	})
 }
 
-// launchedRecords makes the records of launched machines, without those that were adopted
-// and deleted before the answer came.
+// launchedRecords returns the records of launched machines. It leaves out machines that
+// were adopted as orphans and deleted before the answer came.
 func (p *Provisioner) launchedRecords(
 	partition *cluster.Partition, request *provisioningRequest, names []string,
 ) []records.Machine {
--- a/internal/provisioning/list_findings.go
+++ b/internal/provisioning/list_findings.go
@@ -8,53 +8,55 @@
 	"spurmoor/internal/peer"
 )
 
-// Why a machine is scaled in by what the cloud's list says, as the log gives it.
+// Reasons in the log for scaling in a machine because of the cloud's list.
 const (
 	reasonFailed   = "failed"
 	reasonUnlisted = "no longer listed"
 )
 
 const (
-	// MaxFindings is how many findings of one kind a message to another controller holds.
+	// MaxFindings is the most findings of one kind in a heartbeat to other controllers.
 	MaxFindings = 100
-	// findingDuration is how long a finding is told to the other controllers: several
-	// heartbeats, for one may be lost.
+	// findingDuration is how long a finding is sent to the other controllers. It spans
+	// several heartbeats, as one may be lost.
 	findingDuration = 5 * micros.Second
-	// orphanGraceS and unlistedGraceS are how many seconds beyond listLags times its lag
-	// the list is given to show a record's machine, or an instance again.
-	orphanGraceS   = 5
+	// orphanGraceS is added to the lag of the list in orphanTimeout, in seconds.
+	orphanGraceS = 5
+	// unlistedGraceS is added to the lag of the list in unlistedTimeout, in seconds.
 	unlistedGraceS = 10
-	listLags       = 2
+	// listLagFactor is how many times the lag of the list both timeouts allow for.
+	listLagFactor = 2
 )
 
-// ListFindings is what the controller that sweeps the cloud's list found of machines that
-// other controllers lead. They are told for a few seconds. Nothing rests on it, for each
-// judges by what it knows itself, and a machine's missed heartbeats are noticed without
-// the list.
+// ListFindings is what an instance sweeper found in the cloud's list that other controllers
+// are to act on: machines whose partitions they lead, and orphans. The findings are sent for
+// findingDuration. They may get lost: each controller decides by its own state, and missed
+// heartbeats of a machine are noticed without the list.
 type ListFindings struct {
 	Failed   []ListFinding
 	Unlisted []ListFinding
 	Orphans  []ListFinding
 }
 
-// ListFinding is something found in the cloud's list at a time.
+// ListFinding is an instance that was found, and when.
 type ListFinding struct {
-	instance peer.Orphan // only its name, of a machine that has a record
+	instance peer.Orphan // only Machine is set if it has a record
 	foundAt  micros.Micros
 }
 
-// addFinding notes something for the other controllers, unless it is known or the list is
-// full.
-func (l *InstanceList) addFinding(list *[]ListFinding, instance peer.Orphan) {
-	known := slices.ContainsFunc(*list, func(finding ListFinding) bool {
+// addFinding adds an instance to findings, unless it is already there or there are
+// MaxFindings.
+func (l *InstanceList) addFinding(findings *[]ListFinding, instance peer.Orphan) {
+	known := slices.ContainsFunc(*findings, func(finding ListFinding) bool {
 		return finding.instance.Machine == instance.Machine
 	})
-	if !known && len(*list) < MaxFindings {
-		*list = append(*list, ListFinding{instance: instance, foundAt: l.Now})
+	if !known && len(*findings) < MaxFindings {
+		*findings = append(*findings, ListFinding{instance: instance, foundAt: l.Now})
 	}
 }
 
-// CurrentFindings drops what was told for long enough and gives the rest.
+// CurrentFindings drops the findings that are older than findingDuration and returns the
+// others. The caller must not change them.
 func (l *InstanceList) CurrentFindings() ListFindings {
 	expired := func(finding ListFinding) bool { return l.Now > finding.foundAt+findingDuration }
 	l.findings.Failed = slices.DeleteFunc(l.findings.Failed, expired)
@@ -63,25 +65,26 @@
 	return l.findings
 }
 
-// FindingNames gives the names of the machines found.
-func FindingNames(list []ListFinding) []string {
+// FindingNames returns the names of the machines in findings.
+func FindingNames(findings []ListFinding) []string {
 	var names []string
-	for _, finding := range list {
+	for _, finding := range findings {
 		names = append(names, finding.instance.Machine)
 	}
 	return names
 }
 
-// FindingOrphans gives the orphans found.
-func FindingOrphans(list []ListFinding) []peer.Orphan {
+// FindingOrphans returns the orphans in findings.
+func FindingOrphans(findings []ListFinding) []peer.Orphan {
 	var orphans []peer.Orphan
-	for _, finding := range list {
+	for _, finding := range findings {
 		orphans = append(orphans, finding.instance)
 	}
 	return orphans
 }
 
-// handleFailedInstance acts on a machine that the cloud lists as failed.
+// handleFailedInstance scales in a machine that the cloud lists as failed, or tells the other
+// controllers of it if this one does not lead its partition.
 func (l *InstanceList) handleFailedInstance(machine *cluster.Machine) {
 	if l.cluster.LedPartition(machine) != nil {
 		l.registry.ScaleIn(machine, reasonFailed)
@@ -90,8 +93,9 @@
 	l.addFinding(&l.findings.Failed, peer.Orphan{Machine: machine.Name})
 }
 
-// handleUnlistedInstance acts on an instance that the cloud listed once and does not list
-// any more. A machine of ours is scaled in only if it sent nothing for as long either.
+// handleUnlistedInstance acts on an instance that the cloud listed before and no longer
+// lists. Its machine is scaled in only if its worker has been silent for unlistedTimeout too.
+// If this controller does not lead its partition, the others are told.
 func (l *InstanceList) handleUnlistedInstance(name string) {
 	machine := l.cluster.Machines[name]
 	if machine == nil || machine.Record.MarkedForDeletion {
@@ -106,20 +110,20 @@
 	}
 }
 
-// unlistedTimeout is how long a machine must be absent from the list, and silent, to be
-// taken for gone.
+// unlistedTimeout returns how long a machine must be absent from the list and silent before
+// it counts as gone.
 func (l *InstanceList) unlistedTimeout() micros.Micros {
-	return micros.FromSeconds(listLags*l.Settings.Deployment.Cloud.ListLagS + unlistedGraceS)
+	return micros.FromSeconds(listLagFactor*l.Settings.Deployment.Cloud.ListLagS + unlistedGraceS)
 }
 
-// orphanTimeout is how long an instance may be listed without a record before it is taken
-// for an orphan.
+// orphanTimeout returns how long an instance may be listed without a record before it
+// counts as an orphan.
 func (l *InstanceList) orphanTimeout() micros.Micros {
-	return micros.FromSeconds(listLags*l.Settings.Deployment.Cloud.ListLagS + orphanGraceS)
+	return micros.FromSeconds(listLagFactor*l.Settings.Deployment.Cloud.ListLagS + orphanGraceS)
 }
 
-// ApplyPeerFindings acts on what another controller found in the list, where it concerns
-// machines of ours or orphans.
+// ApplyPeerFindings acts on what another controller found in the cloud's list: on machines of
+// partitions that this controller leads, and on orphans.
 func (l *InstanceList) ApplyPeerFindings(heartbeat *peer.Heartbeat) {
 	for _, name := range heartbeat.FailedMachines {
 		if machine := l.ledMachine(name); machine != nil {
@@ -138,7 +142,8 @@
 	}
 }
 
-// ledMachine gives a machine of a partition that we lead; nil: there is none of this name.
+// ledMachine returns the machine of a name, or nil if there is none or this controller does
+// not lead its partition.
 func (l *InstanceList) ledMachine(name string) *cluster.Machine {
 	machine := l.cluster.Machines[name]
 	if machine == nil || l.cluster.LedPartition(machine) == nil {
--- a/internal/provisioning/orphan_adoption.go
+++ b/internal/provisioning/orphan_adoption.go
@@ -13,30 +13,32 @@
 	"spurmoor/internal/records"
 )
 
-// sourceListed is said in the log of an orphan that the cloud's list showed.
+// sourceListed is the source in the log of an orphan that was found in the cloud's list.
 const sourceListed = "listed"
 
-// unknownWorkerGrace is how long a worker may be unknown before it is probed: the record of
-// a new machine takes a moment to be committed and to reach this controller.
+// unknownWorkerGrace is how long a worker may have no record before it is probed: the record
+// of a new machine takes a moment to be committed and to reach this controller.
 const unknownWorkerGrace = 6 * micros.Second
 
-// ObserveUnknownWorker notes the heartbeat of a worker that no record is known of. A worker
-// that goes on is probed, for only what answers exists: the heartbeat may be a late copy
-// of one from a machine deleted long ago.
+// ObserveUnknownWorker handles the heartbeat of a worker whose machine has no record. If
+// heartbeats still come after unknownWorkerGrace, the orphan adopter probes the worker: a
+// heartbeat alone may be a late copy from a machine that was deleted long ago, but only a
+// machine that exists answers a probe.
 func (l *InstanceList) ObserveUnknownWorker(heartbeat *api.Heartbeat) {
 	seen := l.unknownWorkers[heartbeat.Machine]
 	if seen == nil {
-		seen = &sighting{firstSeenAt: l.Now}
+		seen = &observation{graceStartedAt: l.Now}
 		l.unknownWorkers[heartbeat.Machine] = seen
 	}
-	l.refresh(seen)
-	if l.Now > seen.firstSeenAt+unknownWorkerGrace && l.roles.MayActAs(leadership.OrphanAdopter) {
-		seen.firstSeenAt = l.Now
+	l.markSeen(seen)
+	if l.Now > seen.graceStartedAt+unknownWorkerGrace && l.roles.MayActAs(leadership.OrphanAdopter) {
+		seen.graceStartedAt = l.Now
 		l.Emit(message.NewProbe(heartbeat.Machine, heartbeat.Address, heartbeat.Incarnation))
 	}
 }
 
-// handleOrphan acts on an instance in the list that no record is known of.
+// handleOrphan adopts an instance in the cloud's list that has no record. If this controller
+// does not adopt orphans, it tells the others of the instance.
 func (l *InstanceList) handleOrphan(instance api.Instance) {
 	orphan := peer.Orphan{Machine: instance.ID, Type: instance.Type, Zone: instance.Zone, Spot: instance.Spot}
 	if !l.AdoptOrphan(orphan, sourceListed) {
@@ -44,9 +46,10 @@
 	}
 }
 
-// AdoptOrphan has an orphaned instance recorded in a partition of ours; it is used or
-// scaled in like any other machine. It tells whether that is this controller's role.
-// source is how the orphan was found, for the log.
+// AdoptOrphan queues an orphaned instance to be recorded in a partition that this controller
+// leads, unless it was recently deleted or is already queued. Once recorded, it is used or
+// scaled in like any other machine. AdoptOrphan reports whether adopting orphans is up to
+// this controller. source says in the log how the orphan was found.
 func (l *InstanceList) AdoptOrphan(orphan peer.Orphan, source string) bool {
 	if !l.roles.MayActAs(leadership.OrphanAdopter) || !l.roles.LeadsAnyPartition() {
 		return false
@@ -79,7 +82,7 @@
 	return true
 }
 
-// firstLedPartition gives the first partition that we lead; nil: there is none.
+// firstLedPartition returns the first partition that this controller leads, or nil.
 func (l *InstanceList) firstLedPartition() *cluster.Partition {
 	for _, partition := range l.cluster.Partitions {
 		if partition.Leads() {
@@ -89,7 +92,7 @@
 	return nil
 }
 
-// isBeingRecorded tells whether a machine's first record waits to be committed.
+// isBeingRecorded reports whether the first record of a machine waits to be committed.
 func (l *InstanceList) isBeingRecorded(name string) bool {
 	hasName := func(record records.Machine) bool { return record.Name == name }
 	for _, partition := range l.cluster.Partitions {
--- a/internal/provisioning/provisioner.go
+++ b/internal/provisioning/provisioner.go
@@ -1,7 +1,8 @@
-// Package provisioning deals with the cloud: requests for machines, the list of the
-// instances that exist, and deletions.
+// Package provisioning manages the machines that the cloud runs: it requests machines,
+// reads the list of existing instances, adopts orphaned ones and deletes machines that
+// are scaled in. It also keeps the catalog of machine types.
 //
-// It is pure: it does no input or output, reads no clock and starts no goroutine.
+// The package is pure: it does no input or output, reads no clock and starts no goroutine.
 package provisioning
 
 import (
@@ -15,10 +16,12 @@
 	"spurmoor/internal/scheduler"
 )
 
-// The cloud's answers that differ in what follows from them; 0 means that none came.
+// The statuses of the cloud's replies are in package message; message.StatusNoReply means
+// that no reply came.
 const ()
 
-// Provisioner requests machines from the cloud and has those that are launched recorded.
+// Provisioner requests machines from the cloud and queues the launched ones to be recorded
+// in the log of their partition. It acts only for partitions that this controller leads.
 type Provisioner struct {
 	*coordination.Environment
 	budget       *coordination.WriteBudget
@@ -29,13 +32,13 @@
 	transactions *coordination.TransactionSender
 	trigger      *cluster.CycleTrigger
 
-	ledgers           []*requestLedger // by partition
+	trackers          []*requestTracker // by partition
 	lastRequestNumber int
-	unavailableUntil  map[scheduler.InstanceKind]micros.Micros // kinds that the cloud refused
-	RecordingRequests bool                                     // requests are recorded before they are sent, as was logged last
+	unavailableUntil  map[scheduler.InstanceKind]micros.Micros // kinds not to be requested for now
+	RecordingRequests bool                                     // requests are recorded before they are sent; the value logged last
 }
 
-// NewProvisioner makes a provisioner without open requests.
+// NewProvisioner returns a provisioner without open requests.
 func NewProvisioner(
 	env *coordination.Environment,
 	budget *coordination.WriteBudget,
@@ -58,24 +61,25 @@
 		unavailableUntil: map[scheduler.InstanceKind]micros.Micros{},
 	}
 	for range state.Partitions {
-		provisioner.ledgers = append(provisioner.ledgers, &requestLedger{})
+		provisioner.trackers = append(provisioner.trackers, &requestTracker{})
 	}
 	return provisioner
 }
 
-// ledger gives the requests of a partition.
-func (p *Provisioner) ledger(partition *cluster.Partition) *requestLedger {
-	return p.ledgers[partition.Index]
+// tracker returns the open requests of a partition.
+func (p *Provisioner) tracker(partition *cluster.Partition) *requestTracker {
+	return p.trackers[partition.Index]
 }
 
-// PendingMachines gives how many machines of each kind a partition requested that are not
-// recorded yet.
+// PendingMachines returns how many machines of each kind a partition has requested that
+// are not recorded yet. Deferred requests do not count. The caller must not change the map.
 func (p *Provisioner) PendingMachines(partition *cluster.Partition) map[scheduler.InstanceKind]int {
-	return p.ledger(partition).pendingMachines
+	return p.tracker(partition).pendingMachines
 }
 
-// UnavailableKinds gives the kinds that the cloud refused of late, and forgets those that
-// may be requested again.
+// UnavailableKinds returns the kinds that are not to be requested for now: the cloud
+// recently refused them, did not answer, or launched fewer machines than requested. It
+// drops the kinds that may be requested again.
 func (p *Provisioner) UnavailableKinds() map[scheduler.InstanceKind]bool {
 	kinds := map[scheduler.InstanceKind]bool{}
 	for kind, until := range p.unavailableUntil {
@@ -88,8 +92,8 @@
 	return kinds
 }
 
-// ReconcileRequests records and sends what is due of the requests of the partitions that
-// we lead.
+// ReconcileRequests records and sends the requests that are due, for each partition that
+// this controller leads.
 func (p *Provisioner) ReconcileRequests() {
 	for _, partition := range p.cluster.Partitions {
 		if partition.Leads() {
@@ -99,16 +103,17 @@
 	}
 }
 
-// ScaleOut requests machines of one kind: by the open request for that kind that was
-// refused, if there is one and as much is wanted, and by a new one for the rest.
+// ScaleOut requests count machines of one kind. A deferred request for the kind is sent
+// again if it asks for no more than count, and is removed otherwise. A new request asks
+// for the remaining machines.
 func (p *Provisioner) ScaleOut(partition *cluster.Partition, kind scheduler.InstanceKind, count int) {
-	ledger := p.ledger(partition)
-	if deferred := ledger.deferredRequest(kind); deferred != nil {
+	tracker := p.tracker(partition)
+	if deferred := tracker.deferredRequest(kind); deferred != nil {
 		if deferred.launch.Count <= count {
-			p.resumeRequest(ledger, deferred)
+			p.resumeRequest(tracker, deferred)
 			count -= deferred.launch.Count
 		} else {
-			ledger.withdraw(deferred)
+			tracker.remove(deferred)
 		}
 	}
 	if count > 0 {
@@ -118,21 +123,23 @@
 	p.sendDueRequests(partition)
 }
 
-// resumeRequest has a refused request sent again under its name.
-func (p *Provisioner) resumeRequest(ledger *requestLedger, request *provisioningRequest) {
+// resumeRequest makes a deferred request due again under the same name.
+func (p *Provisioner) resumeRequest(tracker *requestTracker, request *provisioningRequest) {
 	request.deferred = false
 	request.attempts = 0
 	request.nextSendAt = p.Now
-	ledger.countPendingMachines(request.kind, request.launch.Count)
+	tracker.adjustPendingMachines(request.kind, request.launch.Count)
 }
 
-// maxMachinesPerRequest is how many machines the cloud launches by one request.
+// maxMachinesPerRequest is the most machines that the cloud launches for one request.
 const maxMachinesPerRequest = 50
 
-// openRequest opens a new request, unless the partition has as many open as may be.
+// openRequest opens a new request for at most maxMachinesPerRequest machines. If the
+// partition has the maximum number of open requests, a deferred one is removed for it; if
+// none is deferred, nothing is requested.
 func (p *Provisioner) openRequest(partition *cluster.Partition, kind scheduler.InstanceKind, count int) {
-	ledger := p.ledger(partition)
-	if len(ledger.open) >= p.maxOpenRequests() && !ledger.withdrawAnyDeferred() {
+	tracker := p.tracker(partition)
+	if len(tracker.open) >= p.maxOpenRequests() && !tracker.removeOldestDeferred() {
 		return
 	}
 	request := &provisioningRequest{
@@ -145,17 +152,17 @@
 			Count: min(count, maxMachinesPerRequest),
 		},
 	}
-	ledger.countPendingMachines(kind, request.launch.Count)
-	ledger.open = append(ledger.open, request)
+	tracker.adjustPendingMachines(kind, request.launch.Count)
+	tracker.open = append(tracker.open, request)
 	if p.schema.RecordsRequests() {
-		ledger.mustRecord = true
-		return // sent once that is committed
+		tracker.mustRecord = true
+		return // it is sent once its record is committed
 	}
 	request.recorded = true
 }
 
-// nextRequestName gives a name that is never used for another request: the term in it is
-// unique among all controllers.
+// nextRequestName returns a name that no other request ever has: no two controllers lead
+// the partition under the same term.
 func (p *Provisioner) nextRequestName(partition *cluster.Partition) string {
 	p.lastRequestNumber++
 	return "p" + strconv.Itoa(partition.Index) +
@@ -163,16 +170,18 @@
 		"-" + strconv.Itoa(p.lastRequestNumber)
 }
 
-// TrackRequestRecording has every open request recorded once recording begins to be
-// wanted: what the record held was written before and means nothing any more.
+// TrackRequestRecording notices when requests begin or cease to be recorded before they
+// are sent, and logs it. When recording begins, the records of all partitions that this
+// controller leads are written: the old ones date from before recording was last turned
+// off and do not match the open requests.
 func (p *Provisioner) TrackRequestRecording() {
-	wanted := p.schema.RecordsRequests()
-	if wanted == p.RecordingRequests {
+	recording := p.schema.RecordsRequests()
+	if recording == p.RecordingRequests {
 		return
 	}
-	p.RecordingRequests = wanted
-	p.LogInfo("scale-out requests are recorded before they are sent", logkey.Recorded, wanted)
+	p.RecordingRequests = recording
+	p.LogInfo("scale-out requests are recorded before they are sent", logkey.Recorded, recording)
 	for _, partition := range p.cluster.Partitions {
-		p.ledger(partition).mustRecord = partition.Leads() && wanted
+		p.tracker(partition).mustRecord = partition.Leads() && recording
 	}
 }
--- a/internal/provisioning/request_records.go
+++ b/internal/provisioning/request_records.go
@@ -16,9 +16,9 @@
 	"github.com/go-json-experiment/json"
 )
 
-// RequestRecord is an open request as it is kept in the key-value store.
+// RequestRecord is one open request in a RequestsRecord.
 type RequestRecord struct {
-	Request  string `json:"q"`
+	Name     string `json:"q"`
 	Type     string `json:"t"`
 	Zone     string `json:"z"`
 	Spot     bool   `json:"s,omitzero"`
@@ -26,90 +26,91 @@
 	Deferred bool   `json:"f,omitzero"`
 }
 
-// RequestsRecord is the value of a partition's key: all requests that its leader has open.
+// RequestsRecord is a value in the key-value store: all open requests of a partition.
 type RequestsRecord struct {
 	Open []RequestRecord `json:"r,omitzero"`
 }
 
 const (
-	// requestRecordBytes is the most that a recorded request takes.
+	// requestRecordBytes is the largest size of an encoded RequestRecord.
 	requestRecordBytes = 160
-	// requestsTransactionDivisor is the part of the largest transaction, one in so many,
-	// that a record of open requests may fill.
+	// requestsTransactionDivisor bounds the record of open requests: it may fill the
+	// largest transaction divided by this.
 	requestsTransactionDivisor = 8
-	// minOpenRequests may be open however small the store's values are.
+	// minOpenRequests is how many requests may be open at least, however small the store's
+	// values are.
 	minOpenRequests = 2
-	// requestsRecordInterval is how often a record is written that is merely outdated.
-	requestsRecordInterval = 5 * micros.Second
+	// recordCleanupInterval is the least time between two writes of a record for which no
+	// new request waits.
+	recordCleanupInterval = 5 * micros.Second
 )
 
-// maxOpenRequests is how many requests a partition may have open: as many as its record
-// has room for.
+// maxOpenRequests returns how many requests a partition may have open: as many as fit into
+// its record.
 func (p *Provisioner) maxOpenRequests() int {
-	room := min(p.Settings.MaxValueBytes(), cluster.MaxTransactionBytes/requestsTransactionDivisor)
-	return max(minOpenRequests, room/requestRecordBytes)
+	maxRecordBytes := min(p.Settings.MaxValueBytes(), cluster.MaxTransactionBytes/requestsTransactionDivisor)
+	return max(minOpenRequests, maxRecordBytes/requestRecordBytes)
 }
 
-// requestsKey is the key of a partition's record of open requests.
+// requestsKey returns the key of a partition's record of open requests.
 func requestsKey(partition *cluster.Partition) string {
 	return records.RequestsPrefix + strconv.Itoa(partition.Index)
 }
 
-// recordRequests writes a partition's open requests to the store where new ones wait to be
-// sent, and now and then where others were settled: a request whose machines are recorded
-// may stay in the record for a while, for repeated by another leader it gives the same
-// machines, which are known or lately deleted.
+// recordRequests writes a partition's open requests to the store: at once if new ones wait
+// to be sent, and otherwise every recordCleanupInterval if the record is outdated. A
+// request whose machines are recorded may stay in the record for a while. If a new leader
+// repeats it, the cloud returns the same machines, which are known or recently deleted.
 func (p *Provisioner) recordRequests(partition *cluster.Partition) {
-	ledger := p.ledger(partition)
-	outdated := ledger.outdated && p.Now > ledger.recordedAt+requestsRecordInterval
-	if ledger.writeInFlight != nil || !ledger.mustRecord && !outdated || !p.schema.RecordsRequests() {
+	tracker := p.tracker(partition)
+	outdated := tracker.recordOutdated && p.Now > tracker.recordedAt+recordCleanupInterval
+	if tracker.writeInFlight != nil || !tracker.mustRecord && !outdated || !p.schema.RecordsRequests() {
 		return
 	}
-	transaction := p.requestsTransaction(partition, ledger)
-	ledger.writeInFlight = transaction
-	ledger.mustRecord = false
-	ledger.outdated = false
-	ledger.recordedAt = p.Now
+	transaction := p.requestsTransaction(partition, tracker)
+	tracker.writeInFlight = transaction
+	tracker.mustRecord = false
+	tracker.recordOutdated = false
+	tracker.recordedAt = p.Now
 	p.budget.ChargeUnthrottled(1)
 	p.transactions.Submit(transaction)
 }
 
-// requestsTransaction makes the write of a partition's open requests. It compares the
-// record's version besides the term: a late copy of it would otherwise bring back
-// requests that are settled.
-func (p *Provisioner) requestsTransaction(partition *cluster.Partition, ledger *requestLedger) *coordination.Transaction {
+// requestsTransaction returns the transaction that writes a partition's open requests. It
+// compares the version of the record as well as the term: otherwise a late copy of the
+// transaction would restore requests that have been removed.
+func (p *Provisioner) requestsTransaction(partition *cluster.Partition, tracker *requestTracker) *coordination.Transaction {
 	key := requestsKey(partition)
-	open := slices.Clone(ledger.open)
+	open := slices.Clone(tracker.open)
 	return &coordination.Transaction{
 		Request: api.Transaction{
 			Compares: []api.Compare{
 				{Key: partition.Key(), Version: api.Revision(partition.Term)},
-				{Key: key, Version: ledger.version},
+				{Key: key, Version: tracker.recordVersion},
 			},
-			Writes: []api.Write{{Put: key, Value: records.MustMarshal(recordOf(open))}},
+			Writes: []api.Write{{Put: key, Value: records.MustMarshal(newRequestsRecord(open))}},
 		},
 		Grant: func() leadership.Grant { return p.storeLease.Grant(partition.RoleState, leadership.Write) },
 		OnCommitted: func(revision api.Revision) {
-			ledger.writeInFlight = nil
-			ledger.version = max(ledger.version, revision)
+			tracker.writeInFlight = nil
+			tracker.recordVersion = max(tracker.recordVersion, revision)
 			for _, request := range open {
 				request.recorded = true
 			}
 			p.sendDueRequests(partition)
 		},
 		OnRefused: func() {
-			ledger.writeInFlight = nil
-			ledger.mustRecord = true
+			tracker.writeInFlight = nil
+			tracker.mustRecord = true
 		},
 	}
 }
 
-// recordOf gives the record of open requests.
-func recordOf(open []*provisioningRequest) RequestsRecord {
+func newRequestsRecord(open []*provisioningRequest) RequestsRecord {
 	var record RequestsRecord
 	for _, request := range open {
 		record.Open = append(record.Open, RequestRecord{
-			Request:  request.launch.Name,
+			Name:     request.launch.Name,
 			Type:     request.kind.Type,
 			Zone:     request.kind.Zone,
 			Spot:     request.kind.Spot,
@@ -120,72 +121,72 @@
 	return record
 }
 
-// ApplyRequests takes in a partition's record of open requests unless a newer one is known;
-// name is what follows the prefix in its key. A record that cannot be read counts as
-// empty, and its error is returned.
-func (p *Provisioner) ApplyRequests(name string, value []byte, version api.Revision) error {
-	ledger := p.ledgerNamed(name)
-	if ledger == nil || ledger.version >= version {
+// ApplyRequests handles a partition's record of open requests, unless a newer one is
+// known. keySuffix is the part of its key after the prefix. A record that cannot be decoded
+// counts as empty, and the error is returned.
+func (p *Provisioner) ApplyRequests(keySuffix string, value []byte, version api.Revision) error {
+	tracker := p.trackerForKey(keySuffix)
+	if tracker == nil || tracker.recordVersion >= version {
 		return nil
 	}
 	var record RequestsRecord
 	err := json.Unmarshal(value, &record)
-	ledger.version = version
-	ledger.storedRequests = record.Open
+	tracker.recordVersion = version
+	tracker.storedRequests = record.Open
 	return err //nolint:wrapcheck // the caller logs it with the key that it was read from
 }
 
-// ledgerNamed gives the requests of the partition whose number is written in name; nil: there
-// is no such partition.
-func (p *Provisioner) ledgerNamed(name string) *requestLedger {
-	index, err := strconv.Atoi(name)
-	if err != nil || index < 0 || index >= len(p.ledgers) {
+// trackerForKey returns the requests of the partition whose index is keySuffix, or nil if
+// there is no such partition.
+func (p *Provisioner) trackerForKey(keySuffix string) *requestTracker {
+	index, err := strconv.Atoi(keySuffix)
+	if err != nil || index < 0 || index >= len(p.trackers) {
 		return nil
 	}
-	return p.ledgers[index]
+	return p.trackers[index]
 }
 
-// AbandonRequests forgets the requests of a partition that was lost: its next leader
-// repeats them.
+// AbandonRequests drops the open requests of a partition that this controller no longer
+// leads: the next leader repeats them. Replies that still come are ignored.
 func (p *Provisioner) AbandonRequests(partition *cluster.Partition) {
-	ledger := p.ledger(partition)
-	for _, request := range ledger.open {
+	tracker := p.tracker(partition)
+	for _, request := range tracker.open {
 		request.abandoned = true
 	}
-	if ledger.writeInFlight != nil {
-		ledger.writeInFlight.Settled = true // it was carried out before the partition was lost, or never
+	if tracker.writeInFlight != nil {
+		tracker.writeInFlight.Settled = true // it compares the term: it was carried out before the loss or never will be
 	}
-	*ledger = requestLedger{version: ledger.version, storedRequests: ledger.storedRequests}
+	*tracker = requestTracker{recordVersion: tracker.recordVersion, storedRequests: tracker.storedRequests}
 }
 
-// AdoptOpenRequests repeats, after a failover, the requests that the former leader had
-// open.
+// AdoptOpenRequests opens, after a failover, the requests that the former leader recorded.
+// They are sent again, except for deferred ones, which stay deferred.
 func (p *Provisioner) AdoptOpenRequests(partition *cluster.Partition) {
 	if !p.schema.RecordsRequests() {
 		return
 	}
-	ledger := p.ledger(partition)
-	for _, record := range ledger.storedRequests {
-		request := p.requestOf(record)
+	tracker := p.tracker(partition)
+	for _, record := range tracker.storedRequests {
+		request := p.requestFromRecord(record)
 		if !request.deferred {
-			ledger.countPendingMachines(request.kind, record.Count)
+			tracker.adjustPendingMachines(request.kind, record.Count)
 		}
-		ledger.open = append(ledger.open, request)
+		tracker.open = append(tracker.open, request)
 	}
-	if count := len(ledger.storedRequests); count > 0 {
+	if count := len(tracker.storedRequests); count > 0 {
 		p.LogInfo("scale-out requests of the former leader repeated",
 			logkey.Partition, partition.Index,
 			logkey.Requests, count)
 	}
 }
 
-// requestOf makes a request of the record of a former leader: whether it was sent, and
-// carried out, is not known.
-func (p *Provisioner) requestOf(record RequestRecord) *provisioningRequest {
+// requestFromRecord returns an open request for a former leader's record. Its outcome is
+// unknown: the former leader may have sent it.
+func (p *Provisioner) requestFromRecord(record RequestRecord) *provisioningRequest {
 	return &provisioningRequest{
 		kind: scheduler.InstanceKind{Type: record.Type, Zone: record.Zone, Spot: record.Spot},
 		launch: api.LaunchRequest{
-			Name:  record.Request,
+			Name:  record.Name,
 			Type:  record.Type,
 			Zone:  record.Zone,
 			Spot:  record.Spot,
--- a/internal/provisioning/request_sending.go
+++ b/internal/provisioning/request_sending.go
@@ -11,33 +11,36 @@
 )
 
 const (
-	// maxRequestAttempts is how often a request is sent in a row without an answer.
+	// maxRequestAttempts is how often a request is sent in a row without an answer before
+	// it counts as refused.
 	maxRequestAttempts = 4
-	// requestRetryInterval is how long a request waits that there was no grant for.
+	// requestRetryInterval is how long a request waits that could not be sent because there
+	// was no valid grant for it.
 	requestRetryInterval = micros.Second / 2
-	// requestLookaheadS is how many seconds' worth of the cloud's calls a partition's
-	// requests may take up at a time: a request that waited for longer would outlive
-	// its grant.
-	requestLookaheadS = 2.0
-	// launchCallShare is the share of the cloud's calls that one controller's requests
-	// take.
+	// maxQueueTimeS is how many seconds it may take to send the requests of a partition that
+	// are in flight, at this controller's rate of calls. A request that waited longer would
+	// outlive its grant.
+	maxQueueTimeS = 2.0
+	// launchCallShare is the share of the cloud's rate limit that the requests of one
+	// controller may use.
 	launchCallShare = 0.5
-	// refusalPlanDelay is how soon it is planned again after a refusal, so that another
-	// kind is chosen.
+	// refusalPlanDelay is the longest time from a refusal to the next scheduling cycle,
+	// which chooses another kind.
 	refusalPlanDelay = micros.Second
 )
 
-// maxRequestsInFlight is how many requests of a partition may wait for an answer.
+// maxRequestsInFlight returns how many requests of a partition may wait for an answer.
 func (p *Provisioner) maxRequestsInFlight() int {
-	return max(1, int(requestLookaheadS*p.Settings.Deployment.Cloud.RPS*launchCallShare))
+	return max(1, int(maxQueueTimeS*p.Settings.Deployment.Cloud.RPS*launchCallShare))
 }
 
-// sendDueRequests sends what is due of a partition's open requests.
+// sendDueRequests sends the open requests of a partition that are due, up to
+// maxRequestsInFlight.
 func (p *Provisioner) sendDueRequests(partition *cluster.Partition) {
-	ledger := p.ledger(partition)
+	tracker := p.tracker(partition)
 	limit := p.maxRequestsInFlight()
-	for _, request := range slices.Clone(ledger.open) {
-		if ledger.inFlight >= limit {
+	for _, request := range slices.Clone(tracker.open) {
+		if tracker.inFlight >= limit {
 			return
 		}
 		if request.isDue(p.Now) {
@@ -46,7 +49,8 @@
 	}
 }
 
-// sendRequest sends a request, if there is a grant for it now.
+// sendRequest sends a request. Without a grant for it, it is due again after
+// requestRetryInterval.
 func (p *Provisioner) sendRequest(partition *cluster.Partition, request *provisioningRequest) {
 	grant := p.storeLease.Grant(partition.RoleState, leadership.Launch)
 	if grant.Check(leadership.Launch, p.Now) != "" {
@@ -55,20 +59,22 @@
 	}
 	request.inFlight = true
 	request.attempts++
-	p.ledger(partition).inFlight++
+	p.tracker(partition).inFlight++
 	call := message.CloudCall{Op: message.OpLaunch, Launch: leadership.NewOrder(grant, &request.launch)}
 	p.CallCloud(call, func(reply *message.CloudReply) {
 		request.inFlight = false
 		if request.abandoned {
 			return
 		}
-		p.ledger(partition).inFlight--
+		p.tracker(partition).inFlight--
 		p.handleRequestReply(partition, request, reply)
 		p.sendDueRequests(partition)
 	})
 }
 
-// handleRequestReply takes in the answer to a request, or that none came.
+// handleRequestReply handles the reply to a request. A request that was not sent waits
+// for requestRetryInterval. One without an answer is sent up to maxRequestAttempts times in
+// a row.
 func (p *Provisioner) handleRequestReply(partition *cluster.Partition, request *provisioningRequest, reply *message.CloudReply) {
 	switch {
 	case reply.Unsent:
@@ -77,8 +83,8 @@
 	case reply.Status == message.StatusOK:
 		p.recordLaunched(partition, request, reply.Launched)
 	case reply.Status == message.StatusNoReply && request.attempts < maxRequestAttempts:
-		// Whether it was carried out is not known: the same name gives the same
-		// machines.
+		// It may have been carried out. Sent again under the same name, it returns the
+		// machines that it launched.
 		request.outcomeUnknown = true
 		p.sendRequest(partition, request)
 	default:
@@ -87,27 +93,28 @@
 	}
 }
 
-// handleRefusal takes in that no machines are to be had by a request now.
+// handleRefusal handles a request that the cloud refused or did not answer. Its machines are
+// no longer pending, and its kind is not requested again for a while.
 func (p *Provisioner) handleRefusal(partition *cluster.Partition, request *provisioningRequest, status int) {
-	ledger := p.ledger(partition)
-	ledger.countPendingMachines(request.kind, -request.launch.Count)
+	tracker := p.tracker(partition)
+	tracker.adjustPendingMachines(request.kind, -request.launch.Count)
 	p.trigger.RequestWithin(refusalPlanDelay)
 	if p.schema.RecordsRequests() {
-		ledger.deferRequest(request)
+		tracker.deferRequest(request)
 	} else {
-		ledger.withdraw(request)
+		tracker.remove(request)
 	}
 	if status == message.StatusTooManyRequests {
-		return // we called too often: it says nothing of the cloud's capacity
+		return // the rate limit was exceeded, which says nothing about the cloud's capacity
 	}
-	p.unavailableUntil[request.kind] = p.Now + p.Jitter(p.refusalMemory())
+	p.unavailableUntil[request.kind] = p.Now + p.Jitter(p.refusalBackoff())
 	p.LogInfo("scale-out refused",
 		logkey.Partition, partition.Index,
 		logkey.Kind, request.kind.String(),
 		logkey.Status, status)
 }
 
-// refusalMemory is how long a kind that was refused is not requested again.
-func (p *Provisioner) refusalMemory() micros.Micros {
+// refusalBackoff returns how long a kind that the cloud refused is not requested again.
+func (p *Provisioner) refusalBackoff() micros.Micros {
 	return micros.FromSeconds(p.Settings.Operators.RefusalS)
 }
