--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -12,55 +12,55 @@
 )
 
 const (
-	// Properties that all simulated machine types have.
-	machineMemoryGB   = 100
-	machineCacheGB    = 50
-	machineFetchGBs   = 1
-	spotPriceDivisor  = 3
-	instanceIDFormat  = "n-%06d"
-	neverBootsSeconds = 1e6 // longer than any scenario lasts
-	// listLag is how long after its launch the cloud lists an instance; the settings
-	// announce the same lag.
+	// Properties with the same values for all simulated machine types.
+	machineMemoryGB    = 100
+	machineCacheGB     = 50
+	machineFetchGBPerS = 1
+	spotPriceDivisor   = 3
+	instanceIDFormat   = "n-%06d"
+	neverBootsS        = 1e6 // longer than any scenario lasts
+	// listLag is the time from the launch of an instance until the cloud lists it. The
+	// settings of the controllers name the same lag.
 	listLag = listLagS * micros.Second
 )
 
-// cloud stands in for the cloud's interface.
+// cloud simulates the cloud's interface: its catalog and the machines launched from it.
 type cloud struct {
 	sim          *Simulation
 	catalog      []api.MachineType
-	launchedFor  map[string][]string // instances by the name of the launch request
+	launchedFor  map[string][]string // names of instances, by the name of the launch request
 	nextInstance int
 	down         bool
 	noCapacity   bool
 	calls        int
-	// While boot faults last, a share of machines never boots, and the others boot slower
-	// or faster by a factor.
+	// Until bootFaultsUntil a share of the launched machines never boots. The boot time of
+	// the others is multiplied by a factor.
 	bootFaultsUntil micros.Micros
 	bootFailShare   float64
 	bootFactor      float64
 }
 
 func newCloud(sim *Simulation) *cloud {
-	standIn := &cloud{sim: sim, launchedFor: map[string][]string{}}
+	simulated := &cloud{sim: sim, launchedFor: map[string][]string{}}
 	for _, machineType := range sim.scenario.MachineTypes {
-		standIn.catalog = append(standIn.catalog, api.MachineType{
+		simulated.catalog = append(simulated.catalog, api.MachineType{
 			Name: machineType.Name, CPUs: machineType.CPUs, GPUs: machineType.GPUs,
-			MemoryGB: machineMemoryGB, CacheGB: machineCacheGB, FetchGBPerS: machineFetchGBs,
+			MemoryGB: machineMemoryGB, CacheGB: machineCacheGB, FetchGBPerS: machineFetchGBPerS,
 			Price: machineType.Price, SpotPrice: machineType.Price / spotPriceDivisor,
 			BootS: machineType.BootS, Zones: zones,
 		})
 	}
-	return standIn
+	return simulated
 }
 
-// call answers a request of a node's.
+// call executes a request of a node and returns the reply.
 func (c *cloud) call(sender *node, call message.CloudCall) *message.CloudReply {
 	reply := &message.CloudReply{CallID: call.CallID, Status: http.StatusOK}
 	c.calls++
 	if c.down {
 		reply.Status = http.StatusServiceUnavailable
 		if call.Op == message.OpLaunch {
-			c.noteLaunch(sender, call.Launch, false)
+			c.trackLaunch(sender, call.Launch, false)
 		}
 		return reply
 	}
@@ -72,20 +72,21 @@
 		if reply.Launched = c.launch(call.Launch.Body()); len(reply.Launched) == 0 {
 			reply.Status = http.StatusServiceUnavailable
 		}
-		c.noteLaunch(sender, call.Launch, len(c.sim.workers) > machinesBefore)
+		c.trackLaunch(sender, call.Launch, len(c.sim.workers) > machinesBefore)
 	case message.OpDelete:
-		c.sim.noteOrderUnder(sender, call.Delete.Grant(), "", c.delete(call.Delete.Body()))
+		c.sim.trackGrantedOrder(sender, call.Delete.Grant(), "", c.delete(call.Delete.Body()))
 	case message.OpListInstances:
 		reply.Instances.Instances = c.list(call.After)
 	}
 	return reply
 }
 
-// list returns the instances whose names follow one. New ones are not listed at once.
+// list returns the instances whose names sort after a name. Instances are listed only
+// listLag after their launch.
 func (c *cloud) list(after string) []api.Instance {
 	var instances []api.Instance
 	for _, worker := range c.sim.workers {
-		if worker.gone || worker.name <= after || c.sim.now < worker.launchedAt+listLag {
+		if worker.terminated || worker.name <= after || c.sim.now < worker.launchedAt+listLag {
 			continue
 		}
 		state := api.InstanceBooting
@@ -100,33 +101,33 @@
 	return instances
 }
 
-// noteLaunch notes that a launch request arrived.
-func (c *cloud) noteLaunch(sender *node, launch leadership.Order[*api.LaunchRequest], tookEffect bool) {
+// trackLaunch tracks a launch request on its arrival.
+func (c *cloud) trackLaunch(sender *node, launch leadership.Order[*api.LaunchRequest], tookEffect bool) {
 	grant := launch.Grant()
-	c.sim.noteOrder(receivedOrder{
+	c.sim.trackOrder(receivedOrder{
 		sender: sender.name, role: grant.RoleName(), term: grant.Term(), action: leadership.Launch,
 		request: launch.Body().Name, tookEffect: tookEffect,
 	})
 }
 
-// delete deletes machines, and reports whether any of them was still there.
+// delete terminates machines, and reports whether any of them still existed.
 func (c *cloud) delete(names []string) bool {
 	deleted := false
 	for _, worker := range c.sim.workers {
-		if !slices.Contains(names, worker.name) || worker.gone {
+		if !slices.Contains(names, worker.name) || worker.terminated {
 			continue
 		}
 		deleted = true
 		if !worker.idle() {
-			c.sim.countOccurrence(occurredDeletedAtWork)
+			c.sim.countOccurrence(occurredBusyMachineDeleted)
 		}
 		worker.terminate()
 	}
 	return deleted
 }
 
-// launch launches machines as far as there is capacity. A request that is repeated under
-// its name gets the machines that it got at first.
+// launch launches machines within the capacity and returns their names. It is idempotent by
+// the name of the request: a repeated request gets the machines of the first one.
 func (c *cloud) launch(request *api.LaunchRequest) []string {
 	if names := c.launchedFor[request.Name]; names != nil {
 		return names
@@ -146,24 +147,26 @@
 	return c.launchedFor[request.Name]
 }
 
-// capacity returns how many more machines there may be of those that a request names.
+// capacity returns how many more machines of the request's type, zone and kind the cloud can
+// launch, given the limit on their number.
 func (c *cloud) capacity(limit int, request *api.LaunchRequest) int {
 	for _, worker := range c.sim.workers {
-		if !worker.gone && worker.machineType.Name == request.Type && worker.zone == request.Zone && worker.spot == request.Spot {
+		if !worker.terminated && worker.machineType.Name == request.Type && worker.zone == request.Zone && worker.spot == request.Spot {
 			limit--
 		}
 	}
 	return limit
 }
 
-// drawBootTime draws how long a machine boots while there are boot faults.
-func (c *cloud) drawBootTime(machineType *api.MachineType, bootSeconds float64) {
+// drawBootTime sets a machine's boot time while boot faults last: slower or faster by the
+// factor, or too long for the machine ever to come up.
+func (c *cloud) drawBootTime(machineType *api.MachineType, regularBootS float64) {
 	if c.sim.now >= c.bootFaultsUntil {
 		return
 	}
-	machineType.BootS = bootSeconds * c.bootFactor
+	machineType.BootS = regularBootS * c.bootFactor
 	if c.sim.rng.Float64() < c.bootFailShare {
 		c.sim.countOccurrence(occurredNeverBooted)
-		machineType.BootS = neverBootsSeconds
+		machineType.BootS = neverBootsS
 	}
 }
--- a/internal/simulation/effects.go
+++ b/internal/simulation/effects.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	// Times after which a controller gives up a call that has no answer.
+	// Times after which a controller gives up on a call without an answer.
 	storeTimeout   = 2500 * micros.Millisecond
 	cloudTimeout   = 5 * micros.Second
 	commandTimeout = 3 * micros.Second
 
-	// lateWithin is within which time a late transaction is carried out.
-	lateWithin = 8 * micros.Second
-	// The cloud takes its time over a request and over its answer.
+	// lateRequestSpread is the longest delay of a late transaction.
+	lateRequestSpread = 8 * micros.Second
+	// Delays of a request to the cloud and of the reply, on top of the link's latency.
 	cloudRequestDelay = micros.Second / 5
 	cloudReplyDelay   = micros.Second / 20
 )
 
-// perform carries out an effect of a controller's core.
+// perform executes an effect of a controller's core.
 func (s *Simulation) perform(node *node, effect message.Effect) {
 	switch effect := effect.(type) {
 	case message.Answer:
@@ -32,7 +32,7 @@
 	case message.CloudCall:
 		s.callCloud(node, effect)
 	case message.SendCommands:
-		s.pushCommands(node, effect)
+		s.sendCommands(node, effect)
 	case message.Broadcast:
 		s.broadcast(node, effect)
 	case message.Log:
@@ -40,8 +40,8 @@
 	}
 }
 
-// broadcast sends a controller's heartbeat to the others. Each copy passes the link of
-// its sender and that of its receiver.
+// broadcast sends a controller's heartbeat to all other controllers. Each copy passes the
+// sender's link and then the receiver's, so that a cut of either one stops it.
 func (s *Simulation) broadcast(sender *node, broadcast message.Broadcast) {
 	heartbeat := *broadcast.Heartbeat
 	for _, peer := range s.nodes {
@@ -54,9 +54,10 @@
 	}
 }
 
-// firstInput returns a function that hands a process the first of several inputs, unless
-// the process has ended since.
-func (s *Simulation) firstInput(node *node) func(message.Input) {
+// deliverOnce returns a function that passes an input to a node's process the first time it
+// is called, and drops all later inputs. It also drops the input if the process has ended
+// since, as a restarted process has lost its connections.
+func (s *Simulation) deliverOnce(node *node) func(message.Input) {
 	incarnation, answered := node.incarnation, false
 	return func(input message.Input) {
 		if answered {
@@ -69,18 +70,18 @@
 	}
 }
 
-// answerRequest hands an answer to whoever sent the request.
+// answerRequest passes an answer to the sender of the request.
 func (s *Simulation) answerRequest(node *node, answer message.Answer) {
-	answer = s.gateCommands(node, answer)
+	answer = s.admitCommands(node, answer)
 	if receive := node.pendingRequests[answer.RequestID]; receive != nil {
 		delete(node.pendingRequests, answer.RequestID)
 		receive(answer)
 	}
 }
 
-// callStore sends a request to the key-value store; a transaction passes the gate first.
+// callStore sends a request to the key-value store. A transaction must pass the gate first.
 func (s *Simulation) callStore(node *node, call message.StoreCall) {
-	reply := s.firstInput(node)
+	reply := s.deliverOnce(node)
 	timeout := storeTimeout + micros.FromMilliseconds(call.WaitMs)
 	s.after(timeout, func() { reply(&message.StoreReply{CallID: call.CallID}) })
 	if call.Op != message.OpTransaction {
@@ -92,25 +93,25 @@
 	s.sendOrder(node, call.Transaction.Grant(), leadership.Write, send, refuse)
 }
 
-// sendToStore carries a request to the key-value store and its reply back. Either may be
-// late or lost.
+// sendToStore delivers a request to the key-value store, and the reply to the node. Either
+// may be late or lost.
 func (s *Simulation) sendToStore(node *node, call message.StoreCall, reply func(message.Input)) {
 	if s.delayTransaction(node, call) {
 		return
 	}
 	transaction := call.Op == message.OpTransaction
-	late := micros.Micros(0)
+	delay := micros.Micros(0)
 	if transaction && s.rng.Float64() < s.scenario.LateRequests {
-		late = micros.Random(s.rng, lateWithin)
+		delay = micros.Random(s.rng, lateRequestSpread)
 	}
-	receive := func(got *message.StoreReply) {
+	receive := func(received *message.StoreReply) {
 		lost := call.Op != message.OpWatch && s.rng.Float64() < s.scenario.LostReplies
 		if lost || call.WaitMs > 0 && node.watchStalled {
 			return
 		}
-		s.deliver(node, linkStore, func() { reply(got) })
+		s.deliver(node, linkStore, func() { reply(received) })
 	}
-	s.after(late, func() {
+	s.after(delay, func() {
 		s.deliver(node, linkStore, func() {
 			if transaction {
 				s.maybeRepeat(func() { s.store.call(node, call, ignoreStoreReply) })
@@ -120,12 +121,12 @@
 	})
 }
 
-// ignoreStoreReply is for requests whose reply nobody receives.
+// ignoreStoreReply receives the replies that are lost.
 func ignoreStoreReply(*message.StoreReply) {}
 
-// callCloud sends a request to the cloud; one that changes something passes the gate first.
+// callCloud sends a request to the cloud. A launch or deletion must pass the gate first.
 func (s *Simulation) callCloud(node *node, call message.CloudCall) {
-	reply := s.firstInput(node)
+	reply := s.deliverOnce(node)
 	s.after(cloudTimeout, func() { reply(&message.CloudReply{CallID: call.CallID}) })
 	refuse := func() { reply(&message.CloudReply{CallID: call.CallID, Unsent: true}) }
 	send := func() { s.sendToCloud(node, call, reply) }
@@ -139,24 +140,24 @@
 	}
 }
 
-// sendToCloud carries a request to the cloud and its reply back.
+// sendToCloud delivers a request to the cloud, and the reply to the node.
 func (s *Simulation) sendToCloud(node *node, call message.CloudCall, reply func(message.Input)) {
 	s.after(cloudRequestDelay, func() {
 		s.deliver(node, linkCloud, func() {
-			got := s.cloud.call(node, call)
+			answer := s.cloud.call(node, call)
 			if call.Op == message.OpLaunch || call.Op == message.OpDelete {
 				s.maybeRepeat(func() { s.cloud.call(node, call) })
 			}
 			s.after(cloudReplyDelay, func() {
-				s.deliver(node, linkCloud, func() { reply(got) })
+				s.deliver(node, linkCloud, func() { reply(answer) })
 			})
 		})
 	})
 }
 
-// pushCommands sends direct commands to a worker, once they have passed the gate.
-func (s *Simulation) pushCommands(node *node, commands message.SendCommands) {
-	reply := s.firstInput(node)
+// sendCommands sends direct commands to a worker. They must pass the gate first.
+func (s *Simulation) sendCommands(node *node, commands message.SendCommands) {
+	reply := s.deliverOnce(node)
 	unanswered := message.CommandReply{
 		Machine:      commands.Machine,
 		FencingToken: commands.Body.Body().FencingToken,
@@ -168,7 +169,8 @@
 	s.sendOrder(node, commands.Body.Grant(), leadership.Command, send, func() { reply(unsent) })
 }
 
-// deliverCommands carries direct commands to a worker and its answer back.
+// deliverCommands delivers direct commands to a worker, and its answer to the node. It
+// reports them as unsent if the node already has the most commands in flight.
 func (s *Simulation) deliverCommands(
 	node *node, commands message.SendCommands, unanswered message.CommandReply, reply func(message.Input),
 ) {
@@ -193,25 +195,26 @@
 	if target == nil {
 		return
 	}
-	s.deliverWorkerLink(node, target, func() {
-		if target.gone || !target.up || target.inboundCut {
+	s.deliverOnWorkerLink(node, target, func() {
+		if target.terminated || !target.up || target.inboundCut {
 			return
 		}
 		target.whenRunning(func() {
 			answered := s.executeCommands(node, target, commands, unanswered)
-			s.deliverWorkerLink(node, target, func() { settle(answered) })
+			s.deliverOnWorkerLink(node, target, func() { settle(answered) })
 		})
 	})
 }
 
-// executeCommands has a worker execute direct commands, and returns its answer.
+// executeCommands makes a worker execute direct commands. It returns the given answer with the
+// worker's status and heartbeat.
 func (s *Simulation) executeCommands(
 	node *node, target *worker, commands message.SendCommands, answer message.CommandReply,
 ) message.CommandReply {
 	body := commands.Body.Body()
 	answer.Status, answer.Heartbeat = target.receiveCommands(body)
 	tookEffect := answer.Status == http.StatusOK && len(body.Commands) > 0
-	s.noteOrderUnder(node, commands.Body.Grant(), commands.Machine, tookEffect)
+	s.trackGrantedOrder(node, commands.Body.Grant(), commands.Machine, tookEffect)
 	s.maybeRepeat(func() { target.whenRunning(func() { target.receiveCommands(body) }) })
 	return answer
 }
--- a/internal/simulation/events.go
+++ b/internal/simulation/events.go
@@ -6,15 +6,15 @@
 	"spurmoor/internal/micros"
 )
 
-// event is an action due at an instant. Events of the same instant happen in the order
-// in which they were scheduled.
+// event is an action that is due at an instant. Events that are due at the same instant run
+// in the order in which they were scheduled.
 type event struct {
 	at       micros.Micros
 	sequence int
 	action   func()
 }
 
-// eventQueue is a heap of events, the next one first.
+// eventQueue is a min-heap of events, ordered by time and then by sequence.
 type eventQueue []event
 
 // Len implements heap.Interface.
@@ -45,16 +45,16 @@
 	return last
 }
 
-// schedule has an action happen at an instant, or now if that is past.
+// schedule schedules an action for an instant, or for now if the instant has passed.
 func (s *Simulation) schedule(at micros.Micros, action func()) {
 	s.eventSequence++
 	heap.Push(&s.events, event{max(at, s.now), s.eventSequence, action})
 }
 
-// after has an action happen after a span.
-func (s *Simulation) after(span micros.Micros, action func()) { s.schedule(s.now+span, action) }
+// after schedules an action to run after a delay.
+func (s *Simulation) after(delay micros.Micros, action func()) { s.schedule(s.now+delay, action) }
 
-// every repeats an action with a period, first after one period.
+// every runs an action periodically, for the first time after one period.
 func (s *Simulation) every(period micros.Micros, action func()) {
 	var repeat func()
 	repeat = func() {
@@ -64,7 +64,7 @@
 	s.after(period, repeat)
 }
 
-// runUntil performs all events that are due until an instant, and advances the clock to it.
+// runUntil runs all events that are due until an instant, and advances simulated time to it.
 func (s *Simulation) runUntil(until micros.Micros) {
 	for len(s.events) > 0 && s.events[0].at <= until {
 		next, ok := heap.Pop(&s.events).(event)
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -6,7 +6,7 @@
 	"spurmoor/internal/micros"
 )
 
-// FaultKind names what a fault does, as scenario files do. Some kinds have an argument,
+// FaultKind is the kind of a fault, as named in scenario files. Some kinds have an argument
 // after a colon or a slash: "cut:store", "late_writes/at_once".
 type FaultKind string
 
@@ -15,36 +15,36 @@
 	FaultCrash          FaultKind = "crash"
 	FaultCrashAll       FaultKind = "crash_all"
 	FaultBriefRestart   FaultKind = "blink"
-	FaultUpgrade        FaultKind = "upgrade"    // back with settings that name the next limits
-	FaultPause          FaultKind = "freeze"     // its clock runs on
-	FaultSendsWait      FaultKind = "sends_wait" // orders wait for a connection in the process
-	FaultRefusedByStore FaultKind = "refused"    // by the store, which serves the others
+	FaultUpgrade        FaultKind = "upgrade"    // restarts with settings that announce the next limits
+	FaultPause          FaultKind = "freeze"     // its clock keeps running
+	FaultDelayedOrders  FaultKind = "sends_wait" // orders wait in the process for a connection
+	FaultRefusedByStore FaultKind = "refused"    // the store refuses this controller only
 	FaultWatchStalled   FaultKind = "watch_hangs"
-	FaultLeaseExpiry    FaultKind = "lease_runs_out" // of its partitions, as if cut off for long enough
+	FaultLeaseExpiry    FaultKind = "lease_runs_out" // the leases of its partitions expire
 )
 
 // Faults of links.
 const (
-	FaultCut       FaultKind = "cut"        // argument: the link
-	FaultIsolated  FaultKind = "isolated"   // from all but its workers
-	FaultZoneCut   FaultKind = "zone_cut"   // held back until it ends
-	FaultSlowLinks FaultKind = "slow_links" // of everybody
+	FaultLinkCut   FaultKind = "cut"        // argument: the linkName
+	FaultIsolation FaultKind = "isolated"   // from the store and the other controllers, but not from workers
+	FaultZoneCut   FaultKind = "zone_cut"   // packets are delivered after the cut
+	FaultSlowLinks FaultKind = "slow_links" // of all nodes
 )
 
 // Faults of the key-value store and of the cloud.
 const (
-	FaultStoreOutage FaultKind = "store_outage"
-	FaultLowerLimits FaultKind = "limits" // the store's next limits are in force from now on
-	FaultGarble      FaultKind = "garble" // a log entry's value becomes unreadable
-	FaultCloudOutage FaultKind = "cloud_outage"
-	FaultNoCapacity  FaultKind = "no_capacity"
-	FaultSlowBoot    FaultKind = "boot_trouble"
-	FaultLateLaunch  FaultKind = "late_rental" // a machine turns up that nobody recorded
+	FaultStoreOutage     FaultKind = "store_outage"
+	FaultLowerLimits     FaultKind = "limits" // the store's next limits take effect
+	FaultCorruptLogEntry FaultKind = "garble" // the value of a log entry becomes unreadable
+	FaultCloudOutage     FaultKind = "cloud_outage"
+	FaultNoCapacity      FaultKind = "no_capacity"
+	FaultSlowBoot        FaultKind = "boot_trouble"
+	FaultLateLaunch      FaultKind = "late_rental" // a machine comes up that no controller recorded
 )
 
-// Faults of machines: they befall the healthy machines with most tasks.
+// Faults of machines. They affect the healthy machines with most tasks.
 const (
-	FaultMachineDeath       FaultKind = "machine_die"
+	FaultMachineTermination FaultKind = "machine_die"
 	FaultMachineHang        FaultKind = "machine_hang"
 	FaultMachineFailing     FaultKind = "machine_sick" // all tasks that it starts fail
 	FaultMachineRestart     FaultKind = "machine_blink"
@@ -53,19 +53,19 @@
 	FaultInterruption       FaultKind = "spot_notice"
 )
 
-// Faults of messages, and of users who ask much at once.
+// Faults of messages, and unusual behaviour of users.
 const (
-	FaultLateWrites      FaultKind = "late_writes"  // argument: modeAtOnce
-	FaultLateHeartbeats  FaultKind = "late_reports" // argument: modeForNext
+	FaultLateWrites      FaultKind = "late_writes"  // optional argument: modeAtOnce
+	FaultLateHeartbeats  FaultKind = "late_reports" // optional argument: modeForNext
 	FaultCancelAtEnd     FaultKind = "cancel_at_end"
 	FaultCancelRunning   FaultKind = "cancel_now"
-	FaultCloseQueries    FaultKind = "close_looks"
+	FaultQueryBursts     FaultKind = "close_looks"
 	FaultInvalidRequests FaultKind = "odd_requests"
 )
 
-// Deliberate violations, which show that the invariant checker detects them.
+// Deliberate violations of invariants, with which tests verify the invariant checker.
 const (
-	FaultMuteAnswers         FaultKind = "mute"
+	FaultWithheldAnswers     FaultKind = "mute"
 	FaultEarlyStart          FaultKind = "early_start"
 	FaultDoubleStart         FaultKind = "double_start"
 	FaultOrphanedDependant   FaultKind = "orphan"
@@ -77,76 +77,78 @@
 )
 
 const (
-	modeAtOnce  = "at_once"
-	modeForNext = "for_next"
-	// defaultShare is the share of messages or jobs that a fault befalls if it names none.
+	modeAtOnce  = "at_once"  // late writes are executed without delay, but not answered
+	modeForNext = "for_next" // late heartbeats arrive when the partition has another leader
+	// defaultShare is the share of messages or jobs that a fault affects if it names none.
 	defaultShare = 0.3
 )
 
-// Names of occurrences, which scenario files count.
+// Names of the occurrences whose numbers scenario files bound.
 const (
 	occurredPacketLoss         = "packets lost and resent"
 	occurredGateRefusal        = "orders refused at the gate"
 	occurredLateLaunch         = "late copies of refused rentals"
 	occurredNeverBooted        = "machines that never come up"
-	occurredDeletedAtWork      = "machines deleted at work"
+	occurredBusyMachineDeleted = "machines deleted at work"
 	occurredTaskFailure        = "tasks that failed"
 	occurredCutHeartbeat       = "reports of mute machines"
 	occurredCutAnswer          = "answers to deaf machines"
 	occurredLostAnswer         = "answers lost"
 	occurredLateWrite          = "late writes"
 	occurredLateHeartbeat      = "late reports"
-	occurredKeptHeartbeat      = "reports kept for the next leader"
+	occurredHeldHeartbeat      = "reports kept for the next leader"
 	occurredLeaderChange       = "changes of leader"
 	occurredCancelRunning      = "cancelled while they ran"
 	occurredHungWithCancelled  = "machines hung with cancelled tasks"
 	occurredCancelAtEnd        = "cancelled at the end"
 	occurredUnseenCancellation = "cancellations that the holder can't see"
 	occurredLateEnd            = "ends told late"
-	occurredCloseQuery         = "close looks"
+	occurredBurstQuery         = "close looks"
 	occurredInvalidRequest     = "odd requests"
 )
 
-// countOccurrence counts that something was brought about, so that a scenario can demand
-// that it was.
-func (s *Simulation) countOccurrence(what string) { s.occurrences[what]++ }
+// countOccurrence counts an occurrence. A scenario can then demand that the situation which
+// it tests has really come about.
+func (s *Simulation) countOccurrence(name string) { s.occurrences[name]++ }
 
-// faultState is what injected faults have changed outside nodes and stand-ins.
+// faultState holds the effects of injected faults that belong to no single node, service or
+// worker.
 type faultState struct {
-	lateWrites        partialFault
-	lateHeartbeats    partialFault
-	heldForNextLeader []func() // heartbeats kept until a partition has another leader
-	cancelAtEnd       partialFault
-	closeQueriesUntil micros.Micros
-	mutedJob          string // the job whose user gets no answers
-	slowLinksUntil    micros.Micros
-	isolatedZone      string // the zone that is cut off from all others
-	heldAtZoneCut     []func()
+	lateWrites              probabilisticFault
+	lateHeartbeats          probabilisticFault
+	heartbeatsForNextLeader []func() // heartbeats held until a partition has another leader
+	cancelAtEnd             probabilisticFault
+	queryBurstsUntil        micros.Micros
+	unansweredJob           string // ID of the job whose user gets no answers to its polls
+	slowLinksUntil          micros.Micros
+	isolatedZone            string // the zone that is cut off from all others
+	heldPackets             []func()
 }
 
-// partialFault befalls a share of something until an instant.
-type partialFault struct {
+// probabilisticFault affects a share of all messages or jobs of a kind until an instant.
+type probabilisticFault struct {
 	share float64
 	until micros.Micros
 	mode  string
 }
 
-// befalls draws whether the fault befalls something now.
-func (f partialFault) befalls(s *Simulation) bool {
+// applies reports whether the fault affects the next message or job. It draws a random number
+// only while the fault lasts.
+func (f probabilisticFault) applies(s *Simulation) bool {
 	return s.now < f.until && s.rng.Float64() < f.share
 }
 
-// injection is a fault as it is injected.
+// injection is a fault at the time of its injection.
 type injection struct {
 	Fault
-	argument string // of the kind
+	argument string // of the kind; empty: none
 	target   *node
-	lasts    micros.Micros
+	duration micros.Micros
 	until    micros.Micros
 }
 
-// partial returns the fault as one that befalls a share of something.
-func (i injection) partial() partialFault {
+// probabilistic converts the fault to one that affects a share of messages or jobs.
+func (i injection) probabilistic() probabilisticFault {
 	share := i.Share
 	if share == 0 {
 		share = defaultShare
@@ -155,35 +157,35 @@
 	if i.Mode != "" {
 		mode = i.Mode
 	}
-	return partialFault{share: share, until: i.until, mode: mode}
+	return probabilisticFault{share: share, until: i.until, mode: mode}
 }
 
-// injectors has the code of each kind of fault.
+// injectors maps each kind of fault to the method that injects it.
 var injectors = map[FaultKind]func(*Simulation, injection){
 	FaultCrash:          (*Simulation).injectCrash,
 	FaultCrashAll:       (*Simulation).injectCrashAll,
 	FaultBriefRestart:   (*Simulation).injectBriefRestart,
 	FaultUpgrade:        (*Simulation).injectUpgrade,
 	FaultPause:          (*Simulation).injectPause,
-	FaultSendsWait:      (*Simulation).injectSendsWait,
+	FaultDelayedOrders:  (*Simulation).injectDelayedOrders,
 	FaultRefusedByStore: (*Simulation).injectRefusedByStore,
 	FaultWatchStalled:   (*Simulation).injectWatchStalled,
 	FaultLeaseExpiry:    (*Simulation).injectLeaseExpiry,
 
-	FaultCut:       (*Simulation).injectCut,
-	FaultIsolated:  (*Simulation).injectIsolated,
+	FaultLinkCut:   (*Simulation).injectLinkCut,
+	FaultIsolation: (*Simulation).injectIsolation,
 	FaultZoneCut:   (*Simulation).injectZoneCut,
 	FaultSlowLinks: (*Simulation).injectSlowLinks,
 
-	FaultStoreOutage: (*Simulation).injectStoreOutage,
-	FaultLowerLimits: (*Simulation).injectLowerLimits,
-	FaultGarble:      (*Simulation).injectGarble,
-	FaultCloudOutage: (*Simulation).injectCloudOutage,
-	FaultNoCapacity:  (*Simulation).injectNoCapacity,
-	FaultSlowBoot:    (*Simulation).injectSlowBoot,
-	FaultLateLaunch:  (*Simulation).injectLateLaunch,
+	FaultStoreOutage:     (*Simulation).injectStoreOutage,
+	FaultLowerLimits:     (*Simulation).injectLowerLimits,
+	FaultCorruptLogEntry: (*Simulation).injectCorruptLogEntry,
+	FaultCloudOutage:     (*Simulation).injectCloudOutage,
+	FaultNoCapacity:      (*Simulation).injectNoCapacity,
+	FaultSlowBoot:        (*Simulation).injectSlowBoot,
+	FaultLateLaunch:      (*Simulation).injectLateLaunch,
 
-	FaultMachineDeath:       (*Simulation).injectMachineFaults,
+	FaultMachineTermination: (*Simulation).injectMachineFaults,
 	FaultMachineHang:        (*Simulation).injectMachineFaults,
 	FaultMachineFailing:     (*Simulation).injectMachineFaults,
 	FaultMachineRestart:     (*Simulation).injectMachineFaults,
@@ -195,10 +197,10 @@
 	FaultLateHeartbeats:  (*Simulation).injectLateHeartbeats,
 	FaultCancelAtEnd:     (*Simulation).injectCancelAtEnd,
 	FaultCancelRunning:   (*Simulation).injectCancelRunning,
-	FaultCloseQueries:    (*Simulation).injectCloseQueries,
+	FaultQueryBursts:     (*Simulation).injectQueryBursts,
 	FaultInvalidRequests: (*Simulation).injectInvalidRequests,
 
-	FaultMuteAnswers:         (*Simulation).violateByMuteAnswers,
+	FaultWithheldAnswers:     (*Simulation).violateByWithheldAnswers,
 	FaultEarlyStart:          (*Simulation).violateByEarlyStart,
 	FaultDoubleStart:         (*Simulation).violateByDoubleStart,
 	FaultOrphanedDependant:   (*Simulation).violateByOrphanedDependant,
@@ -209,7 +211,7 @@
 	FaultStarvedJob:          (*Simulation).violateByStarvedJob,
 }
 
-// inject injects a fault.
+// inject injects a fault. It reports a violation of the scenario if the kind is unknown.
 func (s *Simulation) inject(fault Fault) {
 	target := s.nodes[fault.Node%controllerCount]
 	if fault.Partition > 0 {
@@ -221,14 +223,14 @@
 	kind, argument := fault.Kind.split()
 	injector := injectors[kind]
 	if injector == nil {
-		s.checker.violated(invariantScenario, "unknown fault "+string(fault.Kind))
+		s.checker.report(invariantScenario, "unknown fault "+string(fault.Kind))
 		return
 	}
-	lasts := micros.FromSeconds(fault.ForS)
-	injector(s, injection{Fault: fault, argument: argument, target: target, lasts: lasts, until: s.now + lasts})
+	duration := micros.FromSeconds(fault.ForS)
+	injector(s, injection{Fault: fault, argument: argument, target: target, duration: duration, until: s.now + duration})
 }
 
-// split returns the kind without its argument, and the argument.
+// split separates the kind from its argument.
 func (k FaultKind) split() (FaultKind, string) {
 	separator := strings.IndexAny(string(k), ":/")
 	if separator < 0 {
--- a/internal/simulation/faults_machines.go
+++ b/internal/simulation/faults_machines.go
@@ -2,10 +2,12 @@
 
 import "spurmoor/internal/micros"
 
-// interruptionNotice is how long before the cloud takes a spot machine back it says so.
+// interruptionNotice is the time from the notice of an interruption until the cloud
+// terminates the spot machine.
 const interruptionNotice = 8 * micros.Second
 
-// injectMachineFaults injects a fault of machines, of one after the other.
+// injectMachineFaults injects a fault of machines into one machine after the other, as many
+// as the fault's count. It stops when no healthy machine is left.
 func (s *Simulation) injectMachineFaults(fault injection) {
 	for range max(1, fault.Count) {
 		busiest := s.busiestWorker(fault.Kind == FaultInterruption, fault.Zone)
@@ -13,40 +15,40 @@
 			return
 		}
 		s.logf("%s %s", fault.Kind, busiest.name)
-		s.injectMachineFault(fault.Kind, busiest, fault.lasts)
+		s.injectMachineFault(fault.Kind, busiest, fault.duration)
 	}
 }
 
-// injectMachineFault injects a fault of a machine.
-func (s *Simulation) injectMachineFault(kind FaultKind, target *worker, lasts micros.Micros) {
+// injectMachineFault injects a fault of a kind into one machine for a time.
+func (s *Simulation) injectMachineFault(kind FaultKind, target *worker, duration micros.Micros) {
 	switch kind {
-	case FaultMachineDeath:
+	case FaultMachineTermination:
 		target.terminate()
 	case FaultMachineHang:
 		target.hung = true
-		s.after(lasts, target.resume)
+		s.after(duration, target.resume)
 	case FaultMachineInboundCut:
 		target.inboundCut = true
-		s.after(lasts, func() { target.inboundCut = false })
+		s.after(duration, func() { target.inboundCut = false })
 	case FaultMachineOutboundCut:
 		target.outboundCut = true
-		s.after(lasts, func() { target.outboundCut = false })
+		s.after(duration, func() { target.outboundCut = false })
 	case FaultMachineRestart:
 		target.restart()
 	case FaultMachineFailing:
 		target.failing = true
-		s.after(lasts, func() { target.failing = false })
+		s.after(duration, func() { target.failing = false })
 	case FaultInterruption:
 		target.interruptionAt = s.now + interruptionNotice
-		target.hastenHeartbeat()
+		target.expediteHeartbeat()
 		s.after(interruptionNotice, target.terminate)
 	default:
-		s.checker.violated(invariantScenario, "not a fault of machines: "+string(kind))
+		s.checker.report(invariantScenario, "not a fault of machines: "+string(kind))
 	}
 }
 
-// busiestWorker returns the healthy machine with most tasks, of a zone if one is named; nil:
-// none.
+// busiestWorker returns the healthy machine with most tasks, or nil if there is none. It
+// considers only machines of the zone unless that is empty.
 func (s *Simulation) busiestWorker(spotOnly bool, zone string) *worker {
 	var busiest *worker
 	for _, candidate := range s.workers {
--- a/internal/simulation/faults_messages.go
+++ b/internal/simulation/faults_messages.go
@@ -10,49 +10,53 @@
 )
 
 const (
-	// A late write is carried out 2 to 12 s late: after newer ones.
+	// A late write is executed 2 to 12 s late, after newer ones.
 	minWriteDelay    = 2 * micros.Second
 	writeDelaySpread = 10 * micros.Second
-	// A late heartbeat arrives within two leases.
+	// The copy of a late heartbeat arrives within two lease terms.
 	minHeartbeatDelay          = 2 * micros.Second
 	heartbeatDelaySpreadLeases = 1.8
-	// keptHeartbeatDelay is how long after a failover the heartbeats kept for it arrive:
-	// before those that the workers send to the new leader.
-	keptHeartbeatDelay = micros.Second / 100
+	// heldHeartbeatDelay is the time from a failover until the heartbeats that were held for
+	// it arrive. It is so short that they arrive before the workers' own heartbeats to the new
+	// leader.
+	heldHeartbeatDelay = micros.Second / 100
 )
 
-func (s *Simulation) injectLateWrites(fault injection) { s.faults.lateWrites = fault.partial() }
+func (s *Simulation) injectLateWrites(fault injection) { s.faults.lateWrites = fault.probabilistic() }
 
-func (s *Simulation) injectLateHeartbeats(fault injection) { s.faults.lateHeartbeats = fault.partial() }
+func (s *Simulation) injectLateHeartbeats(fault injection) {
+	s.faults.lateHeartbeats = fault.probabilistic()
+}
 
-// delayTransaction carries out a transaction that a fault befalls: without a reply, and
-// after newer ones, or at once. It reports whether it did.
+// delayTransaction handles a transaction that a fault of late writes affects, and reports
+// whether it does. The transaction is executed without a reply: late and after newer ones, or
+// without delay in modeAtOnce.
 func (s *Simulation) delayTransaction(sender *node, call message.StoreCall) bool {
-	if call.Op != message.OpTransaction || !s.faults.lateWrites.befalls(s) {
+	if call.Op != message.OpTransaction || !s.faults.lateWrites.applies(s) {
 		return false
 	}
-	carryOut := func() { s.store.call(sender, call, ignoreStoreReply) }
+	execute := func() { s.store.call(sender, call, ignoreStoreReply) }
 	if s.faults.lateWrites.mode == modeAtOnce {
 		s.countOccurrence(occurredLostAnswer)
-		s.deliver(sender, linkStore, carryOut)
+		s.deliver(sender, linkStore, execute)
 		return true
 	}
 	s.countOccurrence(occurredLateWrite)
 	delay := minWriteDelay + micros.Random(s.rng, writeDelaySpread)
-	s.after(delay, func() { s.deliver(sender, linkStore, carryOut) })
+	s.after(delay, func() { s.deliver(sender, linkStore, execute) })
 	return true
 }
 
-// copyLateHeartbeat has a copy of a heartbeat that a fault befalls arrive again: within
-// two leases, or when the next leader begins.
+// copyLateHeartbeat delivers a copy of a heartbeat that a fault of late heartbeats affects:
+// within two lease terms, or in modeForNext when a partition has its next leader.
 func (s *Simulation) copyLateHeartbeat(heartbeat *api.Heartbeat) {
-	if !s.faults.lateHeartbeats.befalls(s) {
+	if !s.faults.lateHeartbeats.applies(s) {
 		return
 	}
 	duplicate := *heartbeat
 	if s.faults.lateHeartbeats.mode == modeForNext {
-		s.faults.heldForNextLeader = append(s.faults.heldForNextLeader, func() {
-			s.countOccurrence(occurredKeptHeartbeat)
+		s.faults.heartbeatsForNextLeader = append(s.faults.heartbeatsForNextLeader, func() {
+			s.countOccurrence(occurredHeldHeartbeat)
 			for _, node := range s.nodes {
 				s.receiveDuplicate(node, &duplicate)
 			}
@@ -66,9 +70,10 @@
 	})
 }
 
-// noteLeaderRecord notes that a partition has another leader, if a write says so. The
-// heartbeats kept for it arrive now, before its workers' first ones.
-func (s *Simulation) noteLeaderRecord(key string, value []byte) {
+// trackLeaderRecord detects that a write to the store changes a partition's leader record. It
+// then delivers the heartbeats that were held for the next leader, so that they arrive before
+// the workers' first heartbeats to it.
+func (s *Simulation) trackLeaderRecord(key string, value []byte) {
 	previous := s.leaderRecords[key]
 	if !strings.HasPrefix(key, records.PartitionPrefix) || previous == string(value) {
 		return
@@ -77,9 +82,9 @@
 		s.countOccurrence(occurredLeaderChange)
 	}
 	s.leaderRecords[key] = string(value)
-	kept := s.faults.heldForNextLeader
-	s.faults.heldForNextLeader = nil
-	for _, deliver := range kept {
-		s.after(keptHeartbeatDelay, deliver)
+	held := s.faults.heartbeatsForNextLeader
+	s.faults.heartbeatsForNextLeader = nil
+	for _, deliver := range held {
+		s.after(heldHeartbeatDelay, deliver)
 	}
 }
--- a/internal/simulation/faults_services.go
+++ b/internal/simulation/faults_services.go
@@ -7,17 +7,18 @@
 	"spurmoor/internal/records"
 )
 
-func (s *Simulation) injectStoreOutage(fault injection) { s.store.outage(fault.lasts) }
+func (s *Simulation) injectStoreOutage(fault injection) { s.store.startOutage(fault.duration) }
 
-// injectLowerLimits puts the store's next limits in force.
+// injectLowerLimits replaces the store's limits by its next limits.
 func (s *Simulation) injectLowerLimits(injection) {
 	next := s.scenario.NextLimits
 	s.scenario.WriteRPS, s.scenario.ValueKB, s.scenario.MaxTransactionOps = next.WriteRPS, next.ValueKB, next.MaxTransactionOps
 	s.store.writes.rate = next.WriteRPS
 }
 
-// injectGarble makes the first entry of a partition's log unreadable.
-func (s *Simulation) injectGarble(fault injection) {
+// injectCorruptLogEntry overwrites the first entry of a partition's log with a value that
+// controllers can't decode.
+func (s *Simulation) injectCorruptLogEntry(fault injection) {
 	prefix := fmt.Sprintf("%s%d/", records.LogPrefix, max(0, fault.Partition-1))
 	if keys := s.store.sortedKeys(prefix); len(keys) > 0 {
 		s.store.apply([]api.Write{{Put: keys[0], Value: []byte(`"?"`)}})
@@ -26,20 +27,20 @@
 
 func (s *Simulation) injectCloudOutage(fault injection) {
 	s.cloud.down = true
-	s.after(fault.lasts, func() { s.cloud.down = false })
+	s.after(fault.duration, func() { s.cloud.down = false })
 }
 
 func (s *Simulation) injectNoCapacity(fault injection) {
 	s.cloud.noCapacity = true
-	s.after(fault.lasts, func() { s.cloud.noCapacity = false })
+	s.after(fault.duration, func() { s.cloud.noCapacity = false })
 }
 
 func (s *Simulation) injectSlowBoot(fault injection) {
 	s.cloud.bootFaultsUntil, s.cloud.bootFailShare, s.cloud.bootFactor = fault.until, fault.Share, fault.Factor
 }
 
-// injectLateLaunch has machines turn up that nobody recorded, as after a launch whose
-// answer was lost.
+// injectLateLaunch launches machines that no controller recorded, as after a launch request
+// whose answer was lost.
 func (s *Simulation) injectLateLaunch(fault injection) {
 	for range max(1, fault.Count) {
 		s.cloud.launch(&api.LaunchRequest{
--- a/internal/simulation/faults_users.go
+++ b/internal/simulation/faults_users.go
@@ -10,33 +10,34 @@
 )
 
 const (
-	// cancelRunningWithin is within which time users cancel jobs that run, cancelHangLimit
-	// how many of their machines then hang.
-	cancelRunningWithin = micros.Second / 5
-	cancelHangLimit     = 8
+	// cancelRunningSpread is the longest delay until a user cancels a running job.
+	// maxHungMachines is how many machines of these jobs hang at most.
+	cancelRunningSpread = micros.Second / 5
+	maxHungMachines     = 8
 
 	invalidRequestPeriod = micros.Second / 2
-	// firstStranger follows the numbers of all jobs of scenarios.
-	firstStranger = 900000
-	// oddRequestsOneIn is of how many users one sends odd requests each time.
-	oddRequestsOneIn = 8
-	// The job that is made invalid.
+	// firstUnknownJob is higher than the numbers of all jobs of scenarios.
+	firstUnknownJob = 900000
+	// One in invalidRequestOneIn users, on average, sends invalid requests each time.
+	invalidRequestOneIn = 8
+	// Properties of validJob.
 	validJobTasks = 2
 	validJobRunS  = 5
 )
 
-func (s *Simulation) injectCancelAtEnd(fault injection) { s.faults.cancelAtEnd = fault.partial() }
+func (s *Simulation) injectCancelAtEnd(fault injection) { s.faults.cancelAtEnd = fault.probabilistic() }
 
 func (s *Simulation) injectCancelRunning(fault injection) {
 	s.cancelRunningJobs(max(1, fault.Count), micros.FromSeconds(fault.HangS))
 }
 
-func (s *Simulation) injectCloseQueries(fault injection) { s.faults.closeQueriesUntil = fault.until }
+func (s *Simulation) injectQueryBursts(fault injection) { s.faults.queryBurstsUntil = fault.until }
 
 func (s *Simulation) injectInvalidRequests(fault injection) { s.sendInvalidRequests(fault.until) }
 
-// cancelRunningJobs has the users of some jobs that run and have long to go cancel them
-// within a fifth of a second; some of their machines then hang for a time.
+// cancelRunningJobs makes users cancel up to count running jobs that still have long to run,
+// all within a fifth of a second. If hang is not zero, some of the jobs' machines hang for
+// that time.
 func (s *Simulation) cancelRunningJobs(count int, hang micros.Micros) {
 	hung := 0
 	for _, owner := range s.users {
@@ -50,9 +51,9 @@
 		count--
 		s.countOccurrence(occurredCancelRunning)
 		owner.cancelledByFault = true
-		s.after(micros.Random(s.rng, cancelRunningWithin), owner.cancel)
+		s.after(micros.Random(s.rng, cancelRunningSpread), owner.cancel)
 		for _, worker := range machines {
-			if hang > 0 && hung < cancelHangLimit && !worker.hung && !worker.gone {
+			if hang > 0 && hung < maxHungMachines && !worker.hung && !worker.terminated {
 				hung++
 				s.countOccurrence(occurredHungWithCancelled)
 				worker.hung = true
@@ -62,14 +63,15 @@
 	}
 }
 
-// workersRunning lists the machines on which tasks of a job run that have long to go.
+// workersRunning returns the machines of those running tasks of a job that have run for less
+// than half of its run time. Running tasks of a service always count.
 func (s *Simulation) workersRunning(owner *user) []*worker {
 	var machines []*worker
 	for index := range max(1, owner.job.Tasks) {
-		for _, task := range s.checker.running[taskID(owner.id, index)] {
-			longToGo := owner.job.Kind == api.KindService ||
+		for _, task := range s.checker.activeAttempts[taskID(owner.id, index)] {
+			farFromEnd := owner.job.Kind == api.KindService ||
 				s.now-task.runningSince < micros.FromSeconds(owner.job.RunS)/2
-			if task.state == api.TaskRunning && longToGo {
+			if task.state == api.TaskRunning && farFromEnd {
 				machines = append(machines, task.worker)
 			}
 		}
@@ -77,14 +79,15 @@
 	return machines
 }
 
-// invalidSubmission is a change to a submission that makes it invalid, and the status with
-// which it must be refused.
+// invalidSubmission makes a submission invalid by replacing a part of its body. status is the
+// status with which it must be refused.
 type invalidSubmission struct {
 	from, to string
 	status   int
 }
 
-// invalidSubmissions fit nowhere, lack a field or have one with a wrong value or type.
+// invalidSubmissions ask for more than any machine has, lack a field, or have a field with a
+// wrong value or type.
 var invalidSubmissions = []invalidSubmission{
 	{`"Vcpus":1`, `"Vcpus":5000`, http.StatusUnprocessableEntity},
 	{`"Dueno":"norte"`, `"Dueno":"nadie"`, http.StatusUnprocessableEntity},
@@ -95,12 +98,13 @@
 	{`{`, `[`, http.StatusBadRequest},
 }
 
-// validJob is the job that invalidSubmissions change.
+// validJob is the job whose submission invalidSubmissions change.
 var validJob = Job{Tasks: validJobTasks, RunS: validJobRunS}
 
-// sendInvalidRequests has users send requests that must be refused, until an instant.
+// sendInvalidRequests makes users periodically send requests that must be refused, until an
+// instant.
 func (s *Simulation) sendInvalidRequests(until micros.Micros) {
-	stranger := firstStranger
+	unknownJob := firstUnknownJob
 	var repeat func()
 	repeat = func() {
 		if s.now >= until {
@@ -108,43 +112,43 @@
 		}
 		s.after(invalidRequestPeriod, repeat)
 		node := s.randomNode()
-		stranger++
-		s.submitInvalidJobs(node, stranger)
+		unknownJob++
+		s.submitInvalidJobs(node, unknownJob)
 		s.repeatWithOtherBodies(node)
 	}
 	repeat()
 }
 
-// submitInvalidJobs submits invalid jobs under a number that was never accepted, and asks
-// about and cancels that job.
+// submitInvalidJobs submits invalid jobs under a number that was never accepted. It also
+// queries and cancels the job with that number.
 func (s *Simulation) submitInvalidJobs(node *node, number int) {
-	stranger := &user{sim: s, id: jobID(number)}
+	sender := &user{sim: s, id: jobID(number)}
 	valid := string(submission(validJob.spec(number)))
 	for _, invalid := range invalidSubmissions {
 		body := strings.Replace(valid, invalid.from, invalid.to, 1)
 		if body == valid {
-			s.checker.violated(invariantScenario, invalid.from+" is not in a submission")
+			s.checker.report(invariantScenario, invalid.from+" is not in a submission")
 		}
 		submit := func(requestID uint64) message.Input {
 			return message.Submit{RequestID: requestID, Body: []byte(body)}
 		}
-		stranger.query(node, submit, func(answer message.Answer, _ bool, _ api.JobState) {
+		sender.query(node, submit, func(answer message.Answer, _ bool, _ api.JobState) {
 			s.countOccurrence(occurredInvalidRequest)
 			s.checker.checkRefused(body, answer, invalid.status)
 		})
 	}
 	checkUnknown := func(answer message.Answer, _ bool, _ api.JobState) {
-		s.checker.checkRefused(stranger.id, answer, http.StatusNotFound)
+		s.checker.checkRefused(sender.id, answer, http.StatusNotFound)
 	}
-	stranger.query(node, stranger.cancelInput, checkUnknown)
-	stranger.query(node, stranger.statusInput, checkUnknown)
+	sender.query(node, sender.cancelInput, checkUnknown)
+	sender.query(node, sender.statusInput, checkUnknown)
 }
 
-// repeatWithOtherBodies has some users repeat submissions with another body, and cancel
-// jobs that have ended.
+// repeatWithOtherBodies makes some users repeat the submission of an accepted job with another
+// body, and cancel the job if it has ended. Neither may change the job.
 func (s *Simulation) repeatWithOtherBodies(node *node) {
 	for _, owner := range s.users {
-		if !owner.accepted || s.rng.IntN(oddRequestsOneIn) > 0 {
+		if !owner.accepted || s.rng.IntN(invalidRequestOneIn) > 0 {
 			continue
 		}
 		body := []byte(strings.Replace(string(owner.body), `"Vcpus":`, `"Vcpus":5000.`, 1))
--- a/internal/simulation/heartbeat.go
+++ b/internal/simulation/heartbeat.go
@@ -11,19 +11,20 @@
 const (
 	// heartbeatTimeout is how long a worker waits for the answer to a heartbeat.
 	heartbeatTimeout = 4 * micros.Second
-	// heartbeatRetryDelay is how long it then waits before it tries another node.
+	// heartbeatRetryDelay is how long it then waits until it tries another node.
 	heartbeatRetryDelay = micros.Second
-	// redirectSpread is within which time it turns to the node that an answer names: workers
-	// that are redirected together do not arrive together.
+	// redirectSpread is the longest delay until a worker follows a redirect. The delay is
+	// random, so that workers that are redirected at the same time don't all arrive at once.
 	redirectSpread = micros.Second / 2
-	// refusedConnection is how long it takes to notice that a node is down.
-	refusedConnection = micros.Second / 100
-	// Copies of heartbeats arrive up to two leases late, not sooner than after a second.
+	// connectionRefusedDelay is the time that a worker needs to notice that a node is down.
+	connectionRefusedDelay = micros.Second / 100
+	// Copies of heartbeats arrive at least a second late. A random delay of up to two lease
+	// terms is added.
 	minCopyDelay     = micros.Second
-	copyWithinLeases = 2
+	copySpreadLeases = 2
 )
 
-// heartbeat returns the worker's present state with the next sequence number.
+// heartbeat returns a heartbeat with the worker's current state and the next sequence number.
 func (w *worker) heartbeat() *api.Heartbeat {
 	w.sequence++
 	heartbeat := &api.Heartbeat{
@@ -43,12 +44,13 @@
 	return heartbeat
 }
 
-// hastenHeartbeat brings the next heartbeat forward, as after a change of state.
-func (w *worker) hastenHeartbeat() {
-	w.nextHeartbeatAt = min(w.nextHeartbeatAt, max(w.sim.now, w.lastHeartbeatAt+hastenedGap))
+// expediteHeartbeat brings the next heartbeat forward after a change of state, but keeps
+// minHeartbeatGap to the previous one.
+func (w *worker) expediteHeartbeat() {
+	w.nextHeartbeatAt = min(w.nextHeartbeatAt, max(w.sim.now, w.lastHeartbeatAt+minHeartbeatGap))
 }
 
-// heartbeatCall is a heartbeat on its way, and what becomes of its answer.
+// heartbeatCall is a heartbeat that was sent and whose answer is pending.
 type heartbeatCall struct {
 	worker      *worker
 	node        *node
@@ -57,90 +59,93 @@
 	incarnation api.Incarnation
 }
 
-// sendHeartbeat sends a heartbeat to the worker's node.
+// sendHeartbeat sends a heartbeat to the node that the worker uses at present, and schedules
+// the next one.
 func (w *worker) sendHeartbeat() {
 	sim := w.sim
-	w.calls++
+	w.heartbeatCount++
 	call := &heartbeatCall{
-		worker: w, node: sim.nodes[w.node], number: w.calls, sentAt: sim.now, incarnation: w.incarnation,
+		worker: w, node: sim.nodes[w.nodeIndex], number: w.heartbeatCount, sentAt: sim.now, incarnation: w.incarnation,
 	}
-	w.pendingCall, w.lastHeartbeatAt = call.number, sim.now
+	w.pendingHeartbeat, w.lastHeartbeatAt = call.number, sim.now
 	period := micros.FromSeconds(sim.scenario.HeartbeatS)
-	// A quarter of jitter either way.
+	// The period has a jitter of a quarter in either direction.
 	w.nextHeartbeatAt = sim.now + period*3/4 + micros.Random(sim.rng, period/2+1)
 	heartbeat := w.heartbeat()
-	sim.logf("%s reports %d/%d to %s: %d tasks",
+	sim.logf("%s sends heartbeat %d/%d to %s: %d tasks",
 		w.name, heartbeat.Incarnation, heartbeat.Sequence, call.node.name, len(heartbeat.Tasks))
 	sim.after(heartbeatTimeout, func() { call.finish(sim.now+heartbeatRetryDelay, w.nextNode()) })
 	sim.copyLateHeartbeat(heartbeat)
 	w.maybeDuplicateHeartbeat(heartbeat)
 	if sim.transport != nil {
-		sim.transport.sendHeartbeat(w.node, heartbeat, call.receive)
+		sim.transport.sendHeartbeat(w.nodeIndex, heartbeat, call.receive)
 		return
 	}
 	if w.outboundCut {
 		sim.countOccurrence(occurredCutHeartbeat)
 	}
 	if !call.node.up || w.outboundCut {
-		sim.after(refusedConnection, call.connectionRefused)
+		sim.after(connectionRefusedDelay, call.connectionRefused)
 		return
 	}
-	sim.deliverWorkerLink(call.node, w, func() {
+	sim.deliverOnWorkerLink(call.node, w, func() {
 		if !call.node.up {
 			return
 		}
 		sim.request(call.node, workerHeartbeat(heartbeat), func(answer message.Answer) {
-			sim.deliverWorkerLink(call.node, w, func() { call.receive(answer) })
+			sim.deliverOnWorkerLink(call.node, w, func() { call.receive(answer) })
 		})
 	})
 }
 
-// workerHeartbeat makes the input of a worker's heartbeat.
-func workerHeartbeat(heartbeat *api.Heartbeat) inputFor {
+// workerHeartbeat returns a builder of the input for a worker's heartbeat.
+func workerHeartbeat(heartbeat *api.Heartbeat) inputBuilder {
 	return func(requestID uint64) message.Input {
 		return message.WorkerHeartbeat{RequestID: requestID, Heartbeat: heartbeat}
 	}
 }
 
-// nextNode returns the index of the node after the worker's.
-func (w *worker) nextNode() int { return (w.node + 1) % controllerCount }
+// nextNode returns the index of the node that follows the worker's.
+func (w *worker) nextNode() int { return (w.nodeIndex + 1) % controllerCount }
 
-// maybeDuplicateHeartbeat has a copy of a heartbeat arrive later, at any node, for the
-// share of heartbeats that the scenario duplicates.
+// maybeDuplicateHeartbeat delivers a copy of a heartbeat later to a random node, for the share
+// of heartbeats that the scenario duplicates.
 func (w *worker) maybeDuplicateHeartbeat(heartbeat *api.Heartbeat) {
 	sim := w.sim
 	if sim.scenario.HeartbeatCopies <= 0 || sim.rng.Float64() >= sim.scenario.HeartbeatCopies {
 		return
 	}
 	duplicate := *heartbeat
-	within := micros.FromSeconds(copyWithinLeases * sim.scenario.LeaseS)
+	within := micros.FromSeconds(copySpreadLeases * sim.scenario.LeaseS)
 	sim.after(minCopyDelay+micros.Random(sim.rng, within), func() { sim.receiveDuplicate(sim.randomNode(), &duplicate) })
 }
 
-// receiveDuplicate hands a node a copy of a heartbeat, whose answer nobody receives.
+// receiveDuplicate passes a copy of a heartbeat to a node and drops the answer.
 func (s *Simulation) receiveDuplicate(node *node, duplicate *api.Heartbeat) {
 	if node.reaches(linkWorkers) {
 		s.request(node, workerHeartbeat(duplicate), func(message.Answer) {})
 	}
 }
 
-// connectionRefused has the worker turn to the next node.
+// connectionRefused makes the worker retry with the next node after heartbeatRetryDelay.
 func (c *heartbeatCall) connectionRefused() {
 	retryAt := c.worker.sim.now + heartbeatRetryDelay
 	c.finish(retryAt, c.worker.nextNode())
 	c.worker.nextHeartbeatAt = max(c.worker.nextHeartbeatAt, retryAt)
 }
 
-// finish ends the wait for the answer: the next heartbeat goes to a node by an instant.
-func (c *heartbeatCall) finish(by micros.Micros, node int) {
-	if c.worker.pendingCall == c.number {
-		c.worker.pendingCall = 0
-		c.worker.node = node
-		c.worker.nextHeartbeatAt = min(c.worker.nextHeartbeatAt, by)
+// finish ends the wait for the answer unless it has ended before. The next heartbeat goes to
+// the node with an index, at the latest at an instant.
+func (c *heartbeatCall) finish(latestAt micros.Micros, nodeIndex int) {
+	if c.worker.pendingHeartbeat == c.number {
+		c.worker.pendingHeartbeat = 0
+		c.worker.nodeIndex = nodeIndex
+		c.worker.nextHeartbeatAt = min(c.worker.nextHeartbeatAt, latestAt)
 	}
 }
 
-// receive handles an answer, unless it does not reach the worker.
+// receive handles an answer once the worker is not hung. It drops the answer if the worker's
+// inbound link is cut.
 func (c *heartbeatCall) receive(answer message.Answer) {
 	if c.worker.inboundCut {
 		c.worker.sim.countOccurrence(occurredCutAnswer)
@@ -150,17 +155,18 @@
 }
 
 // handle extends the worker's lease and executes the commands of an answer with status 200.
+// After any other answer the worker switches to another node.
 func (c *heartbeatCall) handle(answer message.Answer) {
 	worker := c.worker
-	if worker.pendingCall != c.number || worker.incarnation != c.incarnation {
-		return // given up, or of an earlier incarnation
+	if worker.pendingHeartbeat != c.number || worker.incarnation != c.incarnation {
+		return // timed out, or sent by an earlier incarnation
 	}
 	response, ok := answer.Body.(api.HeartbeatResponse)
 	if !ok || answer.Status != http.StatusOK {
-		c.tryOther(answer)
+		c.switchNode(answer)
 		return
 	}
-	c.finish(worker.nextHeartbeatAt, worker.node)
+	c.finish(worker.nextHeartbeatAt, worker.nodeIndex)
 	if response.FencingToken < worker.fencingToken {
 		return
 	}
@@ -169,8 +175,9 @@
 	worker.execute(response.Commands)
 }
 
-// tryOther has the worker turn to another node: the one that the answer names, or the next.
-func (c *heartbeatCall) tryOther(answer message.Answer) {
+// switchNode makes the worker send its next heartbeat to another node: to the one that the
+// answer redirects to, or else to the next one.
+func (c *heartbeatCall) switchNode(answer message.Answer) {
 	sim := c.worker.sim
 	other, wait := c.worker.nextNode(), heartbeatRetryDelay
 	redirect, ok := answer.Body.(api.Redirect)
--- a/internal/simulation/invariants.go
+++ b/internal/simulation/invariants.go
@@ -7,97 +7,98 @@
 	"spurmoor/internal/micros"
 )
 
-// invariant names a guarantee of PROTOCOL, or an expectation of the scenario. Scenario
-// files with a deliberate violation name the one that is to be violated.
+// invariant is the name of a guarantee of PROTOCOL, or of an expectation of the scenario.
+// Scenario files with a deliberate violation name the invariant that it must break.
 type invariant string
 
 // Invariants of tasks.
 const (
-	invariantRanTwice      invariant = "ran_twice"       // a task runs on one machine at a time
-	invariantTooEarly      invariant = "too_early"       // no task starts before its job's dependencies are done
-	invariantRanCancelled  invariant = "ran_cancelled"   // no task runs past cancel_s after a cancellation was confirmed
-	invariantWrongPlace    invariant = "wrong_place"     // tasks run where their job permits
-	invariantQuota         invariant = "quota"           // a team stays within its limit
-	invariantLateStartSent invariant = "start_told_late" // no start is sent long after a cancellation was confirmed
-	invariantNotDone       invariant = "not_done"        // a job is done when all its tasks are
-	invariantStarved       invariant = "starved"         // no job waits long beside room for it
-	invariantLate          invariant = "late"            // the largest jobs begin in time
-	invariantUnserved      invariant = "unserved"        // half of each group of jobs is served
-	invariantNothingRan    invariant = "nothing_ran"     // a scenario starts tasks
+	invariantDoubleRun              invariant = "ran_twice"       // a task runs on at most one machine at a time
+	invariantEarlyStart             invariant = "too_early"       // no task starts before its job's dependencies are done
+	invariantCancelledJobRuns       invariant = "ran_cancelled"   // no task runs past cancel_s after a confirmed cancellation
+	invariantPlacement              invariant = "wrong_place"     // tasks run only on machines and in zones that their job permits
+	invariantQuota                  invariant = "quota"           // a team uses no more GPUs than its limit
+	invariantStartAfterCancellation invariant = "start_told_late" // no start is sent long after a confirmed cancellation
+	invariantNotDone                invariant = "not_done"        // a job is reported done only when all its tasks are
+	invariantStarved                invariant = "starved"         // no job waits long while there is room for it
+	invariantLargestJobLate         invariant = "late"            // the largest jobs start in time
+	invariantUnserved               invariant = "unserved"        // at least half of each group of jobs is served
+	invariantNothingRan             invariant = "nothing_ran"     // at least one task is started
 )
 
 // Invariants of answers.
 const (
-	invariantForgotten invariant = "forgotten" // an accepted job stays known, and questions about it are answered
-	invariantWentBack  invariant = "went_back" // no answer is older than one given before
-	invariantOrphaned  invariant = "orphaned"  // dependants of a cancelled job are reported cancelled in time
-	invariantBadInput  invariant = "bad_input" // what can't be granted is refused with the right status
+	invariantLostJob        invariant = "forgotten" // an accepted job stays known, and queries about it are answered
+	invariantStaleAnswer    invariant = "went_back" // no answer reports an older state than an earlier one
+	invariantOrphaned       invariant = "orphaned"  // dependants of a cancelled job are reported as cancelled in time
+	invariantInvalidRequest invariant = "bad_input" // invalid requests are refused with the right status
 )
 
 // Invariants of orders, and of the use of services.
 const (
-	invariantStaleOrder       invariant = "stale_order"       // orders take effect under one term after the other
+	invariantStaleOrder       invariant = "stale_order"       // no order takes effect under an older term than an earlier one
 	invariantUnrecordedLaunch invariant = "unrecorded_rental" // a launch is recorded before it is requested
-	invariantStoreLimits      invariant = "store_limits"      // transactions keep the store's limits
-	invariantBudget           invariant = "budget"            // no more is used than the scenario permits
+	invariantStoreLimits      invariant = "store_limits"      // transactions keep within the store's limits
+	invariantBudget           invariant = "budget"            // the run uses no more than the scenario permits
 )
 
 // Expectations of the scenario.
 const (
-	invariantScenario invariant = "scenario" // it is valid, and brings about what it must
-	invariantExpected invariant = "expected" // jobs end as it expects
+	invariantScenario invariant = "scenario" // the scenario is valid, and what it demands occurs
+	invariantExpected invariant = "expected" // jobs end as the scenario expects
 	invariantBoot     invariant = "boot"     // controllers start
 )
 
-// violationLimit is how many violations are noted: one fault may cause thousands.
-const violationLimit = 50
+// maxViolations limits the number of reported violations, as one fault may cause thousands.
+const maxViolations = 50
 
-// resourceTolerance absorbs the rounding of sums of CPUs and GPUs.
+// resourceTolerance absorbs rounding errors in sums of CPUs and GPUs.
 const resourceTolerance = 1e-9
 
-// invariantChecker watches the invariants from outside the controllers: by what the
-// workers do and what the users receive.
+// invariantChecker verifies the invariants from outside the controllers: by what the workers
+// do and what the users receive.
 type invariantChecker struct {
 	sim        *Simulation
 	violations []string // "invariant: details"
 
-	startCount  int
-	running     map[string][]*workerTask  // task → its attempts that are on machines
-	firstStart  map[string]micros.Micros  // job → its first start
-	gpusInUse   map[string]float64        // team → GPUs
-	tasksInZone map[string]map[string]int // job → zone → tasks
+	startCount     int
+	activeAttempts map[string][]*workerTask  // task → its attempts that are active on machines
+	firstStart     map[string]micros.Micros  // job → when its first task was started
+	gpusInUse      map[string]float64        // team → GPUs of its active tasks
+	tasksInZone    map[string]map[string]int // job → zone → number of active tasks
 
-	cancelledAt map[string]micros.Micros // job → when its user received that it is cancelled
-	endedAt     map[string]micros.Micros // job → when its user received a terminal state
+	cancelledAt map[string]micros.Micros // job → when its cancellation was confirmed to its user
+	endedAt     map[string]micros.Micros // job → when its user first received a terminal state
 }
 
 func newInvariantChecker(sim *Simulation) *invariantChecker {
 	return &invariantChecker{
-		sim:         sim,
-		running:     map[string][]*workerTask{},
-		firstStart:  map[string]micros.Micros{},
-		gpusInUse:   map[string]float64{},
-		tasksInZone: map[string]map[string]int{},
-		cancelledAt: map[string]micros.Micros{},
-		endedAt:     map[string]micros.Micros{},
+		sim:            sim,
+		activeAttempts: map[string][]*workerTask{},
+		firstStart:     map[string]micros.Micros{},
+		gpusInUse:      map[string]float64{},
+		tasksInZone:    map[string]map[string]int{},
+		cancelledAt:    map[string]micros.Micros{},
+		endedAt:        map[string]micros.Micros{},
 	}
 }
 
-// violated notes a violation.
-func (c *invariantChecker) violated(which invariant, details string) {
-	if len(c.violations) < violationLimit {
-		c.sim.logf("BROKEN %s %s", which, details)
-		c.violations = append(c.violations, string(which)+": "+details)
+// report records and logs a violation, up to maxViolations.
+func (c *invariantChecker) report(broken invariant, details string) {
+	if len(c.violations) < maxViolations {
+		c.sim.logf("VIOLATION %s %s", broken, details)
+		c.violations = append(c.violations, string(broken)+": "+details)
 	}
 }
 
-// violatedf notes a violation with formatted details.
-func (c *invariantChecker) violatedf(which invariant, format string, args ...any) {
-	c.violated(which, fmt.Sprintf(format, args...))
+// reportf is like report, but formats the details.
+func (c *invariantChecker) reportf(broken invariant, format string, args ...any) {
+	c.report(broken, fmt.Sprintf(format, args...))
 }
 
-// cancelSpan is within which time after a confirmed cancellation nothing of it may run.
-func (c *invariantChecker) cancelSpan() micros.Micros {
+// cancelTimeout returns the time after the confirmation of a job's cancellation from which on
+// none of its tasks may run.
+func (c *invariantChecker) cancelTimeout() micros.Micros {
 	return micros.FromSeconds(c.sim.scenario.CancelS)
 }
 
@@ -111,13 +112,13 @@
 	return true
 }
 
-// longCancelled reports whether a job's cancellation was confirmed more than cancel_s ago.
-func (c *invariantChecker) longCancelled(owner *user) bool {
+// cancelTimeoutPassed reports whether a job's cancellation was confirmed more than cancel_s ago.
+func (c *invariantChecker) cancelTimeoutPassed(owner *user) bool {
 	at, ok := c.cancelledAt[owner.id]
-	return ok && c.sim.now > at+c.cancelSpan()
+	return ok && c.sim.now > at+c.cancelTimeout()
 }
 
-// teamLimit returns the most GPUs that a team may use, and whether it has a limit.
+// teamLimit returns the maximum number of GPUs that a team may use, and whether it has a limit.
 func (c *invariantChecker) teamLimit(name string) (float64, bool) {
 	for _, team := range c.sim.scenario.Teams {
 		if team.Name == name && team.GPUsMax > 0 {
@@ -127,5 +128,5 @@
 	return 0, false
 }
 
-// isTerminal reports whether a state is a job's last.
+// isTerminal reports whether a job in a state never changes its state again.
 func isTerminal(state api.JobState) bool { return state == api.JobDone || state == api.JobCancelled }
--- a/internal/simulation/invariants_answers.go
+++ b/internal/simulation/invariants_answers.go
@@ -8,27 +8,29 @@
 	"spurmoor/internal/message"
 )
 
-// submissionAnswered checks the answer to a submission, or to its repetition by a user who
-// knew this terminal state when it sent the request. A nil answer is none.
+// submissionAnswered checks the answer to a submission or to its repetition. finalBefore is
+// the terminal state that the user knew when it sent the request, if any. The answer is nil
+// if none arrived.
 func (c *invariantChecker) submissionAnswered(owner *user, answer *message.Answer, finalBefore api.JobState) {
 	if answer == nil {
 		return
 	}
 	if owner.accepted && (answer.Status == http.StatusBadRequest || answer.Status == http.StatusUnprocessableEntity) {
-		c.violatedf(invariantForgotten, "%s submitted again: %d", owner.id, answer.Status)
+		c.reportf(invariantLostJob, "%s submitted again: %d", owner.id, answer.Status)
 	}
 	if status, ok := answer.Body.(api.JobStatus); ok && finalBefore == owner.finalState {
 		c.stateReported(owner, status.State)
 	}
 }
 
-// pollAnswered checks the answer to a question about an accepted job. A nil answer is none.
+// pollAnswered checks the answer to a poll of an accepted job. The answer is nil if none
+// arrived.
 func (c *invariantChecker) pollAnswered(owner *user, answer *message.Answer) {
 	if answer == nil {
 		return
 	}
 	if answer.Status == http.StatusNotFound {
-		c.violated(invariantForgotten, owner.id+" answered 404")
+		c.report(invariantLostJob, owner.id+" answered 404")
 	}
 	if status, ok := answer.Body.(api.JobStatus); ok && answer.Status == http.StatusOK {
 		owner.lastAnswerAt = c.sim.now
@@ -36,11 +38,11 @@
 	}
 }
 
-// cancellationAnswered checks the state that a cancellation is answered with. If it is
-// cancelled, nothing of the job may run past cancel_s.
+// cancellationAnswered checks the state in the answer to a cancellation. If the job is
+// cancelled, it schedules the check that none of its tasks runs after cancel_s.
 func (c *invariantChecker) cancellationAnswered(owner *user, state api.JobState) {
 	if !isTerminal(state) {
-		c.violated(invariantWentBack, owner.id+" cancelled, told "+string(state))
+		c.report(invariantStaleAnswer, owner.id+" cancelled, answered with "+string(state))
 	}
 	c.stateReported(owner, state)
 	if state != api.JobCancelled {
@@ -54,35 +56,35 @@
 	if leader != nil && leader.missesChanges() {
 		c.sim.countOccurrence(occurredUnseenCancellation)
 	}
-	c.sim.after(c.cancelSpan(), func() { c.checkNothingRuns(owner) })
+	c.sim.after(c.cancelTimeout(), func() { c.checkNothingRuns(owner) })
 }
 
-// missesChanges reports whether changes at the store do not reach a node.
+// missesChanges reports whether a node receives no changes from the store.
 func (n *node) missesChanges() bool {
 	return n.refusedByStore || n.watchStalled || n.cutLinks[linkStore] || n.cutLinks[linkAll]
 }
 
-// checkNothingRuns checks that no task of a job is on a machine.
+// checkNothingRuns checks that no task of a job is active on a machine.
 func (c *invariantChecker) checkNothingRuns(owner *user) {
 	for index := range max(1, owner.job.Tasks) {
 		id := taskID(owner.id, index)
-		if attempts := c.running[id]; len(attempts) > 0 {
-			c.violated(invariantRanCancelled, id+" is still on "+attempts[0].worker.name)
+		if attempts := c.activeAttempts[id]; len(attempts) > 0 {
+			c.report(invariantCancelledJobRuns, id+" is still on "+attempts[0].worker.name)
 		}
 	}
 }
 
-// stateReported checks a state that a user receives.
+// stateReported checks a state that a user receives, and records it as the user's last state.
 func (c *invariantChecker) stateReported(owner *user, state api.JobState) {
 	if state == api.JobCancelled && !owner.cancelRequested && !owner.dependencyCancelled() {
-		c.violated(invariantWentBack, owner.id+" called cancelled though its user did not ask")
+		c.report(invariantStaleAnswer, owner.id+" is reported cancelled, but its user did not request it")
 	}
 	unfinished := state == api.JobPending || state == api.JobRunning
-	if unfinished && owner.anyDependency(c.longCancelled) {
-		c.violated(invariantOrphaned, owner.id+" is called "+string(state))
+	if unfinished && owner.anyDependency(c.cancelTimeoutPassed) {
+		c.report(invariantOrphaned, owner.id+" is reported "+string(state))
 	}
 	if owner.finalState != "" && state != owner.finalState {
-		c.violated(invariantWentBack, owner.id+" was "+string(owner.finalState)+", now "+string(state))
+		c.report(invariantStaleAnswer, owner.id+" was "+string(owner.finalState)+", now "+string(state))
 	}
 	if state == api.JobDone {
 		c.checkDone(owner)
@@ -95,36 +97,36 @@
 	owner.lastState = state
 }
 
-// checkDone checks that all tasks of a job have completed that is called done.
+// checkDone checks that all tasks of a job that is reported done have completed.
 func (c *invariantChecker) checkDone(owner *user) {
 	for index := range max(1, owner.job.Tasks) {
 		if id := taskID(owner.id, index); !c.sim.completedTasks[id] {
-			c.violated(invariantNotDone, id)
+			c.report(invariantNotDone, id)
 		}
 	}
 }
 
-// checkQuery returns a check of the answer to a query: it is no older than what the user
-// knew when it sent the query.
-func (c *invariantChecker) checkQuery(owner *user) receiveQuery {
-	forgotten := []int{http.StatusNotFound, http.StatusBadRequest, http.StatusUnprocessableEntity}
+// checkQuery returns a callback that checks the answer to a query: it must not report an older
+// state than the user knew when it sent the query.
+func (c *invariantChecker) checkQuery(owner *user) queryCallback {
+	unknownStatuses := []int{http.StatusNotFound, http.StatusBadRequest, http.StatusUnprocessableEntity}
 	return func(answer message.Answer, acceptedBefore bool, finalBefore api.JobState) {
 		status, ok := answer.Body.(api.JobStatus)
 		switch {
-		case acceptedBefore && slices.Contains(forgotten, answer.Status):
-			c.violatedf(invariantForgotten, "%s is answered %d", owner.id, answer.Status)
+		case acceptedBefore && slices.Contains(unknownStatuses, answer.Status):
+			c.reportf(invariantLostJob, "%s is answered %d", owner.id, answer.Status)
 		case ok && finalBefore != "" && status.State != finalBefore:
-			c.violatedf(invariantWentBack, "%s was %s when asked about, now %s", owner.id, finalBefore, status.State)
+			c.reportf(invariantStaleAnswer, "%s was %s when asked about, now %s", owner.id, finalBefore, status.State)
 		}
 	}
 }
 
-// checkRefused checks the answer to a request that can't be granted. A controller that can
-// grant nothing at all may say so instead.
+// checkRefused checks that a request that can't be granted is refused with the wanted status.
+// The statuses 429 and 503 are right too: a controller may be unable to serve any request.
 func (c *invariantChecker) checkRefused(request string, answer message.Answer, want int) {
 	switch answer.Status {
 	case want, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 	default:
-		c.violatedf(invariantBadInput, "%s is answered %d, not %d", request, answer.Status, want)
+		c.reportf(invariantInvalidRequest, "%s is answered %d, not %d", request, answer.Status, want)
 	}
 }
--- a/internal/simulation/invariants_service.go
+++ b/internal/simulation/invariants_service.go
@@ -9,51 +9,52 @@
 )
 
 const (
-	// starvedAfter is how long a job may wait beside room for it.
-	starvedAfter = 90 * micros.Second
-	// largestBeginWithin is within which time the largest jobs of a class must begin.
-	largestBeginWithin = 240 * micros.Second
+	// starvationLimit is how long a job may wait while there is room for it.
+	starvationLimit = 90 * micros.Second
+	// largestJobStartLimit is the time within which the largest jobs of a class must start.
+	largestJobStartLimit = 240 * micros.Second
 )
 
-// checkStarvation looks, once all faults are over, for jobs that wait while a machine that
-// fits has room and their team is under its limit.
+// checkStarvation reports, once all faults are over, jobs that have waited for longer than
+// starvationLimit although machines that they may use had room for them and their team was
+// within its limit.
 func (c *invariantChecker) checkStarvation() {
 	if c.sim.now < c.sim.faultsOverAt {
 		return
 	}
 	for _, owner := range c.sim.users {
-		if !c.waitsBesideRoom(owner) {
-			owner.fitsSince = 0
+		if !c.startable(owner) {
+			owner.startableSince = 0
 			continue
 		}
-		if owner.fitsSince == 0 {
-			owner.fitsSince = c.sim.now
+		if owner.startableSince == 0 {
+			owner.startableSince = c.sim.now
 		}
-		if c.sim.now > owner.fitsSince+starvedAfter {
-			c.violated(invariantStarved, owner.id+" waits for 90 s beside room")
-			owner.fitsSince = c.sim.now
+		if c.sim.now > owner.startableSince+starvationLimit {
+			c.report(invariantStarved, owner.id+" waits for 90 s while there is room for it")
+			owner.startableSince = c.sim.now
 		}
 	}
 }
 
-// waitsBesideRoom reports whether a job could begin: its dependencies are done, none of its
-// tasks is on a machine, and there is room for it.
-func (c *invariantChecker) waitsBesideRoom(owner *user) bool {
+// startable reports whether a job could start: its dependencies are done, none of its tasks is
+// on a machine, and there is room for it.
+func (c *invariantChecker) startable(owner *user) bool {
 	if !owner.mustBeServed() || owner.finalState != "" {
 		return false
 	}
 	notDone := func(dependency *user) bool { return dependency.finalState != api.JobDone }
-	return !owner.anyDependency(notDone) && c.fitsNow(owner)
+	return !owner.anyDependency(notDone) && c.hasRoomFor(owner)
 }
 
-// fitsNow reports whether a job has waiting tasks, none on a machine, and the machines have
-// room: for one task of an array, for all of a gang or service.
-func (c *invariantChecker) fitsNow(owner *user) bool {
+// hasRoomFor reports whether a job has waiting tasks and none on a machine, and the machines
+// have room for it: for one task of an array, for all tasks of a gang or service.
+func (c *invariantChecker) hasRoomFor(owner *user) bool {
 	spec := owner.job.spec(0)
 	waiting := 0
 	for index := range spec.Tasks {
 		id := taskID(owner.id, index)
-		if len(c.running[id]) > 0 {
+		if len(c.activeAttempts[id]) > 0 {
 			return false
 		}
 		if !c.sim.completedTasks[id] {
@@ -71,11 +72,11 @@
 	if limited && c.gpusInUse[spec.Team]+float64(needed)*spec.GPUs > limit+resourceTolerance {
 		return false
 	}
-	return c.roomFor(spec, needed) >= needed
+	return c.placeableTasks(spec, needed) >= needed
 }
 
-// roomFor is for how many tasks of a job, up to a limit, the machines have room.
-func (c *invariantChecker) roomFor(spec api.Job, limit int) int {
+// placeableTasks returns how many tasks of a job the machines have room for, up to a limit.
+func (c *invariantChecker) placeableTasks(spec api.Job, limit int) int {
 	inZone := map[string]int{}
 	room := 0
 	for _, machine := range c.sim.workers {
@@ -85,7 +86,7 @@
 		cpus, gpus := c.freeResources(machine)
 		for cpus >= spec.CPUs-resourceTolerance && gpus >= spec.GPUs-resourceTolerance && room < limit {
 			cpus, gpus = cpus-spec.CPUs, gpus-spec.GPUs
-			if spec.Spread && inZone[machine.zone] >= spreadLimit(spec) {
+			if spec.Spread && inZone[machine.zone] >= maxTasksPerZone(spec) {
 				break
 			}
 			inZone[machine.zone]++
@@ -99,7 +100,7 @@
 	return room
 }
 
-// freeResources is what the tasks on a machine leave of it.
+// freeResources returns the CPUs and GPUs of a machine that its tasks don't use.
 func (c *invariantChecker) freeResources(machine *worker) (cpus, gpus float64) {
 	cpus, gpus = machine.machineType.CPUs, machine.machineType.GPUs
 	for _, task := range machine.tasks {
@@ -111,11 +112,11 @@
 	return cpus, gpus
 }
 
-// checkServed checks that at least half of every class, of every team and of every class's
-// largest jobs is done, or has started if it is a service, and that the largest jobs began
-// in time.
+// checkServed checks that at least half of the jobs of every class, of every team and of every
+// class's largest jobs are served: done, or started if they are services. It also checks that
+// the largest jobs started in time.
 func (c *invariantChecker) checkServed() {
-	largest := c.largestByClass()
+	largest := c.maxTasksByClass()
 	jobs, served := map[string]int{}, map[string]int{}
 	for _, owner := range c.sim.users {
 		if !owner.mustBeServed() {
@@ -126,9 +127,9 @@
 		startedAt, started := c.firstStart[owner.id]
 		if owner.job.Tasks == largest[spec.Class] {
 			groups = append(groups, "largest of "+spec.Class)
-			deadline := c.readyAt(owner) + largestBeginWithin
+			deadline := c.readyAt(owner) + largestJobStartLimit
 			if c.sim.now > deadline && (!started || startedAt > deadline) {
-				c.violated(invariantLate, owner.id+" had not begun after four minutes")
+				c.report(invariantLargestJobLate, owner.id+" had not started after four minutes")
 			}
 		}
 		for _, group := range groups {
@@ -140,13 +141,13 @@
 	}
 	for _, group := range slices.Sorted(maps.Keys(jobs)) {
 		if 2*served[group] < jobs[group] {
-			c.violatedf(invariantUnserved, "%s: %d of %d", group, served[group], jobs[group])
+			c.reportf(invariantUnserved, "%s: %d of %d", group, served[group], jobs[group])
 		}
 	}
 }
 
-// largestByClass is how many tasks the largest jobs of each class have.
-func (c *invariantChecker) largestByClass() map[string]int {
+// maxTasksByClass returns the number of tasks of the largest jobs of each class.
+func (c *invariantChecker) maxTasksByClass() map[string]int {
 	largest := map[string]int{}
 	for _, owner := range c.sim.users {
 		class := owner.job.spec(0).Class
@@ -155,7 +156,8 @@
 	return largest
 }
 
-// readyAt is when a job could begin: once its dependencies had ended.
+// readyAt returns when a job could start: once it was submitted and its dependencies had ended.
+// If a dependency has not ended, it returns the current time.
 func (c *invariantChecker) readyAt(owner *user) micros.Micros {
 	ready := owner.submittedAt
 	for _, dependency := range owner.dependencies {
--- a/internal/simulation/loopback_run_test.go
+++ b/internal/simulation/loopback_run_test.go
@@ -77,7 +77,7 @@
 	cluster.waitUntil("its tasks are gone", func() bool {
 		remaining := 0
 		cluster.locked(func() {
-			running := cluster.sim.checker.running
+			running := cluster.sim.checker.activeAttempts
 			remaining = len(running[taskID(service, 0)]) + len(running[taskID(service, 1)])
 		})
 		return remaining == 0
--- a/internal/simulation/loopback_services_test.go
+++ b/internal/simulation/loopback_services_test.go
@@ -139,7 +139,7 @@
 	var status int
 	var heartbeat *api.Heartbeat
 	l.locked(func() {
-		if target.up && !target.gone {
+		if target.up && !target.terminated {
 			status, heartbeat = target.receiveCommands(commands)
 		}
 	})
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -13,62 +13,63 @@
 )
 
 const (
-	// partsPerMillion converts a clock's drift.
+	// partsPerMillion converts the drift of a clock to a ratio.
 	partsPerMillion = 1e6
-	// coreStream is the generator stream of the first controller's core; the others follow.
+	// coreStream is the generator stream of the first controller's core. The cores of the
+	// others use the next streams.
 	coreStream = 100
-	// incarnationShift leaves the 52 highest bits of a draw: an incarnation that JSON
-	// numbers hold exactly.
+	// incarnationShift shortens a random number to its 52 highest bits, so that a JSON number
+	// holds the incarnation exactly.
 	incarnationShift = 12
 )
 
-// node is a simulated controller: its core, its process and its links.
+// node simulates a controller: its core, its process and its links.
 type node struct {
 	index int
 	name  string
 	clock Clock
 
 	// The process.
-	core        *core.Controller
-	up          bool
-	startedAt   micros.Micros // when its clock was right
-	incarnation int           // counts starts and ends of its process
-	// nextLimitsAnnounced: its settings name the store's next limits.
+	core           *core.Controller
+	up             bool
+	driftStartedAt micros.Micros // when its clock started to drift
+	incarnation    int           // incremented at each start and end of its process
+	// nextLimitsAnnounced reports whether its settings announce the store's next limits.
 	nextLimitsAnnounced bool
 	pendingRequests     map[uint64]func(message.Answer)
 	lastRequestID       uint64
-	commandsInFlight    int // direct commands
+	commandsInFlight    int // direct commands without an answer yet
 	maxCommandsInFlight int
-	sendsBlockedUntil   micros.Micros // until then its orders wait for a connection
+	ordersDelayedUntil  micros.Micros // until then its orders wait in the process
 
-	// While the process is paused its clock runs on.
+	// While the process is paused its clock keeps running.
 	paused       bool
-	pausedInputs []message.Input // inputs that arrived meanwhile
-	pausedSends  []func()        // what was about to leave it meanwhile
+	pausedInputs []message.Input // inputs that arrived during the pause
+	pausedSends  []func()        // sends that became due during the pause
 
 	// Its links.
-	refusedByStore bool // the store refuses this node alone
-	watchStalled   bool // its watch gets no answers
+	refusedByStore bool // the store refuses this node only
+	watchStalled   bool // its watch gets no replies
 	cutLinks       map[linkName]bool
 	holdPackets    bool // packets on cut links are delivered once the cut ends
 	heldPackets    []func()
 }
 
-// localTime returns the node's own clock at an instant.
+// localTime returns the time that the node's clock shows at an instant.
 func (n *node) localTime(now micros.Micros) micros.Micros {
-	drift := micros.Micros(float64(now-n.startedAt) * n.clock.DriftPPM / partsPerMillion)
+	drift := micros.Micros(float64(now-n.driftStartedAt) * n.clock.DriftPPM / partsPerMillion)
 	return now + drift + micros.FromSeconds(n.clock.AheadS)
 }
 
 // zone returns the zone that the node is in.
 func (n *node) zone() string { return zoneOfNode(n.index) }
 
-// reaches reports whether a node is up and its link to a party is not cut.
-func (n *node) reaches(party linkName) bool {
-	return n.up && !n.cutLinks[party] && !n.cutLinks[linkAll]
+// reaches reports whether the node is up and a link of it is not cut.
+func (n *node) reaches(link linkName) bool {
+	return n.up && !n.cutLinks[link] && !n.cutLinks[linkAll]
 }
 
-// whenRunning does something once the node's process is not paused.
+// whenRunning runs an action now or, if the node's process is paused, when it resumes.
 func (n *node) whenRunning(action func()) {
 	if n.paused {
 		n.pausedSends = append(n.pausedSends, action)
@@ -77,8 +78,9 @@
 	action()
 }
 
-// boot starts a node's process; nothing of an earlier one remains.
-func (s *Simulation) boot(node *node) error {
+// startNode starts a node's process with a new core. It keeps no state of an earlier process.
+// It returns an error if the node's settings are invalid.
+func (s *Simulation) startNode(node *node) error {
 	set, err := s.scenario.settingsFor(node.index, node.nextLimitsAnnounced)
 	if err != nil {
 		return err
@@ -94,20 +96,20 @@
 	return nil
 }
 
-// stopAndBoot ends a node's process, and starts it again after a span, which is drawn
-// once the process has ended.
-func (s *Simulation) stopAndBoot(node *node, downtime func() micros.Micros) {
+// restartNode ends a node's process and starts it again after a downtime. The function that
+// draws the downtime is called after the process has ended.
+func (s *Simulation) restartNode(node *node, downtime func() micros.Micros) {
 	node.up = false
 	node.incarnation++
 	s.after(downtime(), func() {
-		if err := s.boot(node); err != nil {
-			s.checker.violated(invariantBoot, err.Error())
+		if err := s.startNode(node); err != nil {
+			s.checker.report(invariantBoot, err.Error())
 		}
 	})
 }
 
-// step hands an input to a node's core and performs the effects. A paused node gets it
-// when it resumes.
+// step passes an input to a node's core and performs the effects. A paused node receives the
+// input when it resumes, except for a tick, which is dropped.
 func (s *Simulation) step(node *node, input message.Input) {
 	if !node.up {
 		return
@@ -126,8 +128,8 @@
 	}
 }
 
-// resumeNode ends a node's pause: first what was about to leave leaves, then what arrived
-// meanwhile is handled.
+// resumeNode ends a node's pause. It first runs the sends that became due during the pause,
+// then handles the inputs that arrived.
 func (s *Simulation) resumeNode(node *node) {
 	node.paused = false
 	sends, inputs := node.pausedSends, node.pausedInputs
@@ -140,22 +142,24 @@
 	}
 }
 
-// inputFor makes the input of a request with its id.
-type inputFor func(requestID uint64) message.Input
+// inputBuilder returns the input of a request with an ID.
+type inputBuilder func(requestID uint64) message.Input
 
-// request hands a request to a node; receive gets the answer unless the process ends first.
-func (s *Simulation) request(node *node, input inputFor, receive func(message.Answer)) {
+// request passes a request to a node. receive is called with the answer unless the node's
+// process ends first.
+func (s *Simulation) request(node *node, build inputBuilder, receive func(message.Answer)) {
 	node.lastRequestID++
 	requestID := node.lastRequestID
 	node.pendingRequests[requestID] = receive
-	s.peakWaiting = max(s.peakWaiting, len(node.pendingRequests))
-	s.step(node, input(requestID))
+	s.peakPendingRequests = max(s.peakPendingRequests, len(node.pendingRequests))
+	s.step(node, build(requestID))
 }
 
-// randomNode draws a node.
+// randomNode draws one of the nodes.
 func (s *Simulation) randomNode() *node { return s.nodes[s.rng.IntN(controllerCount)] }
 
-// leaderOf returns the node that the store names as a partition's leader; nil: none.
+// leaderOf returns the node that the store records as a partition's leader, or nil if there is
+// none.
 func (s *Simulation) leaderOf(partition int) *node {
 	record := s.store.keys[fmt.Sprintf("%s%d", records.PartitionPrefix, partition)]
 	if record == nil {
@@ -169,6 +173,6 @@
 	return nil
 }
 
-// quoted returns a name as it stands in a record. Records are searched rather than decoded,
-// so that the simulation shares no types with the core.
+// quoted returns a name in the form that it has in a record. Records are searched rather than
+// decoded, so that the simulation shares no types with the core.
 func quoted(name string) string { return `"` + name + `"` }
--- a/internal/simulation/orders.go
+++ b/internal/simulation/orders.go
@@ -13,31 +13,32 @@
 )
 
 const (
-	// commandMaxAge is how long after they were decided commands may leave a process, as in
-	// internal/server: a job may have been cancelled elsewhere since.
+	// commandMaxAge is the longest time between the decision on commands and their sending, as
+	// in internal/server. Older ones are not sent, as another controller may have cancelled
+	// the job since.
 	commandMaxAge = micros.Second
-	// rolesAgreedWithin is how long after the start controllers may take to learn that all
-	// of them know the records of roles.
-	rolesAgreedWithin = 10 * micros.Second
+	// roleRecordsAgreementTime is how long after the start controllers may take to learn that
+	// all of them know the records of roles.
+	roleRecordsAgreementTime = 10 * micros.Second
 )
 
-// receivedOrder is an order as it arrived at a stand-in.
+// receivedOrder is an order that arrived at a simulated service or worker.
 type receivedOrder struct {
 	at         micros.Micros
 	sender     string
 	role       string
-	term       leadership.Term // zero: under no term
+	term       leadership.Term // zero: without a term
 	action     leadership.Action
-	machine    string // that it commands
-	request    string // name of a launch request
-	tookEffect bool   // else it was refused, or changed nothing
+	machine    string // the machine that commands are for
+	request    string // name of the launch request
+	tookEffect bool   // false: refused, or without a change
 }
 
-// noteOrder notes an order, and checks that what takes effect under a role does so under
-// one term at a time: writes altogether, commands at each worker. A deletion is harmless
-// under any term, for it was committed before; so is a launch that is recorded as open,
-// for whoever leads the partition gets its machines.
-func (s *Simulation) noteOrder(order receivedOrder) {
+// trackOrder records an order, and checks that no order of a role takes effect under an older
+// term than one that took effect before: among all writes, and among the commands at each
+// worker. A deletion is harmless under any term, as its decision was committed before. So is a
+// launch that is recorded as open, as the partition's current leader gets its machines.
+func (s *Simulation) trackOrder(order receivedOrder) {
 	order.at = s.now
 	if order.action == leadership.Launch {
 		s.checkLaunchRecorded(order)
@@ -50,61 +51,62 @@
 		if !s.scenario.ExclusiveRoles || s.recordedAsOpen(order) {
 			return
 		}
-		if s.refusedBefore(order) {
-			s.countOccurrence(occurredLateLaunch) // its machines are adopted as orphans
+		if s.hadNoEffectBefore(order) {
+			s.countOccurrence(occurredLateLaunch) // the leader adopts its machines as orphans
 			return
 		}
 	}
 	key := order.role + " " + order.machine
 	if last := s.highestTerms[key]; order.term < last {
-		s.checker.violatedf(invariantStaleOrder, "%s of %s under term %d of %s took effect after one under term %d",
+		s.checker.reportf(invariantStaleOrder, "%s of %s under term %d of %s took effect after one under term %d",
 			order.action, order.sender, order.term, key, last)
 	}
 	s.highestTerms[key] = max(s.highestTerms[key], order.term)
 }
 
-// refusedBefore reports whether a launch of the same name changed nothing at an earlier time.
-func (s *Simulation) refusedBefore(order receivedOrder) bool {
+// hadNoEffectBefore reports whether an earlier launch request of the same name had no effect.
+func (s *Simulation) hadNoEffectBefore(order receivedOrder) bool {
 	return slices.ContainsFunc(s.orders, func(earlier receivedOrder) bool {
 		return earlier.request == order.request && !earlier.tookEffect
 	})
 }
 
-// checkLaunchRecorded checks that a launch is recorded as open when it arrives first.
+// checkLaunchRecorded checks that a launch is recorded as open when its request arrives for the
+// first time.
 func (s *Simulation) checkLaunchRecorded(order receivedOrder) {
-	if !s.scenario.ExclusiveRoles || s.now <= s.startedAt+rolesAgreedWithin {
+	if !s.scenario.ExclusiveRoles || s.now <= s.startedAt+roleRecordsAgreementTime {
 		return
 	}
 	repeated := slices.ContainsFunc(s.orders, func(earlier receivedOrder) bool { return earlier.request == order.request })
 	if !repeated && !s.recordedAsOpen(order) {
-		s.checker.violatedf(invariantUnrecordedLaunch, "%s of %s under term %d of %s",
+		s.checker.reportf(invariantUnrecordedLaunch, "%s of %s under term %d of %s",
 			order.request, order.sender, order.term, order.role)
 	}
 }
 
-// recordedAsOpen reports whether a launch request is recorded as open, under whichever term.
+// recordedAsOpen reports whether the store records a launch request as open, under any term.
 func (s *Simulation) recordedAsOpen(order receivedOrder) bool {
 	partition, _, _ := strings.Cut(strings.TrimPrefix(order.request, "p"), "-")
 	record := s.store.keys[records.RequestsPrefix+partition]
 	return record != nil && strings.Contains(string(record.data), quoted(order.request))
 }
 
-// noteOrderUnder notes an order that came with its grant.
-func (s *Simulation) noteOrderUnder(sender *node, grant leadership.Grant, machine string, tookEffect bool) {
-	s.noteOrder(receivedOrder{
+// trackGrantedOrder tracks an order with the role, term and action of its grant.
+func (s *Simulation) trackGrantedOrder(sender *node, grant leadership.Grant, machine string, tookEffect bool) {
+	s.trackOrder(receivedOrder{
 		sender: sender.name, role: grant.RoleName(), term: grant.Term(), action: grant.Action(),
 		machine: machine, tookEffect: tookEffect,
 	})
 }
 
-// sendOrder lets an order leave a controller's process: after it has waited for a
-// connection, and not while the process is paused. What its grant no longer permits by
-// then is refused, as by the gate of the program.
+// sendOrder sends an order from a controller's process: after any wait for a connection, and
+// not while the process is paused. If the order's grant no longer permits it by then, refuse
+// is called instead of send, as at the gate of the program.
 func (s *Simulation) sendOrder(
 	node *node, grant leadership.Grant, action leadership.Action, send, refuse func(),
 ) {
 	incarnation, decidedAt := node.incarnation, s.now
-	passGate := func() {
+	checkAndSend := func() {
 		if node.incarnation != incarnation {
 			return
 		}
@@ -121,16 +123,16 @@
 		refuse()
 		s.step(node, message.OrderRefused{Role: grant.RoleName(), Action: action, Reason: reason})
 	}
-	if s.now >= node.sendsBlockedUntil && !node.paused {
-		passGate()
+	if s.now >= node.ordersDelayedUntil && !node.paused {
+		checkAndSend()
 		return
 	}
-	s.after(max(0, node.sendsBlockedUntil-s.now), func() { node.whenRunning(passGate) })
+	s.after(max(0, node.ordersDelayedUntil-s.now), func() { node.whenRunning(checkAndSend) })
 }
 
-// gateCommands lets the commands in an answer to a heartbeat pass, if their grant still
-// permits it; else the heartbeat is answered with 503. Other answers pass unchanged.
-func (s *Simulation) gateCommands(node *node, answer message.Answer) message.Answer {
+// admitCommands returns the answer to a heartbeat with its commands if their grant still permits
+// them, or else an answer with status 503. It returns other answers unchanged.
+func (s *Simulation) admitCommands(node *node, answer message.Answer) message.Answer {
 	order, ok := answer.Body.(leadership.Order[api.HeartbeatResponse])
 	if !ok {
 		return answer
--- a/internal/simulation/paused_leader_test.go
+++ b/internal/simulation/paused_leader_test.go
@@ -156,7 +156,7 @@
 	found := false
 	l.locked(func() {
 		for _, worker := range l.sim.workers {
-			if worker.up && !worker.gone && worker.node == index && worker.idle() && !found {
+			if worker.up && !worker.terminated && worker.nodeIndex == index && worker.idle() && !found {
 				found = true
 				worker.interruptionAt = l.sim.now + 300*micros.Second
 			}
@@ -233,7 +233,7 @@
 		if launched, limit := len(l.sim.workers), 4+5; launched > limit {
 			l.t.Errorf("%d machines were launched for a demand of %d", launched, limit)
 		}
-		if deleted := l.sim.occurrences[occurredDeletedAtWork]; deleted > 0 {
+		if deleted := l.sim.occurrences[occurredBusyMachineDeleted]; deleted > 0 {
 			l.t.Errorf("%d machines were deleted at work", deleted)
 		}
 	})
--- a/internal/simulation/pauses_test.go
+++ b/internal/simulation/pauses_test.go
@@ -50,12 +50,12 @@
 	scenario.Expectations, scenario.MayLeaveUnserved = nil, true
 	atS := 15 + rng.Float64()*60
 	scenario.Faults = []Fault{
-		{AtS: atS - 1, ForS: 2, Kind: FaultSendsWait, Partition: 1},
+		{AtS: atS - 1, ForS: 2, Kind: FaultDelayedOrders, Partition: 1},
 		{AtS: atS, ForS: 30, Kind: FaultPause, Partition: 1},
 	}
 	if seed%2 == 0 { // what it sent right before is held back in the network as well
 		scenario.Faults = append(scenario.Faults, Fault{
-			AtS: atS - 0.7, ForS: 31, Kind: FaultCut + ":" + FaultKind(linkAll), HoldPackets: true, Partition: 1,
+			AtS: atS - 0.7, ForS: 31, Kind: FaultLinkCut + ":" + FaultKind(linkAll), HoldPackets: true, Partition: 1,
 		})
 	}
 	return atS
--- a/internal/simulation/production_records_test.go
+++ b/internal/simulation/production_records_test.go
@@ -100,7 +100,7 @@
 	sim.cloud.nextInstance = 100 // names are never given twice
 	loadProduction(t, sim)
 	for _, node := range sim.nodes {
-		if err := sim.boot(node); err != nil {
+		if err := sim.startNode(node); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/simulation/rate_limiter.go
+++ b/internal/simulation/rate_limiter.go
@@ -2,25 +2,25 @@
 
 import "spurmoor/internal/micros"
 
-// rateLimiter is a token bucket: it admits so many a second, with bursts of one second's
-// worth.
+// rateLimiter is a token bucket. It holds at most the tokens of one second.
 type rateLimiter struct {
-	rate       float64 // per second
-	level      float64
+	rate       float64 // tokens per second
+	tokens     float64
 	refilledAt micros.Micros
-	admitted   int
-	refused    int // calls, not units
+	admitted   int // units
+	refused    int // calls
 }
 
-// admit takes units from the bucket, or refuses if it holds fewer.
+// admit takes units from the bucket and reports whether it did. It takes none if the bucket
+// holds fewer.
 func (l *rateLimiter) admit(now micros.Micros, units int) bool {
-	l.level = min(l.rate, l.level+l.rate*(now-l.refilledAt).Seconds())
+	l.tokens = min(l.rate, l.tokens+l.rate*(now-l.refilledAt).Seconds())
 	l.refilledAt = now
-	if float64(units) > l.level {
+	if float64(units) > l.tokens {
 		l.refused++
 		return false
 	}
-	l.level -= float64(units)
+	l.tokens -= float64(units)
 	l.admitted += units
 	return true
 }
--- a/internal/simulation/relay_test.go
+++ b/internal/simulation/relay_test.go
@@ -158,7 +158,7 @@
 	r.loopback.locked(func() {
 		for _, worker := range r.loopback.sim.workers {
 			count.launched++
-			if worker.gone {
+			if worker.terminated {
 				count.gone++
 			}
 		}
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -2,8 +2,8 @@
 
 import "spurmoor/internal/api"
 
-// Scenario is what happens in one run of the simulation: a small TOML file. Times are in
-// seconds since the start, rates are per second.
+// Scenario describes one run of the simulation. It is read from a small TOML file. Times are
+// in seconds since the start, rates are per second.
 type Scenario struct {
 	About     string  `toml:"about"`
 	Seed      uint64  `toml:"seed"`
@@ -17,55 +17,57 @@
 	RPS               float64 `toml:"rps"` // requests that the store admits
 	WriteRPS          float64 `toml:"write_rps"`
 	ValueKB           float64 `toml:"value_kb"`
-	Connections       int     `toml:"connections"` // sockets of a process
-	// ExclusiveRoles: the fleet's roles have one leader each, and launches are recorded.
+	MaxConnections    int     `toml:"connections"` // sockets of a controller's process
+	// ExclusiveRoles turns on exclusive leadership of each of the fleet's roles, and the
+	// recording of launches.
 	ExclusiveRoles bool `toml:"duties"`
-	// NextLimits are in force after the fault "limits"; the settings of a controller
-	// announce them from its fault "upgrade" on.
+	// NextLimits replace the store's limits when the fault "limits" is injected. The settings
+	// of a controller announce them from its fault "upgrade" on.
 	NextLimits NextLimits `toml:"next"`
 
-	// Shares of messages that something befalls throughout.
-	LostReplies     float64 `toml:"lost"`    // of the store's, that never arrive
-	LateRequests    float64 `toml:"late"`    // of transactions, that are carried out seconds late
-	HeartbeatCopies float64 `toml:"copies"`  // of heartbeats, that arrive again within two leases
-	Repeats         float64 `toml:"repeats"` // of requests and commands, that are carried out again within two leases
+	// Shares of messages that are disturbed during the whole run.
+	LostReplies      float64 `toml:"lost"`    // replies of the store that never arrive
+	LateRequests     float64 `toml:"late"`    // transactions that are executed seconds late
+	HeartbeatCopies  float64 `toml:"copies"`  // heartbeats that arrive again within two lease terms
+	RepeatedRequests float64 `toml:"repeats"` // requests and commands that are executed again within two lease terms
 
 	Teams        []Team        `toml:"team"`
 	MachineTypes []MachineType `toml:"type"`
 	Jobs         []Job         `toml:"job"`
 	Faults       []Fault       `toml:"fault"`
 	Random       *RandomFaults `toml:"random"`
-	Clocks       []Clock       `toml:"clock"` // of the controllers, in their order
+	Clocks       []Clock       `toml:"clock"` // of the controllers, by index
 
-	// What must hold at the end.
+	// What the run must have brought about by its end.
 	Expectations      []Expectation `toml:"expect"`
-	ExpectedViolation invariant     `toml:"breaks"` // that a deliberate fault must bring about
+	ExpectedViolation invariant     `toml:"breaks"` // the invariant that a deliberate violation must break
 	LogContains       string        `toml:"said"`
 	LogOmits          string        `toml:"unsaid"`
-	// AtLeast and AtMost are how often something must and may occur, by occurrence.
+	// AtLeast and AtMost bound how often something occurs, by the name of the occurrence.
 	AtLeast map[string]int `toml:"least"`
 	AtMost  map[string]int `toml:"most"`
-	// MayLeaveUnserved: the run ends before half of everything can be served.
+	// MayLeaveUnserved turns off the check that at least half of the jobs of each group are
+	// served, for runs that are too short for it.
 	MayLeaveUnserved bool `toml:"unserved"`
 
-	// Budgets; zero: none.
+	// Limits on what the run uses; zero: no limit.
 	MaxWrites           int `toml:"most_changes"`
 	MaxStoreRequests    int `toml:"most_requests"`
 	MaxCloudCalls       int `toml:"most_calls"`
 	MaxLaunched         int `toml:"most_rented"`    // machines
-	MaxWaiting          int `toml:"most_waiting"`   // requests at a controller at a time
-	MaxCommandsInFlight int `toml:"most_pushes"`    // direct commands of a controller at a time
-	MinMachines         int `toml:"least_machines"` // that must have been up at a time
+	MaxPendingRequests  int `toml:"most_waiting"`   // requests that wait at a controller at a time
+	MaxCommandsInFlight int `toml:"most_pushes"`    // direct commands of a controller in flight at a time
+	MinMachines         int `toml:"least_machines"` // that must have been up at the same time; zero: no minimum
 }
 
-// NextLimits are limits of the key-value store that are announced before they are in force.
+// NextLimits are limits of the key-value store that are announced before they take effect.
 type NextLimits struct {
 	WriteRPS          float64 `toml:"write_rps"`
 	ValueKB           float64 `toml:"value_kb"`
 	MaxTransactionOps int     `toml:"txn_ops"`
 }
 
-// Team is a team of users with its guarantee and its limit.
+// Team is a team of users with its guaranteed and its maximum number of GPUs.
 type Team struct {
 	Name    string  `toml:"name"`
 	GPUs    float64 `toml:"gpus"`
@@ -79,10 +81,11 @@
 	GPUs  float64 `toml:"gpus"`
 	Price float64 `toml:"price"`
 	BootS float64 `toml:"boot_s"`
-	Count int     `toml:"count"` // for each zone, and each of spot and other
+	Count int     `toml:"count"` // capacity of each zone, for spot machines and for others separately
 }
 
-// Job is a job that a user submits, or Count jobs under consecutive ids, EveryS apart.
+// Job is a job that a user submits, or Count jobs with consecutive IDs that are submitted
+// EveryS apart.
 type Job struct {
 	AtS         float64      `toml:"at_s"`
 	ID          int          `toml:"id"`
@@ -96,23 +99,24 @@
 	CPUs        float64      `toml:"cpus"`
 	GPUs        float64      `toml:"gpus"`
 	RunS        float64      `toml:"run_s"`
-	StepS       float64      `toml:"step_s"` // each further task runs that much longer
+	StepS       float64      `toml:"step_s"` // by which each task runs longer than the one before it
 	EstimateS   float64      `toml:"estimate_s"`
 	ImageGB     float64      `toml:"image_gb"`
 	CheckpointS float64      `toml:"checkpoint_s"`
 	DeadlineS   float64      `toml:"deadline_s"`
-	CancelAtS   float64      `toml:"cancel_at_s"` // since its submission; zero: never
+	CancelAtS   float64      `toml:"cancel_at_s"` // after its submission; zero: never
 	Spot        bool         `toml:"spot"`
 	OneZone     bool         `toml:"one_zone"`
 	Spread      bool         `toml:"spread"`
 	Type        string       `toml:"type"`
 	Zone        string       `toml:"zone"`
-	AlwaysFails bool         `toml:"bad"` // on every machine
-	// Dependencies are the ids of jobs that must be done first.
+	AlwaysFails bool         `toml:"bad"` // its tasks fail on every machine
+	// Dependencies are the numbers of jobs that must be done first.
 	Dependencies []int `toml:"needs"`
-	// PairedDependencies too, but the k-th of Count depends on the k-th from there.
+	// PairedDependencies are too, but the k-th of Count jobs depends on the k-th job counted
+	// from each of these numbers.
 	PairedDependencies []int `toml:"follows"`
-	// SubmitAfterDependencies: it is submitted only once its dependencies have ended.
+	// SubmitAfterDependencies delays the submission until the dependencies have ended.
 	SubmitAfterDependencies bool `toml:"late"`
 }
 
@@ -121,42 +125,44 @@
 	AtS  float64   `toml:"at_s"`
 	ForS float64   `toml:"for_s"`
 	Kind FaultKind `toml:"kind"`
-	// Node is the controller that it befalls; a deliberate violation's job.
+	// Node is the index of the affected controller, or the number of the job whose
+	// guarantees a deliberate violation breaks.
 	Node int `toml:"node"`
-	// Partition, counted from 1, names its leader instead of Node.
+	// Partition, counted from 1, selects the partition's leader instead of Node.
 	Partition   int  `toml:"part"`
-	HoldPackets bool `toml:"hold"` // packets are delivered after the cut
-	// Count is how many machines it befalls, those with most tasks first.
+	HoldPackets bool `toml:"hold"` // packets are delivered after the cut instead of lost
+	// Count is the number of affected machines or jobs. Machines with most tasks come first.
 	Count int `toml:"count"`
-	// Zone is where those machines are, or which zone is cut off.
+	// Zone is the zone of those machines, or the zone that is cut off.
 	Zone  string  `toml:"zone"`
-	Share float64 `toml:"share"` // of messages, jobs or machines that it befalls
-	Mode  string  `toml:"mode"`  // as the argument of Kind
+	Share float64 `toml:"share"` // of messages, jobs or machines that are affected
+	Mode  string  `toml:"mode"`  // overrides the argument of Kind
 	HangS float64 `toml:"hang_s"`
-	// Factor is how many times as long machines boot.
+	// Factor multiplies the boot time of machines.
 	Factor float64 `toml:"factor"`
 }
 
-// Clock is how a controller's clock differs from the store's.
+// Clock describes how a controller's clock differs from simulated time.
 type Clock struct {
 	AheadS   float64 `toml:"ahead_s"`
-	DriftPPM float64 `toml:"drift_ppm"` // how much faster it runs
+	DriftPPM float64 `toml:"drift_ppm"` // by which it runs too fast
 }
 
-// RandomFaults are drawn from the seed.
+// RandomFaults describes faults that are drawn at random from the scenario's seed.
 type RandomFaults struct {
 	Faults int         `toml:"faults"`
 	FromS  float64     `toml:"from_s"`
 	ToS    float64     `toml:"to_s"`
 	Kinds  []FaultKind `toml:"kinds"`
-	// SlowLinks is how often links are slow besides, drawn from a stream of its own.
+	// SlowLinks is the number of additional periods of slow links. They are drawn from a
+	// generator stream of their own.
 	SlowLinks int `toml:"slow_links"`
 }
 
-// Expectation is what must hold of one or Count consecutive jobs at the end.
+// Expectation is the state that one job, or Count consecutive jobs, must have at the end.
 type Expectation struct {
 	ID    int          `toml:"id"`
 	Count int          `toml:"count"`
 	State api.JobState `toml:"state"`
-	ByS   float64      `toml:"by_s"` // when it must have ended; zero: any time
+	ByS   float64      `toml:"by_s"` // when it must have ended; zero: at any time
 }
--- a/internal/simulation/scenario_jobs.go
+++ b/internal/simulation/scenario_jobs.go
@@ -10,13 +10,13 @@
 
 const (
 	defaultTeam = "norte"
-	// jobMemoryGB is the memory of every task, checkpointSaveS the time that a task needs
+	// jobMemoryGB is the memory of every task. checkpointSaveS is the time that a task needs
 	// to save a checkpoint.
 	jobMemoryGB     = 1
 	checkpointSaveS = 2
 )
 
-// spec returns the job with a number as its user submits it.
+// spec returns the job with a number in the form in which its user submits it.
 func (j Job) spec(number int) api.Job {
 	spec := api.Job{
 		ID: jobID(number), Team: cmp.Or(j.Team, defaultTeam),
@@ -43,7 +43,7 @@
 	return spec
 }
 
-// dependencyIDs names the dependencies of the job with a number.
+// dependencyIDs returns the IDs of the dependencies of the job with a number.
 func (j Job) dependencyIDs(number int) []string {
 	var ids []string
 	for _, dependency := range j.Dependencies {
@@ -55,8 +55,8 @@
 	return ids
 }
 
-// submission is the body with which a job is submitted. PROTOCOL's form has nulls that the
-// encoding of our type leaves out.
+// submission returns the body of the request that submits a job. It adds the nulls that
+// PROTOCOL requires and that the encoding of api.Job omits.
 func submission(spec api.Job) []byte {
 	body := mustMarshal(spec)
 	if spec.Zone != "" && spec.DeadlineS != 0 {
@@ -64,7 +64,7 @@
 	}
 	var fields map[string]any
 	if err := json.Unmarshal(body, &fields); err != nil {
-		panic(err) // it was encoded a moment ago: cannot fail
+		panic(err) // cannot fail: the body was just encoded
 	}
 	if spec.Zone == "" {
 		fields["Zona"] = nil
@@ -75,7 +75,7 @@
 	return mustMarshal(fields, json.Deterministic(true))
 }
 
-// mustMarshal encodes a plain record, which cannot fail.
+// mustMarshal encodes a plain record. It panics on an error, which such a record can't cause.
 func mustMarshal(value any, options ...json.Options) []byte {
 	encoded, err := json.Marshal(value, options...)
 	if err != nil {
--- a/internal/simulation/scenario_parse.go
+++ b/internal/simulation/scenario_parse.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	// Generator streams of the faults that are drawn: a stream of their own keeps a
-	// scenario's other draws as they are when faults are added.
+	// Generator streams of the random faults. Separate streams leave the other random
+	// numbers of a scenario unchanged when faults are added.
 	faultStream     = 77
 	slowLinksStream = 78
 
-	// Lengths and arguments of random faults, in seconds.
+	// Bounds of the durations of random faults, and the duration of a hang.
 	minFaultS        = 1
 	faultSpreadS     = 25
 	randomHangS      = 12
@@ -22,7 +22,7 @@
 	slowLinksSpreadS = 50
 )
 
-// What a scenario file need not name; the units are those of the fields.
+// Defaults of the fields of a scenario, in the units of the fields.
 const (
 	defaultSeed           = 1
 	defaultDurationS      = 300
@@ -42,17 +42,17 @@
 	defaultMachineCount   = 4
 )
 
-// defaultScenario returns what a scenario file need not name.
+// defaultScenario returns a scenario with the defaults of fields that a file may omit.
 func defaultScenario() *Scenario {
 	return &Scenario{
 		Seed: defaultSeed, DurationS: defaultDurationS,
 		LeaseS: defaultLeaseS, CancelS: defaultCancelS, HeartbeatS: defaultHeartbeatS,
 		MaxTransactionOps: defaultTransactionOps, RPS: defaultRPS, WriteRPS: defaultWriteRPS, ValueKB: defaultValueKB,
-		Connections: defaultConnections,
+		MaxConnections: defaultConnections,
 	}
 }
 
-// defaultTeams returns the teams of a scenario that names none.
+// defaultTeams returns the teams of a scenario that defines none.
 func defaultTeams() []Team {
 	return []Team{
 		{Name: "norte", GPUs: defaultTeamGPUs},
@@ -61,7 +61,7 @@
 	}
 }
 
-// defaultMachineTypes returns the machine types of a scenario that names none.
+// defaultMachineTypes returns the machine types of a scenario that defines none.
 func defaultMachineTypes() []MachineType {
 	return []MachineType{{
 		Name: "g4", CPUs: defaultMachineCPUs, GPUs: defaultMachineGPUs,
@@ -69,7 +69,8 @@
 	}}
 }
 
-// Parse reads a scenario file, and draws its random faults. Unknown keys are errors.
+// Parse decodes the text of a scenario file, sets the defaults and draws the random faults.
+// It returns an error if the file has an unknown key.
 func Parse(text []byte) (*Scenario, error) {
 	scenario := defaultScenario()
 	decoder := toml.NewDecoder(bytes.NewReader(text))
@@ -89,7 +90,7 @@
 	return scenario, nil
 }
 
-// drawFaults adds random faults.
+// drawFaults adds random faults to the scenario.
 func (s *Scenario) drawFaults(random RandomFaults) {
 	rng := rand.New(rand.NewPCG(s.Seed, faultStream))
 	for range random.Faults {
@@ -105,15 +106,15 @@
 	}
 }
 
-// drawFault draws a fault. The order of the draws is part of each seed's meaning.
+// drawFault draws a fault. Another order of the draws would give every seed other faults.
 func drawFault(rng *rand.Rand, random RandomFaults) Fault {
 	var fault Fault
 	fault.AtS = random.FromS + rng.Float64()*(random.ToS-random.FromS)
 	fault.ForS = minFaultS + rng.Float64()*faultSpreadS
 	fault.Kind = random.Kinds[rng.IntN(len(random.Kinds))]
-	fault.HangS = float64(rng.IntN(eitherOr)) * randomHangS
+	fault.HangS = float64(rng.IntN(coinFlipOutcomes)) * randomHangS
 	fault.Node = rng.IntN(controllerCount)
-	fault.HoldPackets = rng.IntN(eitherOr) == 0
+	fault.HoldPackets = rng.IntN(coinFlipOutcomes) == 0
 	fault.Zone = zones[rng.IntN(len(zones))]
 	return fault
 }
--- a/internal/simulation/scenario_settings.go
+++ b/internal/simulation/scenario_settings.go
@@ -9,7 +9,7 @@
 	"github.com/go-json-experiment/json"
 )
 
-// Settings that all scenarios share.
+// Settings with the same values in all scenarios.
 const (
 	gangWaitS       = 40
 	gangPeerS       = 4
@@ -23,7 +23,7 @@
 	internalPort    = 8081
 )
 
-// zones are the zones of the cluster.
+// zones lists the zones of the cluster. The controllers are spread over them in turn.
 var zones = []string{"alta", "baja"}
 
 // nodeName returns the name of the controller with an index.
@@ -35,7 +35,8 @@
 // nodeAddr returns an address of the controller with an index.
 func nodeAddr(index, port int) string { return fmt.Sprintf("10.0.0.%d:%d", index+1, port) }
 
-// partitionOf returns the partition that a user's team belongs to by default.
+// partitionOf returns the partition that the settings assign to a user's team, or 0 if the
+// settings are invalid.
 func (s *Scenario) partitionOf(owner *user) int {
 	set, err := s.settingsFor(0, false)
 	if err != nil {
@@ -44,7 +45,7 @@
 	return set.TeamPartition[owner.job.spec(0).Team]
 }
 
-// settingsFor returns the settings of the controller with an index; they announce the
+// settingsFor returns the settings of the controller with an index. They include the
 // store's next limits if announced is set.
 func (s *Scenario) settingsFor(index int, announced bool) (*settings.Settings, error) {
 	platform := settings.Platform{
@@ -71,7 +72,7 @@
 	return set, nil
 }
 
-// describeDeployment fills in what the settings of all controllers have in common.
+// describeDeployment sets the facts that are the same in the settings of all controllers.
 func (s *Scenario) describeDeployment(deployment *settings.Facts, announced bool) {
 	deployment.Nodes, deployment.Zones = controllerCount, zones
 	for _, team := range s.Teams {
@@ -92,10 +93,11 @@
 	}
 	deployment.Cloud.RPS, deployment.Cloud.ListLagS = cloudRPS, listLagS
 	process := &deployment.Process
-	process.Cores, process.MemMB, process.MaxConnections = processCores, processMemoryMB, s.Connections
+	process.Cores, process.MemMB, process.MaxConnections = processCores, processMemoryMB, s.MaxConnections
 }
 
-// operators returns the operators' settings.
+// operators returns the default operators' settings, with the fleet's roles exclusive and
+// launches recorded if the scenario demands it.
 func (s *Scenario) operators() settings.Operators {
 	operators := settings.Defaults()
 	if s.ExclusiveRoles {
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -11,32 +11,35 @@
 )
 
 const (
-	// controllerCount is how many controllers serve a simulated cluster.
+	// controllerCount is the number of controllers of a simulated cluster.
 	controllerCount = 3
-	// epochStart is the instant at which every run starts; log lines count from it.
+	// epochStart is the instant at which every run starts. Log lines show the time since
+	// then.
 	epochStart = 1_700_000_000 * micros.Second
-	// tickPeriod is how often a controller's core gets a tick.
+	// tickPeriod is the interval between the ticks of a controller's core.
 	tickPeriod = micros.Second / 10
-	// eitherOr is how many outcomes a drawn choice between two has.
-	eitherOr = 2
-	// jobIDFormat is the form of a job's id.
+	// coinFlipOutcomes is the number of outcomes of a random choice between two.
+	coinFlipOutcomes = 2
+	// jobIDFormat formats the number of a job as its ID.
 	jobIDFormat = "wk-%06d"
-	// simulationStream is the generator stream of everything but the controllers' own draws.
+	// simulationStream is the generator stream of all random numbers but those of the
+	// controllers' cores and of the random faults.
 	simulationStream = 1
 )
 
-// effectObserver is called with every effect of the cores.
+// effectObserver is called with every effect of the cores, at the simulated time at which
+// the effect is produced.
 type effectObserver func(at micros.Micros, node string, effect message.Effect)
 
 // Simulation is one run of a scenario.
 type Simulation struct {
-	// Log holds a line for each notable event of the run.
+	// Log holds one line for each event that is logged, in the order of the events.
 	Log []string
 
 	scenario  *Scenario
 	startedAt micros.Micros
 	rng       *rand.Rand
-	observe   effectObserver // nil: nobody observes
+	observe   effectObserver // may be nil
 
 	now           micros.Micros
 	events        eventQueue
@@ -52,31 +55,32 @@
 	transport     transport // nil: heartbeats are delivered in simulated time
 	checker       *invariantChecker
 
-	jobs           map[string]Job           // by id, once submitted
-	checkpoints    map[string]micros.Micros // progress saved, by checkpoint key
+	jobs           map[string]Job           // by ID, once submitted
+	checkpoints    map[string]micros.Micros // saved progress, by checkpoint key
 	completedTasks map[string]bool
-	orders         []receivedOrder            // as they arrived at the stand-ins
-	highestTerms   map[string]leadership.Term // highest term under which an order took effect, by role and machine
-	leaderRecords  map[string]string          // the last leader record of each partition, by key
+	orders         []receivedOrder            // in the order of their arrival at a simulated service or worker
+	highestTerms   map[string]leadership.Term // highest term of an order that took effect, by role and machine
+	leaderRecords  map[string]string          // the latest leader record of each partition, by key
 
 	faults       faultState
 	faultsOverAt micros.Micros // when the last injected fault ends
 	occurrences  map[string]int
 
-	peakWaiting          int // requests at one controller
-	peakCommandsInFlight int // direct commands of one controller
-	peakMachines         int // machines that are up
+	peakPendingRequests  int // most requests that waited at one controller at a time
+	peakCommandsInFlight int // most direct commands of one controller in flight at a time
+	peakMachines         int // most machines that were up at a time
 }
 
-// transport carries what the workers send over real sockets.
+// transport carries the messages between workers and controllers over real sockets.
 type transport interface {
-	// sendHeartbeat sends a heartbeat to a node; receive gets its answer.
-	sendHeartbeat(node int, heartbeat *api.Heartbeat, receive func(message.Answer))
-	// listen serves a worker's commands, and returns the address.
+	// sendHeartbeat sends a heartbeat to the node with an index and calls receive with the
+	// answer.
+	sendHeartbeat(nodeIndex int, heartbeat *api.Heartbeat, receive func(message.Answer))
+	// listen starts to accept commands for a worker and returns the address to send them to.
 	listen(worker *worker) string
 }
 
-// newSimulation prepares a run of a scenario whose controllers are not started yet.
+// newSimulation prepares a run of a scenario. The caller starts the controllers.
 func newSimulation(scenario *Scenario, transport transport) *Simulation {
 	sim := &Simulation{
 		scenario:       scenario,
@@ -97,7 +101,7 @@
 	sim.store = newKeyValueStore(sim)
 	sim.cloud = newCloud(sim)
 	for i := range controllerCount {
-		added := &node{index: i, name: nodeName(i), cutLinks: map[linkName]bool{}, startedAt: sim.now}
+		added := &node{index: i, name: nodeName(i), cutLinks: map[linkName]bool{}, driftStartedAt: sim.now}
 		if i < len(scenario.Clocks) {
 			added.clock = scenario.Clocks[i]
 		}
@@ -106,20 +110,21 @@
 	return sim
 }
 
-// Play runs a scenario to its end and returns the invariant violations.
+// Play runs a scenario to its end and returns the simulation and the invariant violations,
+// each as "invariant: details". It returns an error if a controller's settings are invalid.
 func Play(scenario *Scenario) (*Simulation, []string, error) { return playObserved(scenario, nil) }
 
-// playObserved is Play with every effect of the cores shown to an observer as well.
+// playObserved is like Play, but also calls an observer with every effect of the cores.
 func playObserved(scenario *Scenario, observe effectObserver) (*Simulation, []string, error) {
 	sim := newSimulation(scenario, nil)
 	sim.observe = observe
 	for _, node := range sim.nodes {
-		if err := sim.boot(node); err != nil {
+		if err := sim.startNode(node); err != nil {
 			return nil, nil, err
 		}
 	}
 	sim.every(tickPeriod, sim.tickNodes)
-	sim.every(micros.Second, sim.watchFleet)
+	sim.every(micros.Second, sim.monitorMachines)
 	sim.addUsers()
 	for _, fault := range scenario.Faults {
 		sim.faultsOverAt = max(sim.faultsOverAt, sim.startedAt+micros.FromSeconds(fault.AtS+fault.ForS))
@@ -130,18 +135,19 @@
 	return sim, sim.checker.violations, nil
 }
 
-// tickNodes hands every controller a tick.
+// tickNodes passes a tick to every controller.
 func (s *Simulation) tickNodes() {
 	for _, node := range s.nodes {
 		s.step(node, message.Tick{})
 	}
 }
 
-// watchFleet notes how many machines are up, and looks for starved jobs.
-func (s *Simulation) watchFleet() {
+// monitorMachines updates the highest number of machines that were up at a time, and checks
+// for starved jobs.
+func (s *Simulation) monitorMachines() {
 	machinesUp := 0
 	for _, worker := range s.workers {
-		if worker.up && !worker.gone {
+		if worker.up && !worker.terminated {
 			machinesUp++
 		}
 	}
@@ -149,14 +155,14 @@
 	s.checker.checkStarvation()
 }
 
-// logf appends a line with the simulated time, in seconds since the start, to the log.
+// logf appends a line to the log, prefixed with the simulated time in seconds since the start.
 func (s *Simulation) logf(format string, args ...any) {
 	line := fmt.Sprintf("%9.3f ", (s.now-epochStart).Seconds()) + fmt.Sprintf(format, args...)
 	s.Log = append(s.Log, line)
 }
 
-// jobID returns the id of the job with a number.
+// jobID returns the ID of the job with a number.
 func jobID(number int) string { return fmt.Sprintf(jobIDFormat, number) }
 
-// taskID returns the id of a job's task with an index.
+// taskID returns the ID of the task with an index of a job.
 func taskID(job string, index int) string { return fmt.Sprintf("%s/%d", job, index) }
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	// historyLimit is how many events the store keeps: few, so that a controller that was
-	// cut off for a while must read everything again.
-	historyLimit = 150
-	// listPageSize is how many keys a page of a list holds.
+	// maxHistoryEvents is the number of events that the store keeps. It is small, so that a
+	// controller that was cut off for a while must read all keys again.
+	maxHistoryEvents = 150
+	// listPageSize is the number of keys on a full page of a list.
 	listPageSize = 200
-	// leaseCheckPeriod is how often leases are checked for expiry.
+	// leaseCheckPeriod is the interval between checks for expired leases.
 	leaseCheckPeriod = micros.Second / 20
-	// comparesPerWrite is how many compared keys a transaction may have for each write that
-	// it may have.
+	// comparesPerWrite is the limit of compared keys in a transaction, as a multiple of the
+	// limit of writes.
 	comparesPerWrite = 4
 	bytesPerKB       = 1024
 )
 
-// keyValueStore stands in for the consensus-backed key-value store.
+// keyValueStore simulates the consensus-backed key-value store.
 type keyValueStore struct {
 	sim         *Simulation
 	keys        map[string]*storedValue
@@ -35,25 +35,25 @@
 	leases      map[uint64]*storeLease
 	lastLease   uint64
 	watches     []*storeWatch
-	downUntil   micros.Micros
+	outageUntil micros.Micros
 	requests    rateLimiter
 	writes      rateLimiter
 }
 
-// storedValue is the value of a key, with the revision that wrote it.
+// storedValue is the value of a key with the revision of its last write.
 type storedValue struct {
 	data    []byte
 	version api.Revision
 	lease   uint64 // zero: none
 }
 
-// storeLease is a lease that keys may hang on.
+// storeLease is a lease that keys may be attached to. They are deleted when it expires.
 type storeLease struct {
 	ttl       micros.Micros
 	expiresAt micros.Micros
 }
 
-// storeWatch is a watch that waits for events.
+// storeWatch is an open watch of a node that waits for events.
 type storeWatch struct {
 	node  *node
 	since api.Revision
@@ -68,18 +68,18 @@
 	return s
 }
 
-// outage has the store refuse everyone for a time; after it every lease has its full time
-// once more.
-func (s *keyValueStore) outage(lasts micros.Micros) {
-	s.downUntil = s.sim.now + lasts
+// startOutage makes the store refuse all requests for a time. After the outage every lease has
+// its full time to live again.
+func (s *keyValueStore) startOutage(duration micros.Micros) {
+	s.outageUntil = s.sim.now + duration
 	for _, lease := range s.leases {
-		lease.expiresAt = s.downUntil + lease.ttl
+		lease.expiresAt = s.outageUntil + lease.ttl
 	}
 }
 
-// expireLeases deletes the keys of leases that have expired, oldest lease first.
+// expireLeases deletes the expired leases with their keys, the oldest lease first.
 func (s *keyValueStore) expireLeases() {
-	if s.sim.now < s.downUntil {
+	if s.sim.now < s.outageUntil {
 		return
 	}
 	for id := uint64(1); id <= s.lastLease; id++ {
@@ -101,7 +101,7 @@
 	s.notifyWatches()
 }
 
-// expireLeasesOf expires the leases that a node's leader records hang on.
+// expireLeasesOf expires the leases that a node's leader records are attached to.
 func (s *keyValueStore) expireLeasesOf(leader *node) {
 	for _, key := range s.sortedKeys(records.PartitionPrefix) {
 		value := s.keys[key]
@@ -112,7 +112,7 @@
 	}
 }
 
-// sortedKeys lists the keys with a prefix.
+// sortedKeys returns the keys with a prefix in sorted order.
 func (s *keyValueStore) sortedKeys(prefix string) []string {
 	var keys []string
 	for key := range s.keys {
@@ -124,7 +124,7 @@
 	return keys
 }
 
-// apply commits writes under a new revision.
+// apply commits writes under a new revision and adds them to the history.
 func (s *keyValueStore) apply(writes []api.Write) {
 	s.revision++
 	for _, write := range writes {
@@ -135,17 +135,18 @@
 			}
 			continue
 		}
-		s.sim.noteLeaderRecord(write.Put, write.Value)
+		s.sim.trackLeaderRecord(write.Put, write.Value)
 		s.keys[write.Put] = &storedValue{write.Value, s.revision, write.Lease}
 		s.history = append(s.history, api.Event{Put: write.Put, Value: write.Value, Version: s.revision})
 	}
-	if excess := len(s.history) - historyLimit; excess > 0 {
+	if excess := len(s.history) - maxHistoryEvents; excess > 0 {
 		s.compactedTo = s.history[excess-1].Version
 		s.history = s.history[excess:]
 	}
 }
 
-// call answers a request of a node's, at once or, if it is a watch, once there is an event.
+// call executes a request of a node. It replies at once, or if a watch finds no events, when
+// there is one or the watch times out.
 func (s *keyValueStore) call(sender *node, call message.StoreCall, reply func(*message.StoreReply)) {
 	answer := &message.StoreReply{CallID: call.CallID, Status: s.admit(sender, call)}
 	if answer.Status != http.StatusOK {
@@ -167,15 +168,15 @@
 		}
 	case message.OpTransaction:
 		s.transact(call.Transaction.Body(), answer)
-		s.sim.noteOrderUnder(sender, call.Transaction.Grant(), "", answer.Status == http.StatusOK)
+		s.sim.trackGrantedOrder(sender, call.Transaction.Grant(), "", answer.Status == http.StatusOK)
 	}
 	reply(answer)
 	s.notifyWatches()
 }
 
-// admit returns the status with which a request is refused, or 200.
+// admit returns the status with which a request is refused, or 200 if it is admitted.
 func (s *keyValueStore) admit(sender *node, call message.StoreCall) int {
-	if s.sim.now < s.downUntil || sender.refusedByStore {
+	if s.sim.now < s.outageUntil || sender.refusedByStore {
 		return http.StatusServiceUnavailable
 	}
 	if !s.requests.admit(s.sim.now, 1) {
@@ -196,7 +197,7 @@
 	answer.Item = api.KeyValue{Key: key, Value: value.data, Version: value.version}
 }
 
-// list returns a page of the live keys that follow one.
+// list replies with a page of the live keys that sort after a key.
 func (s *keyValueStore) list(after string, answer *message.StoreReply) {
 	answer.Page.Revision = s.revision
 	for _, key := range s.sortedKeys(records.LivePrefix) {
@@ -227,12 +228,13 @@
 	lease.expiresAt = s.sim.now + lease.ttl
 }
 
-// transact commits a transaction if all compared keys have the versions named. Limits that
-// the controllers know are invariants rather than refusals: a controller must not ask.
+// transact commits a transaction if all compared keys have the given versions. A transaction
+// above the limits is reported as a violation rather than refused: the controllers know the
+// limits and must not send it.
 func (s *keyValueStore) transact(transaction *api.Transaction, answer *message.StoreReply) {
 	limit := s.sim.scenario.MaxTransactionOps
 	if len(transaction.Writes) > limit || len(transaction.Compares) > comparesPerWrite*limit {
-		s.sim.checker.violatedf(invariantStoreLimits, "%d writes, %d conditions",
+		s.sim.checker.reportf(invariantStoreLimits, "%d writes, %d conditions",
 			len(transaction.Writes), len(transaction.Compares))
 	}
 	for _, compare := range transaction.Compares {
@@ -251,7 +253,7 @@
 			answer.Status, answer.Transaction.Error = http.StatusBadRequest, "no such lease"
 		}
 		if float64(len(write.Value)) > s.sim.scenario.ValueKB*bytesPerKB {
-			s.sim.checker.violatedf(invariantStoreLimits, "%s has %d bytes", write.Put, len(write.Value))
+			s.sim.checker.reportf(invariantStoreLimits, "%s has %d bytes", write.Put, len(write.Value))
 		}
 	}
 	if answer.Status == http.StatusOK {
--- a/internal/simulation/store_watch.go
+++ b/internal/simulation/store_watch.go
@@ -21,8 +21,8 @@
 	return response
 }
 
-// openWatch answers a watch with the events that there are, or leaves it open until there
-// are some; it reports whether it does the latter.
+// openWatch fills in the answer to a watch, or leaves the watch open if there are no events yet
+// and the request permits waiting. It reports whether the watch is left open.
 func (s *keyValueStore) openWatch(
 	sender *node, call message.StoreCall, answer *message.StoreReply, reply func(*message.StoreReply),
 ) bool {
@@ -34,22 +34,22 @@
 	if len(answer.Watch.Events) > 0 || call.WaitMs == 0 {
 		return false
 	}
-	watch := &storeWatch{node: sender, since: call.Since, reply: func(got *message.StoreReply) {
-		got.CallID = call.CallID
-		reply(got)
+	watch := &storeWatch{node: sender, since: call.Since, reply: func(received *message.StoreReply) {
+		received.CallID = call.CallID
+		reply(received)
 	}}
 	s.watches = append(s.watches, watch)
 	s.sim.after(micros.FromMilliseconds(call.WaitMs), func() {
-		if !watch.done && s.sim.now >= s.downUntil && !sender.refusedByStore {
+		if !watch.done && s.sim.now >= s.outageUntil && !sender.refusedByStore {
 			s.answerWatch(watch, s.eventsSince(watch.since))
 		}
 	})
 	return true
 }
 
-// notifyWatches answers the open watches for which there are events.
+// notifyWatches answers the open watches for which there are events now.
 func (s *keyValueStore) notifyWatches() {
-	if s.sim.now < s.downUntil {
+	if s.sim.now < s.outageUntil {
 		return
 	}
 	open := s.watches[:0]
@@ -66,7 +66,7 @@
 	s.watches = open
 }
 
-// answerWatch answers an open watch, which ends it.
+// answerWatch answers an open watch and marks it as done.
 func (s *keyValueStore) answerWatch(watch *storeWatch, response api.WatchResponse) {
 	watch.done = true
 	watch.reply(&message.StoreReply{Status: http.StatusOK, Watch: response})
--- a/internal/simulation/user.go
+++ b/internal/simulation/user.go
@@ -12,22 +12,22 @@
 const (
 	// answerTimeout is how long a user waits for an answer.
 	answerTimeout = 5 * micros.Second
-	// pollPeriod is how often a user asks about an unfinished job.
+	// pollPeriod is the time between polls of an unfinished job.
 	pollPeriod = 5 * micros.Second
-	// pollPeriodAfterEnd is how often it asks about a finished one, pollsAfterEndLimit how
-	// many times altogether.
+	// pollPeriodAfterEnd is the time between polls of a finished job, and maxPollsAfterEnd
+	// limits their number.
 	pollPeriodAfterEnd = 10 * micros.Second
-	pollsAfterEndLimit = 8
-	// retryDelay is the least time before a request is sent again, retrySpread what is
-	// drawn on top for a submission.
+	maxPollsAfterEnd   = 8
+	// retryDelay is the shortest time until a request is sent again. For a submission a
+	// random delay of up to retrySpread is added.
 	retryDelay  = micros.Second
 	retrySpread = micros.Second
-	// dependencyCheckPeriod is how often a user checks whether it can submit a job with
-	// dependencies.
+	// dependencyCheckPeriod is the time between a user's checks whether it can submit a job
+	// with dependencies.
 	dependencyCheckPeriod = micros.Second / 5
 )
 
-// user stands in for the owner of one job.
+// user simulates the owner of one job.
 type user struct {
 	sim          *Simulation
 	id           string // of the job
@@ -37,17 +37,17 @@
 
 	accepted         bool
 	cancelRequested  bool
-	cancelledByFault bool // a fault had the user cancel, not the scenario
+	cancelledByFault bool // a fault made the user cancel, not the scenario
 	lastState        api.JobState
-	finalState       api.JobState // terminal state that the user received; empty: none
+	finalState       api.JobState // first terminal state that the user received; empty: none
 	finalAt          micros.Micros
 	submittedAt      micros.Micros
-	lastAnswerAt     micros.Micros // when a question about the job was last answered
+	lastAnswerAt     micros.Micros // when a poll of the job was last answered
 	pollsAfterEnd    int
-	fitsSince        micros.Micros // since when the job waits though there is room for it
+	startableSince   micros.Micros // since when the job could start; zero: it can't
 }
 
-// addUsers adds the users of all jobs of the scenario.
+// addUsers adds one user for each job of the scenario.
 func (s *Simulation) addUsers() {
 	for _, job := range s.scenario.Jobs {
 		for i := range max(1, job.Count) {
@@ -57,8 +57,8 @@
 	}
 }
 
-// addUser adds the user of the job with a number, who submits it at an instant, or once
-// its dependencies permit.
+// addUser adds the user of the job with a number. The user submits the job at an instant, or
+// later when its dependencies permit it.
 func (s *Simulation) addUser(job Job, number int, at micros.Micros) {
 	spec := job.spec(number)
 	job.Kind = spec.Kind
@@ -74,8 +74,8 @@
 	}
 }
 
-// submitWhenPermitted submits the job once its dependencies are accepted: they can't be
-// named before. It waits for their ends if the scenario wants so.
+// submitWhenPermitted submits the job once its dependencies are accepted, as a submission can't
+// name them earlier. It waits until they have ended if the scenario demands it.
 func (u *user) submitWhenPermitted() {
 	for _, dependency := range u.dependencies {
 		if !dependency.accepted || u.job.SubmitAfterDependencies && dependency.finalState == "" {
@@ -88,9 +88,9 @@
 	u.submit()
 }
 
-// send sends a request to a node drawn at random; receive gets nil when no answer came in
-// time.
-func (u *user) send(input inputFor, receive func(*message.Answer)) {
+// send sends a request to a random node. receive is called once: with the answer, or with nil if
+// none arrived within answerTimeout.
+func (u *user) send(build inputBuilder, receive func(*message.Answer)) {
 	sim := u.sim
 	node := sim.randomNode()
 	answered := false
@@ -108,15 +108,15 @@
 		if !node.up {
 			return
 		}
-		sim.request(node, input, func(answer message.Answer) {
+		sim.request(node, build, func(answer message.Answer) {
 			sim.after(sim.latency(), func() { settle(&answer) })
 		})
 	})
 }
 
-// submit submits the job until it is accepted.
+// submit submits the job. It repeats the submission until an answer accepts or rejects it.
 func (u *user) submit() {
-	finalBefore := u.finalState // the answer to a repetition that overlaps the end may be older
+	finalBefore := u.finalState // the answer to a repetition that overlaps the job's end may be older
 	u.send(u.submitInput, func(answer *message.Answer) {
 		u.sim.checker.submissionAnswered(u, answer, finalBefore)
 		if answer == nil || answer.Status != http.StatusOK && answer.Status != http.StatusCreated {
@@ -134,11 +134,11 @@
 	})
 }
 
-// poll asks about the job now and then, until some time after its end.
+// poll queries the state of the job periodically, until some time after its end.
 func (u *user) poll() {
-	finalBefore := u.finalState // the answer to a poll that overlaps the end may be older
+	finalBefore := u.finalState // the answer to a poll that overlaps the job's end may be older
 	u.send(u.statusInput, func(answer *message.Answer) {
-		if u.sim.faults.mutedJob == u.id {
+		if u.sim.faults.unansweredJob == u.id {
 			answer = nil
 		}
 		if finalBefore == u.finalState {
@@ -148,19 +148,19 @@
 			u.sim.after(pollPeriod, u.poll)
 			return
 		}
-		// It may ask again at any later time, and a late copy of the submission may
+		// Users may poll at any time after the end, and a late copy of the submission may
 		// arrive.
-		if u.pollsAfterEnd++; u.pollsAfterEnd < pollsAfterEndLimit {
+		if u.pollsAfterEnd++; u.pollsAfterEnd < maxPollsAfterEnd {
 			u.sim.after(pollPeriodAfterEnd, u.poll)
 			u.sim.after(retryDelay, u.submit)
 		}
 	})
 }
 
-// cancel cancels the job; it repeats the request until it is answered.
+// cancel cancels the job. It repeats the request until it is answered.
 func (u *user) cancel() {
 	u.cancelRequested = true
-	acceptedBefore := u.accepted // an acceptance that overlaps the request may be newer
+	acceptedBefore := u.accepted // the job may be accepted after the request was sent
 	u.send(u.cancelInput, func(answer *message.Answer) {
 		if answer != nil && answer.Status == http.StatusOK {
 			u.sim.checker.cancellationAnswered(u, stateIn(*answer))
@@ -171,47 +171,48 @@
 			u.sim.after(retryDelay, u.cancel)
 			return
 		}
-		u.sim.checker.violated(invariantForgotten, u.id+" at its cancellation")
+		u.sim.checker.report(invariantLostJob, u.id+" at its cancellation")
 	})
 }
 
-// stateIn returns the job's state that an answer tells; empty: none.
+// stateIn returns the job state in an answer, or an empty one if it has none.
 func stateIn(answer message.Answer) api.JobState {
 	status, _ := answer.Body.(api.JobStatus)
 	return status.State
 }
 
-// submitInput makes the input that submits the job.
+// submitInput returns the input that submits the job.
 func (u *user) submitInput(requestID uint64) message.Input {
 	return message.Submit{RequestID: requestID, Body: u.body}
 }
 
-// statusInput makes the input that asks about the job.
+// statusInput returns the input that queries the state of the job.
 func (u *user) statusInput(requestID uint64) message.Input {
 	return message.GetStatus{RequestID: requestID, ID: u.id}
 }
 
-// cancelInput makes the input that cancels the job.
+// cancelInput returns the input that cancels the job.
 func (u *user) cancelInput(requestID uint64) message.Input {
 	return message.Cancel{RequestID: requestID, ID: u.id}
 }
 
-// anyDependency reports whether something holds of a direct or indirect dependency.
+// anyDependency reports whether a predicate holds for any direct or indirect dependency.
 func (u *user) anyDependency(holds func(*user) bool) bool {
 	return slices.ContainsFunc(u.dependencies, func(dependency *user) bool {
 		return holds(dependency) || dependency.anyDependency(holds)
 	})
 }
 
-// dependencyCancelled reports whether a dependency is cancelled, or may be: its cancellation
-// was requested, and not answered with done.
+// dependencyCancelled reports whether a dependency is or may be cancelled: its cancellation was
+// requested, and its user has not received that it is done.
 func (u *user) dependencyCancelled() bool {
 	return u.anyDependency(func(dependency *user) bool {
 		return dependency.cancelRequested && dependency.finalState != api.JobDone
 	})
 }
 
-// mustBeServed reports whether a job is to be served: accepted, without a mistake, and not
+// mustBeServed reports whether the controllers must serve the job: it is accepted, its user has
+// not requested its cancellation, its tasks don't always fail, and no dependency is or may be
 // cancelled.
 func (u *user) mustBeServed() bool {
 	return u.accepted && !u.cancelRequested && !u.job.AlwaysFails && !u.dependencyCancelled()
--- a/internal/simulation/user_queries.go
+++ b/internal/simulation/user_queries.go
@@ -7,50 +7,53 @@
 )
 
 const (
-	// queryLatency bounds the delay of a query and of its answer: both arrive at once, so
-	// that answers of different nodes can be compared.
-	queryLatency = 2 * micros.Millisecond
-	// completionNoticeDelay is how long after the last task's end a user may expect to
-	// receive that its job is done.
+	// maxQueryLatency bounds the delay of a query and of its answer. It is short, so that the
+	// answers of different nodes can be compared.
+	maxQueryLatency = 2 * micros.Millisecond
+	// completionNoticeDelay is the time from the end of a job's last task until its user
+	// expects to receive that the job is done.
 	completionNoticeDelay = 3 * micros.Second
-	// cancelAtEndDelay is within which time after that end a fault has the job cancelled.
-	cancelAtEndDelay = 3 * micros.Second
+	// cancelAtEndSpread is the longest time from that end until a fault makes the user cancel
+	// the job.
+	cancelAtEndSpread = 3 * micros.Second
 )
 
-// queryDelays are the times after news at which all nodes are queried.
+// queryDelays are the times at which all nodes are queried after the state of a job changed for
+// its user.
 var queryDelays = []micros.Micros{0, 2 * micros.Millisecond, 20 * micros.Millisecond, 250 * micros.Millisecond}
 
-// receiveQuery gets the answer to a query, with what the user knew when it sent the query.
-type receiveQuery func(answer message.Answer, acceptedBefore bool, finalBefore api.JobState)
+// queryCallback receives the answer to a query, and what the user knew when it sent the query:
+// whether the job was accepted, and its terminal state if any.
+type queryCallback func(answer message.Answer, acceptedBefore bool, finalBefore api.JobState)
 
-// query puts a question to one node, at once.
-func (u *user) query(node *node, input inputFor, receive receiveQuery) {
+// query sends a request to a node within maxQueryLatency, without a timeout or a retry.
+func (u *user) query(node *node, build inputBuilder, receive queryCallback) {
 	sim := u.sim
 	if !node.reaches(linkUsers) {
 		return
 	}
 	accepted, final := u.accepted, u.finalState
-	sim.after(micros.Random(sim.rng, queryLatency), func() {
+	sim.after(micros.Random(sim.rng, maxQueryLatency), func() {
 		if !node.up {
 			return
 		}
-		sim.request(node, input, func(answer message.Answer) {
-			sim.after(micros.Random(sim.rng, queryLatency), func() { receive(answer, accepted, final) })
+		sim.request(node, build, func(answer message.Answer) {
+			sim.after(micros.Random(sim.rng, maxQueryLatency), func() { receive(answer, accepted, final) })
 		})
 	})
 }
 
-// queryAllNodes asks about a job at all nodes within milliseconds after its user received
-// news of it, and repeats its submission.
+// queryAllNodes queries the job and repeats its submission at all nodes, at each of queryDelays
+// from now, while a fault of query bursts lasts.
 func (u *user) queryAllNodes() {
 	sim := u.sim
-	if sim.now >= sim.faults.closeQueriesUntil {
+	if sim.now >= sim.faults.queryBurstsUntil {
 		return
 	}
 	for _, delay := range queryDelays {
 		for _, node := range sim.nodes {
 			sim.after(delay, func() {
-				sim.countOccurrence(occurredCloseQuery)
+				sim.countOccurrence(occurredBurstQuery)
 				u.query(node, u.statusInput, sim.checker.checkQuery(u))
 				u.query(node, u.submitInput, sim.checker.checkQuery(u))
 			})
@@ -58,9 +61,9 @@
 	}
 }
 
-// afterCompletion is called when a task has completed. If its job has too, the user soon
-// expects to receive that; a fault may have the user cancel the job at that very moment, or
-// while its end is being recorded.
+// afterCompletion handles the completion of a task of a job. If that completes the job, the user
+// queries it after completionNoticeDelay. A fault may make the user cancel the job at that
+// moment, or while controllers still record its end.
 func (s *Simulation) afterCompletion(job string) {
 	owner := s.usersByID[job]
 	if owner == nil || owner.cancelRequested || !s.checker.completed(owner) {
@@ -74,10 +77,10 @@
 			}
 		})
 	})
-	if owner.finalState == "" && s.faults.cancelAtEnd.befalls(s) {
+	if owner.finalState == "" && s.faults.cancelAtEnd.applies(s) {
 		s.countOccurrence(occurredCancelAtEnd)
 		owner.cancelledByFault = true
-		atOnceOrLater := micros.Micros(s.rng.Int64N(eitherOr))
-		s.after(atOnceOrLater*micros.Random(s.rng, cancelAtEndDelay), owner.cancel)
+		atOnceOrLater := micros.Micros(s.rng.Int64N(coinFlipOutcomes))
+		s.after(atOnceOrLater*micros.Random(s.rng, cancelAtEndSpread), owner.cancel)
 	}
 }
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -12,53 +12,54 @@
 const (
 	workerHost      = "10.1.0.1:"
 	workerFirstPort = 9000
-	// workerTick is how often a worker looks at its lease and its next heartbeat.
+	// workerTick is the interval between a worker's checks of its lease and its next heartbeat.
 	workerTick = micros.Second / 10
-	// Machines boot in 0.6 to 1.5 times the time that the catalogue names.
+	// Machines boot in 0.6 to 1.5 times the boot time of the catalogue.
 	minBootFactor    = 0.6
 	bootFactorSpread = 0.9
-	// hastenedGap is the least time between a heartbeat and one that is brought forward.
-	hastenedGap = micros.Second / 2
+	// minHeartbeatGap is the shortest time from a heartbeat to one that is brought forward.
+	minHeartbeatGap = micros.Second / 2
 )
 
-// worker stands in for a machine with its worker.
+// worker simulates a machine and the worker that runs on it.
 type worker struct {
-	sim             *Simulation
-	name            string
-	addr            string
-	machineType     api.MachineType
-	zone            string
-	spot            bool
-	launchedAt      micros.Micros
-	up              bool
-	gone            bool          // terminated
-	interruptionAt  micros.Micros // when the cloud takes the spot machine back; zero: no notice
-	incarnation     api.Incarnation
-	fencingToken    api.FencingToken // the highest it has seen
-	sequence        uint64           // of its last heartbeat
-	tasks           []*workerTask
-	cachedImages    map[string]bool
-	leaseStart      micros.Micros // when the last answered heartbeat was sent
-	node            int           // index of the node that it sends heartbeats to
-	pendingCall     int64         // number of the heartbeat in flight; zero: none
-	calls           int64         // heartbeats so far
-	nextHeartbeatAt micros.Micros
-	lastHeartbeatAt micros.Micros
+	sim              *Simulation
+	name             string
+	addr             string
+	machineType      api.MachineType
+	zone             string
+	spot             bool
+	launchedAt       micros.Micros
+	up               bool
+	terminated       bool          // the machine no longer exists
+	interruptionAt   micros.Micros // when the cloud terminates the spot machine; zero: no notice
+	incarnation      api.Incarnation
+	fencingToken     api.FencingToken // the highest that it has received
+	sequence         uint64           // of its latest heartbeat
+	tasks            []*workerTask
+	cachedImages     map[string]bool
+	leaseStart       micros.Micros // when the latest answered heartbeat was sent
+	nodeIndex        int           // index of the node that it sends heartbeats to
+	pendingHeartbeat int64         // number of the heartbeat in flight; zero: none
+	heartbeatCount   int64         // heartbeats sent so far
+	nextHeartbeatAt  micros.Micros
+	lastHeartbeatAt  micros.Micros
 
 	// Injected faults.
-	hung        bool
-	deferred    []func() // what happens once it is no longer hung
-	failing     bool     // fails all tasks that it starts
-	inboundCut  bool     // its heartbeats arrive; answers and commands do not reach it
-	outboundCut bool     // it reaches no controller; commands reach it
+	hung            bool
+	deferredActions []func() // actions to run when it resumes
+	failing         bool     // all tasks that it starts fail
+	inboundCut      bool     // its heartbeats arrive, but no answers and commands reach it
+	outboundCut     bool     // its heartbeats don't arrive, but commands reach it
 }
 
-// newWorker launches a machine, whose worker starts once the machine has booted.
+// newWorker launches a machine and adds it to the simulation. Its worker starts when the machine
+// has booted.
 func newWorker(sim *Simulation, name string, machineType api.MachineType, zone string, spot bool) *worker {
 	launched := &worker{
 		sim: sim, name: name, addr: workerHost + strconv.Itoa(workerFirstPort+len(sim.workers)),
 		machineType: machineType, zone: zone, spot: spot,
-		launchedAt: sim.now, incarnation: 1, cachedImages: map[string]bool{}, node: sim.rng.IntN(controllerCount),
+		launchedAt: sim.now, incarnation: 1, cachedImages: map[string]bool{}, nodeIndex: sim.rng.IntN(controllerCount),
 	}
 	sim.workers = append(sim.workers, launched)
 	if sim.transport != nil {
@@ -67,7 +68,7 @@
 	sim.workersByAddr[launched.addr] = launched
 	bootTime := micros.FromSeconds(machineType.BootS * (minBootFactor + bootFactorSpread*sim.rng.Float64()))
 	sim.after(bootTime, func() {
-		if !launched.gone {
+		if !launched.terminated {
 			launched.up, launched.leaseStart = true, sim.now
 			sim.every(workerTick, launched.tick)
 		}
@@ -75,32 +76,34 @@
 	return launched
 }
 
-// healthy reports whether a machine is up and no injected fault befalls it.
+// healthy reports whether the machine is up and no injected fault affects it.
 func (w *worker) healthy() bool {
-	return w.up && !w.gone && !w.hung && !w.inboundCut && !w.outboundCut && !w.failing
+	return w.up && !w.terminated && !w.hung && !w.inboundCut && !w.outboundCut && !w.failing
 }
 
-// idle reports whether a machine has no task that has not exited.
+// idle reports whether all tasks on the machine have exited.
 func (w *worker) idle() bool {
 	return !slices.ContainsFunc(w.tasks, func(task *workerTask) bool { return task.state != api.TaskExited })
 }
 
-// whenRunning does something now, or when a hung machine resumes.
+// whenRunning runs an action now or, if the machine is hung, when it resumes. It drops the action
+// if the machine is terminated.
 func (w *worker) whenRunning(action func()) {
 	switch {
-	case w.gone:
+	case w.terminated:
 	case w.hung:
-		w.deferred = append(w.deferred, action)
+		w.deferredActions = append(w.deferredActions, action)
 	default:
 		action()
 	}
 }
 
-// resume ends a hang. The lease is checked first: it may have expired meanwhile.
+// resume ends a hang. It checks the lease before it runs the deferred actions, as the lease may
+// have expired during the hang.
 func (w *worker) resume() {
 	w.hung = false
-	deferred := w.deferred
-	w.deferred = nil
+	deferred := w.deferredActions
+	w.deferredActions = nil
 	w.checkLease()
 	for _, action := range deferred {
 		w.whenRunning(action)
@@ -109,14 +112,14 @@
 
 // checkLease restarts the worker if its lease has expired.
 func (w *worker) checkLease() {
-	if !w.gone && w.sim.now > w.leaseStart+micros.FromSeconds(w.sim.scenario.LeaseS) {
+	if !w.terminated && w.sim.now > w.leaseStart+micros.FromSeconds(w.sim.scenario.LeaseS) {
 		w.sim.logf("%s lease expired", w.name)
 		w.restart()
 	}
 }
 
-// restart begins a new incarnation without the tasks: the lease expired, or the worker's
-// process ended and was back at once.
+// restart begins a new incarnation without tasks, after the lease expired or when the worker's
+// process restarts.
 func (w *worker) restart() {
 	for _, task := range w.tasks {
 		task.detach()
@@ -124,16 +127,16 @@
 	w.tasks = nil
 	w.incarnation++
 	w.leaseStart = w.sim.now
-	w.pendingCall = 0
-	w.hastenHeartbeat()
+	w.pendingHeartbeat = 0
+	w.expediteHeartbeat()
 }
 
-// terminate ends the machine for good.
+// terminate removes the machine and its tasks permanently.
 func (w *worker) terminate() {
-	if w.gone {
+	if w.terminated {
 		return
 	}
-	w.gone = true
+	w.terminated = true
 	for _, task := range w.tasks {
 		task.detach()
 	}
@@ -142,20 +145,20 @@
 
 // tick checks the lease and sends the next heartbeat if it is due.
 func (w *worker) tick() {
-	if w.gone {
+	if w.terminated {
 		return
 	}
-	w.checkLease() // a hang does not outlast the lease: docs/questions.md
+	w.checkLease() // also while hung, as a hang doesn't outlast the lease: docs/questions.md
 	if w.hung {
 		return
 	}
-	if w.pendingCall == 0 && w.sim.now >= w.nextHeartbeatAt {
+	if w.pendingHeartbeat == 0 && w.sim.now >= w.nextHeartbeatAt {
 		w.sendHeartbeat()
 	}
 }
 
-// receiveCommands answers direct commands with a status and a heartbeat. Those under an
-// older fencing token, or for another incarnation, are refused.
+// receiveCommands executes direct commands and returns the status and the heartbeat of the
+// answer. It refuses commands with an older fencing token or for another incarnation.
 func (w *worker) receiveCommands(request api.CommandRequest) (int, *api.Heartbeat) {
 	if request.FencingToken < w.fencingToken || request.Incarnation != w.incarnation {
 		return http.StatusConflict, w.heartbeat()
@@ -165,19 +168,19 @@
 	return http.StatusOK, w.heartbeat()
 }
 
-// raiseToken takes over a higher fencing token.
+// raiseToken adopts a fencing token if it is higher than the worker's.
 func (w *worker) raiseToken(token api.FencingToken) {
 	if token > w.fencingToken {
 		w.fencingToken = token
-		w.hastenHeartbeat()
+		w.expediteHeartbeat()
 	}
 }
 
-// execute carries out commands in their order; those that change nothing are passed over.
+// execute executes commands in their order. It ignores commands that change nothing.
 func (w *worker) execute(commands []api.Command) {
 	for _, command := range commands {
 		task := w.findTask(command.Task, command.Attempt)
-		w.sim.logf("%s does %s %s attempt %d", w.name, command.Op, command.Task, command.Attempt)
+		w.sim.logf("%s executes %s %s attempt %d", w.name, command.Op, command.Task, command.Attempt)
 		switch {
 		case command.Op == api.CommandStart && task == nil:
 			w.startTask(command)
@@ -189,7 +192,7 @@
 	}
 }
 
-// findTask returns the attempt of a task; nil: not here.
+// findTask returns an attempt of a task, or nil if it is not on the machine.
 func (w *worker) findTask(id string, attempt api.Attempt) *workerTask {
 	for _, task := range w.tasks {
 		if task.id == id && task.attempt == attempt {
@@ -199,7 +202,7 @@
 	return nil
 }
 
-// hasRoom reports whether a task fits beside those that are there.
+// hasRoom reports whether a task of a job fits on the machine beside its other tasks.
 func (w *worker) hasRoom(spec api.Job) bool {
 	cpus, gpus := spec.CPUs, spec.GPUs
 	for _, task := range w.tasks {
--- a/internal/simulation/worker_task.go
+++ b/internal/simulation/worker_task.go
@@ -9,21 +9,21 @@
 )
 
 const (
-	// fetchTimePerGB is how long an image takes to fetch, cachedFetchTime one that is there.
-	fetchTimePerGB  = 1.0 // seconds
-	cachedFetchTime = micros.Second / 100
-	// failAfter is how long a task runs that fails.
-	failAfter = micros.Second
-	// gangWait is how long a task waits for its gang, as the settings tell workers.
+	// fetchSecondsPerGB is the time to fetch an image, cachedFetchTime that for a cached image.
+	fetchSecondsPerGB = 1.0
+	cachedFetchTime   = micros.Second / 100
+	// failingRunTime is how long a failing task runs before it fails.
+	failingRunTime = micros.Second
+	// gangWait is how long a task waits for its gang, as in the settings.
 	gangWait = gangWaitS * micros.Second
-	// gangPeerLoss is how long after the loss of a member the others exit, well within the
-	// gang_peer_s of the settings.
-	gangPeerLoss = 2 * micros.Second
-	// minRunTime is the shortest run of a task that resumes from a checkpoint.
+	// gangPeerLossDelay is the time from the loss of a gang member until the others exit, well
+	// within the gang_peer_s of the settings.
+	gangPeerLossDelay = 2 * micros.Second
+	// minRunTime is the shortest run time of a task that resumes from a checkpoint.
 	minRunTime = micros.Second / 10
 )
 
-// workerTask is an attempt of a task on a worker.
+// workerTask is one attempt to run a task, on one worker.
 type workerTask struct {
 	worker           *worker
 	id               string
@@ -32,13 +32,14 @@
 	state            api.TaskState
 	exitReason       api.ExitReason
 	checkpointStored bool
-	running          bool // the invariant checker counts it
+	active           bool // counted by the invariant checker
 	runningSince     micros.Micros
-	resumedFrom      micros.Micros // progress that the run began with
-	generation       int           // changes whenever what was planned for it is void
+	resumedFrom      micros.Micros // progress of the checkpoint that the run began from
+	generation       int           // incremented to invalidate the actions scheduled for the task
 }
 
-// startTask starts an attempt of a task: it fetches the image, then runs.
+// startTask starts an attempt of a task: it fetches the image, then runs. The attempt exits at
+// once if another one is on the machine, the machine has no room, or the job does not exist.
 func (w *worker) startTask(command api.Command) {
 	jobName, _, _ := strings.Cut(command.Task, "/")
 	task := &workerTask{
@@ -61,8 +62,8 @@
 	if task.state == api.TaskExited {
 		return
 	}
-	w.hastenHeartbeat()
-	fetchTime := micros.FromSeconds(fetchTimePerGB * job.ImageGB)
+	w.expediteHeartbeat()
+	fetchTime := micros.FromSeconds(fetchSecondsPerGB * job.ImageGB)
 	if w.cachedImages[spec.Image] {
 		fetchTime = cachedFetchTime
 	}
@@ -72,11 +73,11 @@
 	})
 }
 
-// after does something after a span, unless the task has exited or moved on by then. A
-// hang of the machine puts it off.
-func (t *workerTask) after(span micros.Micros, action func()) {
+// after runs an action after a delay, unless the task has exited or its generation has changed by
+// then. A hang of the machine delays the action further.
+func (t *workerTask) after(delay micros.Micros, action func()) {
 	generation := t.generation
-	t.worker.sim.after(span, func() {
+	t.worker.sim.after(delay, func() {
 		t.worker.whenRunning(func() {
 			if t.generation == generation && t.state != api.TaskExited {
 				action()
@@ -85,20 +86,20 @@
 	})
 }
 
-// begin has a task run that has its image, or fail, or wait for its gang.
+// begin starts a task whose image is on the machine: it runs, fails or waits for its gang.
 func (t *workerTask) begin(job Job) {
 	sim := t.worker.sim
-	t.running = true
+	t.active = true
 	sim.checker.taskStarted(t.worker, t)
 	switch {
 	case sim.completedTasks[t.id]:
 		t.exit(api.ExitDone)
 	case t.worker.failing || job.AlwaysFails:
 		sim.countOccurrence(occurredTaskFailure)
-		t.after(failAfter, func() { t.exit(api.ExitFailed) })
+		t.after(failingRunTime, func() { t.exit(api.ExitFailed) })
 	case job.spec(0).Kind == api.KindGang:
 		t.state = api.TaskWaiting
-		t.worker.hastenHeartbeat()
+		t.worker.expediteHeartbeat()
 		t.after(gangWait, func() {
 			if t.state == api.TaskWaiting {
 				t.exit(api.ExitGangIncomplete)
@@ -110,11 +111,11 @@
 	}
 }
 
-// run has a task work from its checkpoint to its end; a service works until it is stopped.
+// run runs a task from its checkpoint to its end, or a service until it is stopped.
 func (t *workerTask) run(job Job) {
 	t.state, t.runningSince = api.TaskRunning, t.worker.sim.now
 	t.generation++
-	t.worker.hastenHeartbeat()
+	t.worker.expediteHeartbeat()
 	if job.Kind == api.KindService {
 		return
 	}
@@ -123,13 +124,14 @@
 	t.after(max(remaining, minRunTime), func() { t.exit(api.ExitDone) })
 }
 
-// index is the task's number within its job.
+// index returns the task's index within its job.
 func (t *workerTask) index() int {
-	index, _ := strconv.Atoi(t.id[strings.IndexByte(t.id, '/')+1:]) // tasks of a job have one
+	index, _ := strconv.Atoi(t.id[strings.IndexByte(t.id, '/')+1:]) // every task ID ends in an index
 	return index
 }
 
-// checkpointKey is what progress is saved under: a gang's is the job's.
+// checkpointKey returns the key of the task's saved progress. The tasks of a gang share the key
+// of the job.
 func (t *workerTask) checkpointKey(job Job) string {
 	if job.Kind == api.KindGang {
 		return t.job
@@ -137,7 +139,7 @@
 	return t.id
 }
 
-// startGang runs a gang once all its members wait.
+// startGang runs all members of a task's gang if all of them are waiting.
 func (s *Simulation) startGang(task *workerTask, job Job) {
 	members := s.gangMembers(task)
 	if len(members) < max(1, job.Tasks) {
@@ -153,11 +155,11 @@
 	}
 }
 
-// gangMembers lists the tasks of a task's job and attempt that have not exited.
+// gangMembers returns the tasks with a task's job and attempt number that have not exited.
 func (s *Simulation) gangMembers(task *workerTask) []*workerTask {
 	var members []*workerTask
 	for _, worker := range s.workers {
-		if worker.gone {
+		if worker.terminated {
 			continue
 		}
 		for _, other := range worker.tasks {
@@ -169,7 +171,7 @@
 	return members
 }
 
-// stop stops a task. One that can save a checkpoint within the grace, in seconds, does so
+// stop stops the task. If the task can save a checkpoint within the grace period, it does so
 // first.
 func (t *workerTask) stop(graceS float64) {
 	job := t.worker.sim.jobs[t.job]
@@ -184,13 +186,13 @@
 	}
 }
 
-// saveCheckpoint saves the progress made so far, and exits.
+// saveCheckpoint saves the task's progress up to now and exits when saveTime has passed.
 func (t *workerTask) saveCheckpoint(job Job, saveTime micros.Micros) {
 	sim := t.worker.sim
 	progress := t.resumedFrom + (sim.now - t.runningSince)
 	t.state = api.TaskCheckpointing
 	t.generation++
-	t.worker.hastenHeartbeat()
+	t.worker.expediteHeartbeat()
 	t.after(saveTime, func() {
 		key := t.checkpointKey(job)
 		sim.checkpoints[key] = max(sim.checkpoints[key], progress)
@@ -199,7 +201,7 @@
 	})
 }
 
-// exit ends a task; its gang notices unless it is done.
+// exit ends the task with a reason. Unless the task is done, its gang loses a member.
 func (t *workerTask) exit(reason api.ExitReason) {
 	sim := t.worker.sim
 	wasRunning := t.state == api.TaskRunning || t.state == api.TaskCheckpointing
@@ -208,7 +210,7 @@
 	}
 	t.state, t.exitReason = api.TaskExited, reason
 	t.detach()
-	t.worker.hastenHeartbeat()
+	t.worker.expediteHeartbeat()
 	if reason == api.ExitDone {
 		sim.afterCompletion(t.job)
 	}
@@ -217,7 +219,7 @@
 	}
 }
 
-// completeTask notes that a task is done. A gang completes together.
+// completeTask marks a task as completed. The tasks of a gang complete together.
 func (s *Simulation) completeTask(task *workerTask) {
 	s.completedTasks[task.id] = true
 	job := s.jobs[task.job]
@@ -229,7 +231,7 @@
 	}
 }
 
-// notifyGang has the other members of a gang exit that run.
+// notifyGang makes the other running members of the task's gang exit after gangPeerLossDelay.
 func (t *workerTask) notifyGang() {
 	sim := t.worker.sim
 	if sim.jobs[t.job].Kind != api.KindGang {
@@ -237,18 +239,19 @@
 	}
 	for _, member := range sim.gangMembers(t) {
 		if member != t && member.state == api.TaskRunning {
-			member.after(gangPeerLoss, func() { member.exit(api.ExitGangEnded) })
+			member.after(gangPeerLossDelay, func() { member.exit(api.ExitGangEnded) })
 		}
 	}
 }
 
-// detach takes a task off its machine; what was planned for it is void.
+// detach removes the task from its machine and invalidates the actions scheduled for it. If the
+// task was still running, its gang loses a member.
 func (t *workerTask) detach() {
-	lost := t.running && t.state == api.TaskRunning
+	lost := t.active && t.state == api.TaskRunning
 	t.generation++
-	if t.running {
-		t.running = false
-		t.worker.sim.checker.taskLeft(t)
+	if t.active {
+		t.active = false
+		t.worker.sim.checker.taskRemoved(t)
 	}
 	if lost {
 		t.state = api.TaskExited
