--- a/internal/simulation/determinism_test.go
+++ b/internal/simulation/determinism_test.go
@@ -5,13 +5,14 @@
 	"testing"
 )
 
-// TestSameScenarioTwice guards against decisions that depend on the order of a map or on
-// anything else but the inputs: a scenario run twice produces the same log.
+// TestSameScenarioTwice checks that a scenario run twice produces the same log. It guards
+// against decisions that depend on the iteration order of a map or on anything else but
+// the inputs.
 func TestSameScenarioTwice(t *testing.T) {
 	t.Parallel()
 	scenarios := digestScenarios(t)
-	random := scenarios[len(scenarios)-digestSeeds:]
-	for _, scenario := range random[20:30] { // 1026 among them, which once differed
+	random := scenarios[len(scenarios)-digestSeedCount:]
+	for _, scenario := range random[20:30] { // seed 1026 among them, whose two logs once differed
 		var logs [2][]string
 		for i := range logs {
 			sim, _, err := Play(mustParse(t, scenario.text))
@@ -21,7 +22,7 @@
 			logs[i] = sim.Log
 		}
 		if !slices.Equal(logs[0], logs[1]) {
-			t.Errorf("two logs of %s:\n%s", scenario.name, scenario.text)
+			t.Errorf("got two different logs of %s, want the same log twice; the scenario:\n%s", scenario.name, scenario.text)
 		}
 	}
 }
--- a/internal/simulation/digest_test.go
+++ b/internal/simulation/digest_test.go
@@ -19,9 +19,10 @@
 	"spurmoor/internal/peer"
 )
 
-// The digest covers so many random runs, from this seed on.
+// The digest covers the random scenario with digestSeedCount consecutive seeds from
+// firstDigestSeed on.
 const (
-	digestSeeds     = 200
+	digestSeedCount = 200
 	firstDigestSeed = 1000
 )
 
@@ -29,9 +30,9 @@
 
 // TestDigest prints one hash over everything that the controllers send, write and answer,
 // with its simulated time, in every scenario and in 200 random runs. Log lines are left
-// out. A change that only moves or renames code leaves the digest as it was. The sums of
-// the runs are sorted before they are hashed together, so a renamed scenario file leaves
-// it as it was too. The value is not checked against anything stored.
+// out. A change that only moves or renames code doesn't change the digest. The hashes of
+// the runs are sorted before they are hashed together, so renaming a scenario file doesn't
+// change it either. The digest is not compared with a stored value.
 func TestDigest(t *testing.T) {
 	if !*printDigest {
 		t.Skip("no -digest")
@@ -57,10 +58,10 @@
 	t.Logf("digest of %d runs: %x", len(scenarios), sha256.Sum256([]byte(strings.Join(sums, "\n"))))
 }
 
-// namedScenario is the text of a scenario with its name.
+// namedScenario is the text of a scenario with the name under which its hash is printed.
 type namedScenario struct{ name, text string }
 
-// digestScenarios returns every scenario, and the random runs at the end.
+// digestScenarios returns every scenario, followed by the random scenario with each seed.
 func digestScenarios(t *testing.T) []namedScenario {
 	t.Helper()
 	var scenarios []namedScenario
@@ -68,13 +69,14 @@
 		scenarios = append(scenarios, namedScenario{file, readFile(t, file)})
 	}
 	random := readFile(t, randomScenario)
-	for seed := firstDigestSeed; seed < firstDigestSeed+digestSeeds; seed++ {
+	for seed := firstDigestSeed; seed < firstDigestSeed+digestSeedCount; seed++ {
 		scenarios = append(scenarios, namedScenario{"random run " + strconv.Itoa(seed), withSeed(random, seed)})
 	}
 	return scenarios
 }
 
-// digestOf runs a scenario and hashes its effects; empty: it could not be run.
+// digestOf runs a scenario and returns the hash of its effects in hexadecimal. It returns
+// an empty string if the scenario cannot be parsed.
 func digestOf(t *testing.T, text string) string {
 	t.Helper()
 	scenario, err := Parse([]byte(text))
@@ -90,20 +92,20 @@
 	return fmt.Sprintf("%x", sum.Sum(nil))
 }
 
-// hashEffect adds one effect by its values, so that renamed types and fields
-// leave the digest as it is.
+// hashEffect adds one effect to the hash value by value, so that renaming its Go type or
+// its fields doesn't change the digest.
 func hashEffect(sum hash.Hash, at micros.Micros, node string, effect message.Effect) {
 	add := func(kind string, values ...any) {
 		text, err := json.Marshal(values)
 		if err != nil {
 			panic(err) // plain records: cannot fail
 		}
-		_, _ = fmt.Fprintln(sum, at, node, kind, string(text)) // a hash takes everything
+		_, _ = fmt.Fprintln(sum, at, node, kind, string(text)) // writing to a hash never fails
 	}
 	switch effect := effect.(type) {
 	case message.Answer:
 		if _, refused := effect.Body.(api.Error); refused {
-			effect.Body = nil // the JSON library words its errors by build
+			effect.Body = nil // the texts of the JSON library's errors differ between builds
 		}
 		if order, ok := effect.Body.(leadership.Order[api.HeartbeatResponse]); ok {
 			effect.Body = order.Body()
@@ -117,8 +119,8 @@
 	case message.SendCommands:
 		add("commands", effect.Machine, effect.Addr, effect.StartsTasks, effect.Body.Body())
 	case message.Broadcast:
-		// As on the wire: what a controller sends another is named by the tags of
-		// its fields, not by their names in Go.
+		// The heartbeat is encoded as on the wire, where the tags of its fields
+		// name them, so that renaming a Go field doesn't change the digest.
 		heartbeat := *effect.Heartbeat
 		encoded, err := peer.Encode(&heartbeat)
 		if err != nil {
--- a/internal/simulation/loopback_run_test.go
+++ b/internal/simulation/loopback_run_test.go
@@ -14,7 +14,7 @@
 	"github.com/go-json-experiment/json"
 )
 
-// loopbackScenario has short leases, so that failovers are quick in real time.
+// loopbackScenario has short leases, so that failovers take seconds of real time.
 const loopbackScenario = `lease_s = 6
 cancel_s = 14
 [[type]]
@@ -26,7 +26,7 @@
 count = 4
 `
 
-// mustParse parses a scenario.
+// mustParse parses a scenario, and fails the test if it is invalid.
 func mustParse(t *testing.T, text string) *Scenario {
 	t.Helper()
 	scenario, err := Parse([]byte(text))
@@ -36,10 +36,11 @@
 	return scenario
 }
 
-// TestLoopback runs the built program: three processes, jobs, a cancellation, invalid
-// requests and kills, with the invariants checked throughout.
+// TestLoopback runs three processes of the built program. It submits and cancels jobs, sends
+// invalid requests, uses the commands of the program, and kills one process and then all of
+// them. The invariants are checked throughout.
 func TestLoopback(t *testing.T) {
-	cluster := newLoopback(t, mustParse(t, loopbackScenario))
+	cluster := newLoopbackCluster(t, mustParse(t, loopbackScenario))
 	binary := cluster.build("spurmoor", ".")
 	cluster.startAll(binary)
 	cluster.checkInvalidRequests()
@@ -60,7 +61,7 @@
 	}
 	cluster.checkCommandLine(binary)
 
-	// One process, then all of them, end while jobs run.
+	// One process, then all of them, are killed while jobs run.
 	running := cluster.submit(20, Job{Tasks: 6, GPUs: 1, RunS: 3, Team: "norte"})
 	cluster.kill(0)
 	submittedMeanwhile := cluster.submit(22, Job{Tasks: 2, GPUs: 1, RunS: 1, Team: "sur"})
@@ -74,9 +75,9 @@
 		cluster.start(i, binary)
 	}
 	cluster.cancel(service, 2)
-	cluster.waitUntil("its tasks are gone", func() bool {
+	cluster.waitUntil("the tasks of the cancelled service have stopped", func() bool {
 		remaining := 0
-		cluster.locked(func() {
+		cluster.withLock(func() {
 			running := cluster.sim.checker.activeAttempts
 			remaining = len(running[taskID(service, 0)]) + len(running[taskID(service, 1)])
 		})
@@ -88,8 +89,8 @@
 	cluster.checkNoViolations()
 }
 
-// checkInvalidRequests sends what must be refused, and checks the statuses.
-func (l *loopback) checkInvalidRequests() {
+// checkInvalidRequests sends invalid requests and checks the status that refuses each.
+func (l *loopbackCluster) checkInvalidRequests() {
 	l.t.Helper()
 	const get, post, put = http.MethodGet, http.MethodPost, http.MethodPut
 	body := func(job Job, number int) string { return string(submission(job.spec(number))) }
@@ -110,31 +111,33 @@
 		{post, "/work", strings.Replace(dependent, "wk-000078", "job", 1), http.StatusBadRequest},
 		{post, "/work", `{"Id":"` + strings.Repeat("x", 70000) + `"}`, http.StatusBadRequest},
 	} {
-		l.waitUntil(fmt.Sprintf("%s %s is answered %d", tc.method, tc.path, tc.status), func() bool {
+		l.waitUntil(fmt.Sprintf("%s %s is answered with status %d", tc.method, tc.path, tc.status), func() bool {
 			status, _ := l.request(tc.method, 0, tc.path, []byte(tc.body))
 			return status == tc.status
 		})
 	}
 }
 
-// explanation asks a controller why a job waits, and reports whether it answers.
-func (l *loopback) explanation(index int, id string) (api.Explanation, bool) {
+// explanation returns why a job waits, as a controller answers it, and whether the
+// controller answers.
+func (l *loopbackCluster) explanation(index int, id string) (api.Explanation, bool) {
 	status, raw := l.request(http.MethodGet, index, "/why/"+id, nil)
 	var explanation api.Explanation
 	ok := status == http.StatusOK && json.Unmarshal(raw, &explanation) == nil
 	return explanation, ok
 }
 
-// checkDependencies checks that jobs that wait for others are explained, and are cancelled
-// when one in the middle is; no job can wait for a service.
-func (l *loopback) checkDependencies() {
+// checkDependencies checks that the explanation of a job names its unfinished dependencies,
+// that the dependants of a cancelled job are cancelled, and that a job cannot depend on a
+// service.
+func (l *loopbackCluster) checkDependencies() {
 	l.t.Helper()
 	first := l.submit(30, Job{Tasks: 1, RunS: 600, Team: "sur"})
 	second := l.submit(31, Job{Tasks: 2, RunS: 20, Team: "oeste", Dependencies: []int{30}})
 	third := l.submit(32, Job{
 		Tasks: 1, RunS: 5, Team: "norte", Dependencies: []int{31, 30}, DeadlineS: 60, Priority: "urgent",
 	})
-	l.waitUntil("it is said what "+third+" waits for, and that it will be late", func() bool {
+	l.waitUntil("the explanation of "+third+" names its dependencies and says that it will be late", func() bool {
 		explanation, ok := l.explanation(1, third)
 		return ok && len(explanation.WaitsFor) == 2 && explanation.EarliestS > explanation.DeadlineInS &&
 			explanation.InTime == api.InTimeNo
@@ -150,14 +153,14 @@
 	l.cancel(first, 0)
 }
 
-// checkExplanation submits a job that nothing can run for now, and checks that whoever
-// asks its leader receives an explanation. It returns the job.
-func (l *loopback) checkExplanation() string {
+// checkExplanation submits a job for which there are too few machines, and checks that the
+// leader of its partition explains why it waits. It returns the job's id.
+func (l *loopbackCluster) checkExplanation() string {
 	l.t.Helper()
-	wide := l.submit(13, Job{Tasks: 30, GPUs: 4, RunS: 60, Team: "norte"})
-	l.waitUntil("it is said why "+wide+" waits and when it should be done", func() bool {
+	large := l.submit(13, Job{Tasks: 30, GPUs: 4, RunS: 60, Team: "norte"})
+	l.waitUntil("the explanation of "+large+" says why it waits and when it should be done", func() bool {
 		for i := range controllerCount {
-			explanation, ok := l.explanation(i, wide)
+			explanation, ok := l.explanation(i, large)
 			if ok && explanation.Leader == nodeName(i) && explanation.Reason != "" && explanation.ExpectedInS > 0 &&
 				explanation.EarliestS < explanation.ExpectedInS && explanation.ExpectedInS < explanation.LatestS {
 				return true
@@ -165,20 +168,21 @@
 		}
 		return false
 	})
-	return wide
+	return large
 }
 
-// checkCommandLine uses the commands as a job's owner would.
-func (l *loopback) checkCommandLine(binary string) {
+// checkCommandLine submits, queries and cancels jobs with the commands of the program, and
+// checks their output and exit codes.
+func (l *loopbackCluster) checkCommandLine(binary string) {
 	l.t.Helper()
 	job := Job{Tasks: 1, GPUs: 1, RunS: 600, Team: "sur", Kind: api.KindArray}
 	spec := job.spec(15)
-	l.locked(func() { l.addOwner(spec, job) })
+	l.withLock(func() { l.registerJob(spec, job) })
 	jobFile := l.writeFile("job.json", submission(spec))
 	dependentFile := l.writeFile("dependent.json", submission(Job{RunS: 5, Dependencies: []int{15}}.spec(16)))
 	for _, tc := range []struct {
 		args   []string
-		output string // that it contains
+		output string // a part of it
 		code   int
 	}{
 		{[]string{"submit", jobFile}, `"wk-000015"`, 0},
@@ -197,8 +201,9 @@
 	}
 }
 
-// runCommand runs a command of the program, and returns its output and exit code.
-func (l *loopback) runCommand(binary string, args ...string) (string, int) {
+// runCommand runs a command of the program against one controller, and returns its standard
+// output and exit code.
+func (l *loopbackCluster) runCommand(binary string, args ...string) (string, int) {
 	l.t.Helper()
 	command := exec.CommandContext(l.t.Context(), binary, append(args, "--addr", l.publicAddrs[1])...)
 	output, err := command.Output()
@@ -208,8 +213,8 @@
 	return string(output), command.ProcessState.ExitCode()
 }
 
-// writeFile writes a file for the test, and returns its path.
-func (l *loopback) writeFile(name string, content []byte) string {
+// writeFile writes a file to the temporary directory of the test, and returns its path.
+func (l *loopbackCluster) writeFile(name string, content []byte) string {
 	l.t.Helper()
 	path := filepath.Join(l.dir, name)
 	if err := os.WriteFile(path, content, 0o600); err != nil {
--- a/internal/simulation/loopback_services_test.go
+++ b/internal/simulation/loopback_services_test.go
@@ -13,23 +13,23 @@
 	"github.com/go-json-experiment/json"
 )
 
-// reply writes an answer of a stand-in.
-func (l *loopback) reply(writer http.ResponseWriter, status int, body any) {
+// reply writes a response of a simulated service or worker, with its body in JSON.
+func (l *loopbackCluster) reply(writer http.ResponseWriter, status int, body any) {
 	writer.WriteHeader(status)
 	if err := json.MarshalWrite(writer, body); err != nil {
 		l.t.Logf("reply: %v", err)
 	}
 }
 
-// serveStore serves the interface of the key-value store.
-func (l *loopback) serveStore(writer http.ResponseWriter, request *http.Request) {
+// serveStore serves the HTTP API of the key-value store.
+func (l *loopbackCluster) serveStore(writer http.ResponseWriter, request *http.Request) {
 	call, err := parseStoreCall(request)
 	if err != nil {
 		l.reply(writer, http.StatusBadRequest, api.Error{Error: err.Error()})
 		return
 	}
 	replies := make(chan *message.StoreReply, 1)
-	l.locked(func() {
+	l.withLock(func() {
 		l.sim.store.call(l.sim.nodes[0], call, func(reply *message.StoreReply) { replies <- reply })
 	})
 	reply := <-replies
@@ -44,7 +44,8 @@
 	l.reply(writer, reply.Status, bodies[call.Op])
 }
 
-// parseStoreCall reads a request to the key-value store.
+// parseStoreCall returns the call in a request to the key-value store. It returns an error if
+// the body cannot be decoded, and a zero call for an unknown path.
 func parseStoreCall(request *http.Request) (message.StoreCall, error) {
 	path, query := request.URL.Path, request.URL.Query()
 	switch {
@@ -62,26 +63,27 @@
 		err := json.UnmarshalRead(request.Body, &lease)
 		return message.StoreCall{Op: message.OpGrantLease, TTLMs: lease.TTLMs}, err
 	case strings.HasSuffix(path, "/extend"):
-		lease, _ := strconv.ParseUint(strings.Split(path, "/")[2], 10, 64) // zero is no lease's id
+		lease, _ := strconv.ParseUint(strings.Split(path, "/")[2], 10, 64) // zero if it is no number, which is no lease's id
 		return message.StoreCall{Op: message.OpRenewLease, LeaseID: lease}, nil
 	case path == "/follow":
-		since, wait := queryNumber(query, "Since"), queryNumber(query, "BlockMs")
+		since, wait := queryInt(query, "Since"), queryInt(query, "BlockMs")
 		return message.StoreCall{Op: message.OpWatch, Since: api.Revision(since), WaitMs: wait}, nil
 	}
 	return message.StoreCall{}, nil
 }
 
-// queryNumber returns a number of a query; zero if there is none.
-func queryNumber(query url.Values, name string) int {
-	number, _ := strconv.Atoi(query.Get(name)) // zero if it is missing
+// queryInt returns a query parameter as a number; zero if it is missing or no number.
+func queryInt(query url.Values, name string) int {
+	number, _ := strconv.Atoi(query.Get(name)) // zero in case of an error
 	return number
 }
 
-// serveCloud serves the interface of the cloud to a process.
-func (l *loopback) serveCloud(index int, writer http.ResponseWriter, request *http.Request) {
+// serveCloud serves the HTTP API of the cloud to a process. The addresses of the listed
+// workers are those at which this process reaches them.
+func (l *loopbackCluster) serveCloud(index int, writer http.ResponseWriter, request *http.Request) {
 	call := parseCloudCall(request)
 	var reply *message.CloudReply
-	l.locked(func() {
+	l.withLock(func() {
 		reply = l.sim.cloud.call(l.sim.nodes[index], call)
 		for i := range reply.Instances.Instances {
 			instance := &reply.Instances.Instances[i]
@@ -97,8 +99,8 @@
 	l.reply(writer, reply.Status, bodies[call.Op])
 }
 
-// parseCloudCall reads a request to the cloud. One that can't be read launches or deletes
-// nothing.
+// parseCloudCall returns the call in a request to the cloud. If the body cannot be decoded,
+// the call launches or deletes nothing.
 func parseCloudCall(request *http.Request) message.CloudCall {
 	switch {
 	case request.URL.Path == "/catalog":
@@ -117,8 +119,9 @@
 	return message.CloudCall{Op: message.OpListInstances, After: request.URL.Query().Get("Since")}
 }
 
-// listen serves a worker's commands, for each process at an address of its own.
-func (l *loopback) listen(target *worker) string {
+// listen serves a worker's commands to each process at a separate address, and returns the
+// one for the first process. The caller holds mu.
+func (l *loopbackCluster) listen(target *worker) string {
 	var addrs [controllerCount]string
 	for i := range addrs {
 		addrs[i] = l.listenAndServe(l.relay.handler(i, func(writer http.ResponseWriter, request *http.Request) {
@@ -129,8 +132,9 @@
 	return addrs[0]
 }
 
-// serveCommands serves direct commands to a worker.
-func (l *loopback) serveCommands(target *worker, writer http.ResponseWriter, request *http.Request) {
+// serveCommands passes direct commands to a worker. It closes the connection if the worker is
+// down or does not answer.
+func (l *loopbackCluster) serveCommands(target *worker, writer http.ResponseWriter, request *http.Request) {
 	var commands api.CommandRequest
 	if json.UnmarshalRead(request.Body, &commands) != nil {
 		l.reply(writer, http.StatusBadRequest, struct{}{})
@@ -138,19 +142,20 @@
 	}
 	var status int
 	var heartbeat *api.Heartbeat
-	l.locked(func() {
+	l.withLock(func() {
 		if target.up && !target.terminated {
 			status, heartbeat = target.receiveCommands(commands)
 		}
 	})
 	if heartbeat == nil {
-		panic(http.ErrAbortHandler) // there is no such machine any more
+		panic(http.ErrAbortHandler) // as for a machine that does not exist any more
 	}
 	l.reply(writer, status, heartbeat)
 }
 
-// sendHeartbeat carries a worker's heartbeat to a process; the caller holds mu.
-func (l *loopback) sendHeartbeat(index int, heartbeat *api.Heartbeat, receive func(message.Answer)) {
+// sendHeartbeat sends a worker's heartbeat to a process without waiting, and calls receive
+// with the answer, with mu held. The caller holds mu.
+func (l *loopbackCluster) sendHeartbeat(index int, heartbeat *api.Heartbeat, receive func(message.Answer)) {
 	sent := *heartbeat
 	sent.Address = l.workerAddrs[heartbeat.Address][index]
 	body, err := json.Marshal(sent)
@@ -168,6 +173,6 @@
 		} else if json.Unmarshal(raw, &redirect) == nil {
 			answer.Body = redirect
 		}
-		l.locked(func() { receive(answer) })
+		l.withLock(func() { receive(answer) })
 	}()
 }
--- a/internal/simulation/loopback_test.go
+++ b/internal/simulation/loopback_test.go
@@ -21,44 +21,45 @@
 )
 
 const (
-	// waitLimit is only there so that a failure ends.
-	waitLimit = 90 * time.Second
-	// waitPoll is how often a condition that is waited for is checked.
-	waitPoll = 50 * time.Millisecond
-	// advancePeriod is how often simulated time catches up with real time.
-	advancePeriod = 2 * time.Millisecond
+	// waitTimeout bounds every wait, so that a test ends when its condition never holds.
+	waitTimeout = 90 * time.Second
+	// pollInterval is the time between two checks of a condition that is waited for.
+	pollInterval = 50 * time.Millisecond
+	// advanceInterval is the time between two advances of simulated time to real time.
+	advanceInterval = 2 * time.Millisecond
 	// clientTimeout bounds every request to a process.
 	clientTimeout = 4 * time.Second
 )
 
-// loopback runs a simulation in real time behind real sockets, for three processes of the
-// built program.
-type loopback struct {
+// loopbackCluster runs three processes of the built program on loopback addresses, against a
+// simulation of the key-value store, the cloud and the workers. The simulation runs in real
+// time and is reached over real sockets.
+type loopbackCluster struct {
 	t         *testing.T
-	mu        sync.Mutex
+	mu        sync.Mutex // guards sim and workerAddrs
 	sim       *Simulation
 	startedAt time.Time
 	client    *http.Client
 	relay     *relay
-	dir       string
-	// operators is the operators' settings file; empty: none.
-	operators           string
-	machinesTransferred atomic.Int32 // as the processes log
+	dir       string // the temporary directory of the test
+	// operatorsFile is the path of the operators' settings file; empty if there is none.
+	operatorsFile       string
+	machinesTransferred atomic.Int32 // counted in the log lines of the processes
 
-	// By process.
+	// Indexed by process.
 	processes     [controllerCount]*exec.Cmd
 	publicAddrs   [controllerCount]string
 	internalAddrs [controllerCount]string
-	storeAddrs    [controllerCount]string // as each process reaches the store
+	storeAddrs    [controllerCount]string // at which each process reaches the store
 	cloudAddrs    [controllerCount]string
-	workerAddrs   map[string][controllerCount]string // by the address that the first process reaches
+	workerAddrs   map[string][controllerCount]string // keyed by the address for the first process
 }
 
-// newLoopback starts a simulation in real time, with the interfaces that processes of the
-// program need.
-func newLoopback(t *testing.T, scenario *Scenario) *loopback {
+// newLoopbackCluster starts a simulation in real time and serves the store and the cloud to
+// each process. It starts no process. When the test ends, it kills the processes that run.
+func newLoopbackCluster(t *testing.T, scenario *Scenario) *loopbackCluster {
 	t.Helper()
-	cluster := &loopback{
+	cluster := &loopbackCluster{
 		t: t, startedAt: time.Now(), client: &http.Client{Timeout: clientTimeout}, dir: t.TempDir(),
 		workerAddrs: map[string][controllerCount]string{},
 	}
@@ -70,7 +71,7 @@
 		cluster.cloudAddrs[i] = cluster.listenAndServe(cluster.relay.handler(i, func(writer http.ResponseWriter, request *http.Request) {
 			cluster.serveCloud(i, writer, request)
 		}))
-		cluster.publicAddrs[i], cluster.internalAddrs[i] = freePort(t), freePort(t)
+		cluster.publicAddrs[i], cluster.internalAddrs[i] = freeAddr(t), freeAddr(t)
 	}
 	t.Cleanup(func() {
 		for i := range cluster.processes {
@@ -82,15 +83,16 @@
 	return cluster
 }
 
-// keepAdvancing has simulated time follow real time until the test ends.
-func (l *loopback) keepAdvancing() {
+// keepAdvancing starts a goroutine that advances simulated time with real time until the
+// test ends.
+func (l *loopbackCluster) keepAdvancing() {
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		for ctx.Err() == nil {
-			l.locked(func() {})
-			time.Sleep(advancePeriod)
+			l.withLock(func() {})
+			time.Sleep(advanceInterval)
 		}
 	}()
 	l.t.Cleanup(func() {
@@ -99,16 +101,17 @@
 	})
 }
 
-// locked brings the simulation to the present and does something with it.
-func (l *loopback) locked(action func()) {
+// withLock advances the simulation to the present and calls action, with mu held throughout.
+func (l *loopbackCluster) withLock(action func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.sim.runUntil(epochStart + micros.Micros(time.Since(l.startedAt).Microseconds()))
 	action()
 }
 
-// build builds the program from the sources in a directory.
-func (l *loopback) build(name, dir string) string {
+// build builds the program from the sources in a directory and returns the path of the
+// binary.
+func (l *loopbackCluster) build(name, dir string) string {
 	l.t.Helper()
 	binary := filepath.Join(l.dir, name)
 	build := exec.CommandContext(l.t.Context(),
@@ -120,15 +123,15 @@
 	return binary
 }
 
-// start starts a controller's process.
-func (l *loopback) start(index int, binary string) {
+// start starts a controller's process and does not wait until it is ready.
+func (l *loopbackCluster) start(index int, binary string) {
 	l.t.Helper()
 	args := []string{"--config", l.writeSettings(index)}
-	if l.operators != "" {
-		args = append(args, "--operators", l.operators)
+	if l.operatorsFile != "" {
+		args = append(args, "--operators", l.operatorsFile)
 	}
 	process := exec.CommandContext(l.t.Context(), binary, args...)
-	process.Stderr = &processLog{loopback: l, name: nodeName(index)}
+	process.Stderr = &processLog{cluster: l, name: nodeName(index)}
 	if err := process.Start(); err != nil {
 		l.t.Fatal(err)
 	}
@@ -136,7 +139,7 @@
 }
 
 // startAll starts all controllers' processes and waits until they are ready.
-func (l *loopback) startAll(binary string) {
+func (l *loopbackCluster) startAll(binary string) {
 	l.t.Helper()
 	for i := range l.processes {
 		l.start(i, binary)
@@ -146,8 +149,9 @@
 	}
 }
 
-// writeSettings writes a controller's settings with real addresses, and returns the file.
-func (l *loopback) writeSettings(index int) string {
+// writeSettings writes a controller's settings file with loopback addresses, and returns its
+// path.
+func (l *loopbackCluster) writeSettings(index int) string {
 	l.t.Helper()
 	set, err := l.sim.scenario.settingsFor(index, true)
 	if err != nil {
@@ -175,22 +179,21 @@
 	return file
 }
 
-// kill kills a controller's process.
-func (l *loopback) kill(index int) {
-	_ = l.processes[index].Process.Kill() // it may have ended
-	_ = l.processes[index].Wait()         // it ends with the signal
+// kill kills a controller's process with SIGKILL and waits until it has exited.
+func (l *loopbackCluster) kill(index int) {
+	_ = l.processes[index].Process.Kill() // fails if the process has exited
+	_ = l.processes[index].Wait()         // reports that the process was killed
 }
 
-// signal sends a signal to a controller's process.
-func (l *loopback) signal(index int, signal os.Signal) {
+func (l *loopbackCluster) signal(index int, signal os.Signal) {
 	l.t.Helper()
 	if err := l.processes[index].Process.Signal(signal); err != nil {
 		l.t.Fatal(err)
 	}
 }
 
-// waitReady waits until a controller is ready.
-func (l *loopback) waitReady(index int) {
+// waitReady waits until a controller answers /ready with 200.
+func (l *loopbackCluster) waitReady(index int) {
 	l.t.Helper()
 	l.waitUntil(nodeName(index)+" is ready", func() bool {
 		status, _ := l.request(http.MethodGet, index, "/ready", nil)
@@ -198,21 +201,22 @@
 	})
 }
 
-// waitUntil waits until a condition holds; what describes it.
-func (l *loopback) waitUntil(what string, condition func() bool) {
+// waitUntil waits until a condition holds, and fails the test if it does not within
+// waitTimeout. The failure message contains what, a description of the condition.
+func (l *loopbackCluster) waitUntil(what string, condition func() bool) {
 	l.t.Helper()
-	for deadline := time.Now().Add(waitLimit); time.Now().Before(deadline); {
+	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); {
 		if condition() {
 			return
 		}
-		time.Sleep(waitPoll)
+		time.Sleep(pollInterval)
 	}
-	l.t.Fatalf("never: %s", what)
+	l.t.Fatalf("timed out, want: %s", what)
 }
 
-// request sends a request to a controller, and returns the status and body of the answer;
-// status 0: no answer.
-func (l *loopback) request(method string, index int, path string, body []byte) (int, []byte) {
+// request sends a request to a controller, and returns the status and body of the response.
+// The status is 0 if there is no response.
+func (l *loopbackCluster) request(method string, index int, path string, body []byte) (int, []byte) {
 	url := "http://" + l.publicAddrs[index] + path
 	request, err := http.NewRequestWithContext(l.t.Context(), method, url, bytes.NewReader(body))
 	if err != nil {
@@ -222,7 +226,7 @@
 	if err != nil {
 		return 0, nil
 	}
-	defer func() { _ = response.Body.Close() }() // it was read
+	defer func() { _ = response.Body.Close() }() // the body was read to its end
 	raw, err := io.ReadAll(response.Body)
 	if err != nil {
 		return 0, nil
@@ -230,43 +234,44 @@
 	return response.StatusCode, raw
 }
 
-// listenAndServe serves a handler until the test ends, and returns its address.
-func (l *loopback) listenAndServe(handler http.HandlerFunc) string {
+// listenAndServe serves a handler at a loopback address until the test ends, and returns the
+// address.
+func (l *loopbackCluster) listenAndServe(handler http.HandlerFunc) string {
 	listener, err := (&net.ListenConfig{}).Listen(context.WithoutCancel(l.t.Context()), "tcp4", "127.0.0.1:0")
 	if err != nil {
 		l.t.Error(err)
 		return "127.0.0.1:1"
 	}
 	server := &http.Server{Handler: handler}
-	go func() { _ = server.Serve(listener) }() // until it is closed
+	go func() { _ = server.Serve(listener) }() // returns when the server is closed
 	l.t.Cleanup(func() { _ = server.Close() })
 	return listener.Addr().String()
 }
 
-// freePort returns a local address that nobody listens at.
-func freePort(t *testing.T) string {
+// freeAddr returns a loopback address with a port that was free a moment ago.
+func freeAddr(t *testing.T) string {
 	t.Helper()
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = listener.Close() }() // nothing was sent
+	defer func() { _ = listener.Close() }() // nothing was accepted
 	return listener.Addr().String()
 }
 
-// processLog receives what a process logs.
+// processLog is the standard error of a process, to which it logs.
 type processLog struct {
-	loopback *loopback
-	name     string
+	cluster *loopbackCluster
+	name    string
 }
 
-// Write implements io.Writer. It counts the machines that are transferred, which the
+// Write implements io.Writer. It counts the log lines about transferred machines, which the
 // version in production may call "lent".
 func (p *processLog) Write(text []byte) (int, error) {
 	transfers := bytes.Count(text, []byte("machine lent")) + bytes.Count(text, []byte("machine transferred"))
-	p.loopback.machinesTransferred.Add(int32(transfers))
+	p.cluster.machinesTransferred.Add(int32(transfers))
 	if os.Getenv("SIMULATION_LOG") != "" {
-		p.loopback.t.Logf("%s %s", p.name, bytes.TrimSpace(text))
+		p.cluster.t.Logf("%s %s", p.name, bytes.TrimSpace(text))
 	}
 	return len(text), nil
 }
--- a/internal/simulation/paused_leader_test.go
+++ b/internal/simulation/paused_leader_test.go
@@ -12,7 +12,8 @@
 	"github.com/go-json-experiment/json"
 )
 
-// rolesScenario has exclusive roles, and room for a few jobs.
+// rolesScenario has one leader for each of the fleet's roles, and enough machines for a few
+// jobs.
 const rolesScenario = `duties = true
 lease_s = 20
 cancel_s = 45
@@ -25,19 +26,21 @@
 count = 12
 `
 
-// allActions lists what orders can do.
+// allActions are the actions that an order can carry out.
 var allActions = []leadership.Action{leadership.Write, leadership.Launch, leadership.Delete, leadership.Command}
 
-// enableRoles has the processes that are started from now on share the fleet's roles, and
-// use these other settings of the operators.
-func (l *loopback) enableRoles(others string) {
+// enableRoles writes an operators' settings file for the processes that are started from
+// now on. It gives each of the fleet's roles one leader and has launches recorded;
+// otherSettings, in TOML, is put before that.
+func (l *loopbackCluster) enableRoles(otherSettings string) {
 	l.t.Helper()
 	roles := "[duties]\nexclusive = [\"strays\", \"sweep\", \"catalogue\"]\nrecord_rentals = true\n"
-	l.operators = l.writeFile("operators.toml", []byte(others+roles))
+	l.operatorsFile = l.writeFile("operators.toml", []byte(otherSettings+roles))
 }
 
-// roles asks a controller about the roles.
-func (l *loopback) roles(index int) api.Roles {
+// roles returns what a controller answers about the roles; the zero value if it does not
+// answer.
+func (l *loopbackCluster) roles(index int) api.Roles {
 	status, raw := l.request(http.MethodGet, index, "/duties", nil)
 	var roles api.Roles
 	if status != http.StatusOK || json.Unmarshal(raw, &roles) != nil {
@@ -46,8 +49,8 @@
 	return roles
 }
 
-// rolesByName asks a controller which role has which leader.
-func (l *loopback) rolesByName(index int) map[string]api.RoleStatus {
+// rolesByName returns the status of each role, by its name, as a controller answers it.
+func (l *loopbackCluster) rolesByName(index int) map[string]api.RoleStatus {
 	byName := map[string]api.RoleStatus{}
 	for _, role := range l.roles(index).Roles {
 		byName[role.Role] = role
@@ -55,10 +58,10 @@
 	return byName
 }
 
-// leaderOf returns which process leads a partition; -1: none.
-func (l *loopback) leaderOf(partition int) int {
+// leaderOf returns the index of the process that leads a partition, or -1 if none does.
+func (l *loopbackCluster) leaderOf(partition int) int {
 	index := -1
-	l.locked(func() {
+	l.withLock(func() {
 		if leader := l.sim.leaderOf(partition); leader != nil {
 			index = leader.index
 		}
@@ -66,17 +69,19 @@
 	return index
 }
 
-// replaced reports whether another process leads the partition that is a process's own.
-func (l *loopback) replaced(index int) bool {
+// replaced reports whether another process leads the partition of which the process with
+// this index is the default leader.
+func (l *loopbackCluster) replaced(index int) bool {
 	leader := l.leaderOf(index)
 	return leader >= 0 && leader != index
 }
 
-// TestPausedLeader pauses the leader of a partition while orders of every kind that it
-// sent are held back in the network, lets another take over, delivers what was held and
-// resumes the old leader: each of its orders is refused or changes nothing.
+// TestPausedLeader checks that orders of a replaced leader are refused or change nothing.
+// It holds back orders of every kind that a partition's leader sent, pauses the leader
+// and waits until another process has taken over. Then it delivers the held orders and
+// resumes the old leader.
 func TestPausedLeader(t *testing.T) {
-	cluster := newLoopback(t, mustParse(t, rolesScenario))
+	cluster := newLoopbackCluster(t, mustParse(t, rolesScenario))
 	cluster.enableRoles("hold_ttl_s = 2\n")
 	cluster.startAll(cluster.build("spurmoor", "."))
 	cluster.waitUntil("the fleet's roles have three leaders", func() bool {
@@ -85,15 +90,15 @@
 			roles["catalogue"].Leader == nodeName(2)
 	})
 	const paused = 0
-	team := cluster.teamOf(paused)
+	team := cluster.teamInPartition(paused)
 	cluster.waitForState(cluster.submit(1, Job{Tasks: 4, GPUs: 4, RunS: 0.5, Team: team}), 1, api.JobDone)
 
 	jobs := cluster.holdOrdersOfEveryKind(paused, team)
 	cluster.signal(paused, syscall.SIGSTOP)
 	cluster.waitUntil("another leads the partition", func() bool { return cluster.replaced(paused) })
-	cluster.waitForNextLeader(paused)
+	cluster.waitForNextLeaderOrders(paused)
 	cluster.relay.deliver()
-	cluster.waitUntil("all that was held is delivered", func() bool {
+	cluster.waitUntil("all held orders are delivered", func() bool {
 		undelivered := func(order *relayedOrder) bool { return order.held && order.deliveredAt.IsZero() }
 		return len(cluster.relay.ordersMatching(undelivered)) == 0
 	})
@@ -106,13 +111,13 @@
 		cluster.waitForState(id, 1, api.JobDone)
 	}
 	cluster.checkStaleOrders(paused)
-	cluster.checkTermsDisjoint()
+	cluster.checkTermsAscending()
 	cluster.checkNoViolations()
 	cluster.stopGracefully(2)
 }
 
-// teamOf returns a team of a partition.
-func (l *loopback) teamOf(partition int) string {
+// teamInPartition returns the first team that belongs to a partition by default.
+func (l *loopbackCluster) teamInPartition(partition int) string {
 	l.t.Helper()
 	set, err := l.sim.scenario.settingsFor(0, false)
 	if err != nil {
@@ -127,9 +132,9 @@
 	return ""
 }
 
-// holdOrdersOfEveryKind holds back what a process sends until there is an order of every
-// kind, and returns the jobs that they are for.
-func (l *loopback) holdOrdersOfEveryKind(index int, team string) []string {
+// holdOrdersOfEveryKind holds back the orders of a process until one of every kind is
+// held, and returns the ids of the jobs that it submits for that.
+func (l *loopbackCluster) holdOrdersOfEveryKind(index int, team string) []string {
 	l.t.Helper()
 	held := func(action leadership.Action) func() bool {
 		matches := func(order *relayedOrder) bool {
@@ -140,7 +145,8 @@
 	l.relay.hold(index, leadership.Launch, leadership.Delete, leadership.Command)
 	l.waitUntil("an idle machine will be interrupted", func() bool { return l.interruptIdleMachine(index) })
 	l.waitUntil("a deletion is held back", held(leadership.Delete))
-	// More than there is room for: some start on machines that are there.
+	// The job needs more machines than are up: some tasks start on those that are up, and
+	// the leader requests a launch for the others.
 	jobs := []string{l.submit(2, Job{Tasks: 6, GPUs: 4, RunS: 3, Team: team})}
 	l.waitUntil("a launch is held back", held(leadership.Launch))
 	l.waitUntil("a command is held back", held(leadership.Command))
@@ -151,10 +157,10 @@
 }
 
 // interruptIdleMachine gives an interruption notice to an idle machine that sends its
-// heartbeats to a process, and reports whether there is one.
-func (l *loopback) interruptIdleMachine(index int) bool {
+// heartbeats to the process with this index, and reports whether there is such a machine.
+func (l *loopbackCluster) interruptIdleMachine(index int) bool {
 	found := false
-	l.locked(func() {
+	l.withLock(func() {
 		for _, worker := range l.sim.workers {
 			if worker.up && !worker.terminated && worker.nodeIndex == index && worker.idle() && !found {
 				found = true
@@ -165,9 +171,10 @@
 	return found
 }
 
-// waitForNextLeader waits until the next leader has seen to all that was held back: it
-// repeated the launches, commanded the workers and had the machines deleted.
-func (l *loopback) waitForNextLeader(paused int) {
+// waitForNextLeaderOrders waits until the next leader has sent its own orders in place of the
+// held ones: it repeated the launches, sent commands to the same workers and had a machine
+// deleted.
+func (l *loopbackCluster) waitForNextLeaderOrders(paused int) {
 	l.t.Helper()
 	byNextLeader := func(matches func(order *relayedOrder) bool) func() bool {
 		return func() bool {
@@ -190,15 +197,15 @@
 			l.waitUntil("the next leader had the machine deleted", byNextLeader(func(order *relayedOrder) bool {
 				return order.action == leadership.Delete && order.tookEffect
 			}))
-		default: // what a write was to change, the next leader decides anew
+		default: // a write is not waited for: the next leader decides anew what it was to change
 		}
 	}
 }
 
 // fencingTokenAt returns the highest fencing token that the worker at an address has seen.
-func (l *loopback) fencingTokenAt(addr string) api.FencingToken {
+func (l *loopbackCluster) fencingTokenAt(addr string) api.FencingToken {
 	token := api.FencingToken(0)
-	l.locked(func() {
+	l.withLock(func() {
 		for _, worker := range l.sim.workers {
 			for _, workerAddr := range l.workerAddrs[worker.addr] {
 				if workerAddr == addr {
@@ -210,38 +217,40 @@
 	return token
 }
 
-// checkStaleOrders checks that stale orders of every kind arrived, and that none took
-// effect.
-func (l *loopback) checkStaleOrders(paused int) {
+// checkStaleOrders checks that stale orders of every kind were delivered and that none
+// took effect. It also checks that no machine was launched in excess or deleted while it
+// ran tasks.
+func (l *loopbackCluster) checkStaleOrders(paused int) {
 	l.t.Helper()
 	for _, action := range allActions {
 		stale := l.relay.ordersMatching(func(order *relayedOrder) bool {
 			return order.sender == paused && order.action == action && order.held
 		})
 		if len(stale) == 0 {
-			l.t.Errorf("no stale %s came", action)
+			l.t.Errorf("got no stale order to %s, want at least one", action)
 		}
 		for _, order := range stale {
 			if order.tookEffect {
-				l.t.Errorf("a stale %s under term %d took effect %s", action, order.term, order.request)
+				l.t.Errorf("a stale order to %s under term %d took effect, want it refused: %s", action, order.term, order.request)
 			}
 		}
 		l.t.Logf("stale orders to %s delivered: %d", action, len(stale))
 	}
-	l.locked(func() {
-		// 4 for the first job; of the 8 that the others need 3 are there.
+	l.withLock(func() {
+		// The first job needs 4 machines. The others need 8, of which 3 are up: one of the 4
+		// was interrupted.
 		if launched, limit := len(l.sim.workers), 4+5; launched > limit {
-			l.t.Errorf("%d machines were launched for a demand of %d", launched, limit)
+			l.t.Errorf("got %d machines launched, want at most %d", launched, limit)
 		}
 		if deleted := l.sim.occurrences[occurredBusyMachineDeleted]; deleted > 0 {
-			l.t.Errorf("%d machines were deleted at work", deleted)
+			l.t.Errorf("got %d machines deleted while they ran tasks, want none", deleted)
 		}
 	})
 }
 
-// checkTermsDisjoint checks that orders under each role took effect under one term after
-// the other.
-func (l *loopback) checkTermsDisjoint() {
+// checkTermsAscending checks that, for each role, no write or launch took effect after one
+// under a later term.
+func (l *loopbackCluster) checkTermsAscending() {
 	l.t.Helper()
 	latest := map[string]relayedOrder{}
 	for _, order := range l.relay.ordersMatching(func(order *relayedOrder) bool {
@@ -249,7 +258,7 @@
 	}) {
 		last, ok := latest[order.role]
 		if ok && order.term < last.term && !l.repeatedLaunch(order) {
-			l.t.Errorf("%s of %s under term %d took effect after one under term %d",
+			l.t.Errorf("%s of %s under term %d took effect after one under term %d, want ascending terms",
 				order.action, order.role, order.term, last.term)
 		}
 		if !ok || order.term > last.term {
@@ -258,24 +267,25 @@
 	}
 }
 
-// repeatedLaunch reports whether an order is a launch that another leader repeats under its
-// first name.
-func (l *loopback) repeatedLaunch(order relayedOrder) bool {
+// repeatedLaunch reports whether an order is a launch that another process requested first,
+// under the same name.
+func (l *loopbackCluster) repeatedLaunch(order relayedOrder) bool {
 	first := l.relay.ordersMatching(func(other *relayedOrder) bool { return other.request == order.request })
 	return order.action == leadership.Launch && first[0].sender != order.sender
 }
 
-// stopGracefully has a process stop, and its roles taken over by others.
-func (l *loopback) stopGracefully(index int) {
+// stopGracefully stops a process with SIGTERM. It checks that the process exits without an
+// error and gives up its partition, and that others take over its partition and its role.
+func (l *loopbackCluster) stopGracefully(index int) {
 	l.t.Helper()
 	l.signal(index, syscall.SIGTERM)
 	if err := l.processes[index].Wait(); err != nil {
-		l.t.Errorf("told to stop, it ends with %v", err)
+		l.t.Errorf("after SIGTERM the process exited with %v, want no error", err)
 	}
 	if l.leaderOf(index) == index {
-		l.t.Error("stopped gracefully, it still leads its partition")
+		l.t.Error("after SIGTERM the process still leads its partition, want it given up")
 	}
-	l.waitUntil("its partition and role are another's", func() bool {
+	l.waitUntil("others lead the partition and the role of the stopped process", func() bool {
 		role := l.rolesByName(1)["catalogue"]
 		return l.replaced(index) && role.Leader != "" && role.Leader != nodeName(index)
 	})
--- a/internal/simulation/pauses_test.go
+++ b/internal/simulation/pauses_test.go
@@ -13,38 +13,40 @@
 )
 
 var (
-	freezes         = flag.Int("freezes", 0, "measure so many simulated pauses of a leader, at random moments")
-	loopbackFreezes = flag.Int("loopback-freezes", 0, "measure so many pauses of a real process on loopback")
+	simulatedPauseCount = flag.Int("freezes", 0, "measure so many simulated pauses of a leader, at random moments")
+	loopbackPauseCount  = flag.Int("loopback-freezes", 0, "measure so many pauses of a real process on loopback")
 )
 
 // TestFreezes measures, over simulated pauses of a leader at random moments, the time
-// until the next leader's first order, and what became of the orders that the paused one
-// had decided. It is off without its flag:
-// go test ./internal/simulation -run TestFreezes -freezes 200 -v.
+// until the next leader's first order. It also counts how the orders end that the paused
+// leader had decided. It is skipped without its flag:
+//
+//	go test ./internal/simulation -run TestFreezes -freezes 200 -v
 func TestFreezes(t *testing.T) {
-	if *freezes == 0 {
+	if *simulatedPauseCount == 0 {
 		t.Skip("no -freezes")
 	}
 	text := readFile(t, "testdata/roles_paused_leader_with_orders.toml")
 	failoverTimes := history.NewDistribution()
-	var counts staleOrderCount
-	for seed := range *freezes {
+	var staleOrders staleOrderCount
+	for seed := range *simulatedPauseCount {
 		scenario := mustParse(t, text)
-		pausedAtS := describePause(scenario, seed)
+		pausedAtS := schedulePause(scenario, seed)
 		sim, violations, err := Play(scenario)
 		if err != nil || len(violations) > 0 {
-			t.Errorf("seed %d: %v %q", seed, err, violations)
+			t.Errorf("seed %d: got error %v and violations %q, want none", seed, err, violations)
 			continue
 		}
-		counts.add(sim, sim.startedAt+micros.FromSeconds(pausedAtS), failoverTimes)
+		staleOrders.add(sim, sim.startedAt+micros.FromSeconds(pausedAtS), failoverTimes)
 	}
 	t.Logf("from the pause to the next leader's first order: %s", failoverTimes)
-	t.Logf("%+v", counts)
+	t.Logf("%+v", staleOrders)
 }
 
-// describePause has a scenario pause the first partition's leader once, at a random
-// moment, and returns that moment in seconds.
-func describePause(scenario *Scenario, seed int) float64 {
+// schedulePause replaces the faults of a scenario. The first partition's leader is paused
+// once, at a moment drawn from the seed, while its orders wait in the process. schedulePause
+// returns that moment in seconds since the start.
+func schedulePause(scenario *Scenario, seed int) float64 {
 	rng := rand.New(rand.NewPCG(uint64(seed), 5))
 	scenario.Seed, scenario.DurationS, scenario.AtLeast = uint64(seed), 150, nil
 	scenario.Expectations, scenario.MayLeaveUnserved = nil, true
@@ -53,7 +55,7 @@
 		{AtS: atS - 1, ForS: 2, Kind: FaultDelayedOrders, Partition: 1},
 		{AtS: atS, ForS: 30, Kind: FaultPause, Partition: 1},
 	}
-	if seed%2 == 0 { // what it sent right before is held back in the network as well
+	if seed%2 == 0 { // the network also holds back what the leader sent right before
 		scenario.Faults = append(scenario.Faults, Fault{
 			AtS: atS - 0.7, ForS: 31, Kind: FaultLinkCut + ":" + FaultKind(linkAll), HoldPackets: true, Partition: 1,
 		})
@@ -61,12 +63,13 @@
 	return atS
 }
 
-// staleOrderCount counts the orders of replaced leaders.
+// staleOrderCount counts the orders of replaced leaders by how they ended, over all runs.
 type staleOrderCount struct {
 	StoppedAtTheGate, RefusedOutside, CarriedOut, Freezes int
 }
 
-// add counts the orders of one run, and adds the time to the next leader's first order.
+// add counts the stale orders of one run, and adds the time from the pause to the next
+// leader's first order to failoverTimes.
 func (c *staleOrderCount) add(sim *Simulation, pausedAt micros.Micros, failoverTimes *history.Distribution) {
 	c.Freezes++
 	c.StoppedAtTheGate += sim.occurrences[occurredGateRefusal]
@@ -90,34 +93,35 @@
 	}
 }
 
-// TestLoopbackFreezes is TestFreezes with real processes that are stopped and go on.
+// TestLoopbackFreezes is TestFreezes with real processes, paused by SIGSTOP and resumed by
+// SIGCONT. It measures the time to the next leader's first order only.
 func TestLoopbackFreezes(t *testing.T) {
-	if *loopbackFreezes == 0 {
+	if *loopbackPauseCount == 0 {
 		t.Skip("no -loopback-freezes")
 	}
-	cluster := newLoopback(t, mustParse(t, rolesScenario))
+	cluster := newLoopbackCluster(t, mustParse(t, rolesScenario))
 	cluster.enableRoles("")
 	cluster.startAll(cluster.build("spurmoor", "."))
 	failoverTimes := history.NewDistribution()
-	for round := range *loopbackFreezes {
+	for round := range *loopbackPauseCount {
 		leader := -1
 		cluster.waitUntil("the partition has a leader", func() bool {
 			leader = cluster.leaderOf(0)
 			return leader >= 0
 		})
-		cluster.submit(100+round, Job{Tasks: 2, GPUs: 1, RunS: 2, Team: cluster.teamOf(0)})
+		cluster.submit(100+round, Job{Tasks: 2, GPUs: 1, RunS: 2, Team: cluster.teamInPartition(0)})
 		cluster.signal(leader, syscall.SIGSTOP)
 		pausedAt := time.Now()
 		byNextLeader := func(order *relayedOrder) bool {
 			return order.sender != leader && order.role == leadership.PartitionRole(0).String() && order.arrivedAt.After(pausedAt)
 		}
-		cluster.waitUntil("another gives an order", func() bool { return len(cluster.relay.ordersMatching(byNextLeader)) > 0 })
+		cluster.waitUntil("another leader sends an order", func() bool { return len(cluster.relay.ordersMatching(byNextLeader)) > 0 })
 		first := cluster.relay.ordersMatching(byNextLeader)[0]
 		failoverTimes.Add(micros.Micros(first.arrivedAt.Sub(pausedAt).Microseconds()))
 		cluster.signal(leader, syscall.SIGCONT)
 		cluster.waitReady(leader)
 	}
 	t.Logf("from the pause to the next leader's first order: %s", failoverTimes)
-	cluster.checkTermsDisjoint()
+	cluster.checkTermsAscending()
 	cluster.checkNoViolations()
 }
--- a/internal/simulation/production_records_test.go
+++ b/internal/simulation/production_records_test.go
@@ -16,9 +16,9 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// What the version in production (deploy/service.toml) knows of each record: a copy of its
-// own types, which never changes. It ignores fields that it does not know, and writes job
-// records, log entries and partition records back without them.
+// The record types of the version in production (deploy/service.toml), copied from it; the
+// copies never change. That version ignores fields that it does not know, and drops them
+// when it writes job records, log entries and partition records back.
 type (
 	productionPartition struct {
 		Node string `json:"n"`
@@ -93,12 +93,14 @@
 	}
 )
 
-// TestReadsProduction carries on from records that production wrote in mid-run: jobs
-// placed, a gang at work, one done, one cancelled and over, one cancelled and at work.
-func TestReadsProduction(t *testing.T) {
+// TestReadProductionRecords starts controllers of this version on records that production
+// wrote in the middle of a run, and checks the state in which each job ends. The records
+// hold placed jobs, a running gang, a job that is done, a cancelled job that has ended and a
+// cancelled job that still runs.
+func TestReadProductionRecords(t *testing.T) {
 	sim := newSimulation(mustParse(t, "duration_s = 400\n"), nil)
-	sim.cloud.nextInstance = 100 // names are never given twice
-	loadProduction(t, sim)
+	sim.cloud.nextInstance = 100 // above the numbers in the records: the cloud never gives a name twice
+	loadProductionRecords(t, sim)
 	for _, node := range sim.nodes {
 		if err := sim.startNode(node); err != nil {
 			t.Fatal(err)
@@ -121,16 +123,17 @@
 		sim.request(sim.nodes[1], asker.statusInput, func(answer message.Answer) { got = stateIn(answer) })
 		sim.runUntil(sim.now + 3*micros.Second)
 		if got != tc.want {
-			t.Errorf("%s is %q, want %q", tc.id, got, tc.want)
+			t.Errorf("state of %s: got %q, want %q", tc.id, got, tc.want)
 		}
 	}
 	if len(sim.checker.violations) > 0 {
-		t.Errorf("broken: %q", sim.checker.violations)
+		t.Errorf("got violations %q, want none", sim.checker.violations)
 	}
 }
 
-// loadProduction fills the key-value store with production's records.
-func loadProduction(t *testing.T, sim *Simulation) {
+// loadProductionRecords fills the key-value store with production's records. It makes their
+// jobs known to the simulation and checks that the recorded heartbeat can be read.
+func loadProductionRecords(t *testing.T, sim *Simulation) {
 	t.Helper()
 	for line := range strings.Lines(readFile(t, "testdata/production/records.jsonl")) {
 		var record api.KeyValue
@@ -138,7 +141,7 @@
 			t.Fatal(err)
 		}
 		if record.Key == "peer" {
-			checkReadsHeartbeat(t, record.Value)
+			checkReadsProductionHeartbeat(t, record.Value)
 			continue
 		}
 		sim.store.revision = max(sim.store.revision, record.Version)
@@ -157,9 +160,9 @@
 	}
 }
 
-// checkReadsHeartbeat checks that a controllers' heartbeat of production's, in base64,
-// means the same here.
-func checkReadsHeartbeat(t *testing.T, value []byte) {
+// checkReadsProductionHeartbeat checks that this version reads a heartbeat between
+// controllers, which production sent, as production meant it. The heartbeat is in base64.
+func checkReadsProductionHeartbeat(t *testing.T, value []byte) {
 	t.Helper()
 	var text string
 	if err := json.Unmarshal(value, &text); err != nil {
@@ -175,18 +178,19 @@
 	}
 	if heartbeat.Node != "nodo-1" || !heartbeat.Healthy || heartbeat.SchemaVersion != 0 ||
 		len(heartbeat.IdleMachines) != 1 || len(heartbeat.MachineRequests) != 1 || heartbeat.MachineRequests[0].Tier != 7 {
-		t.Errorf("production's heartbeat read as %+v", heartbeat)
+		t.Errorf("production's heartbeat: got %+v, want the values that production sent", heartbeat)
 	}
 }
 
-// TestProductionReads has production's types read all that this version writes in runs
-// with pipelines: nothing in a record that production writes back may be lost by that, and
-// what it reads means the same.
-func TestProductionReads(t *testing.T) {
+// TestProductionReadsRecords has production's types read all records that this version writes
+// in runs with pipelines. It checks that what production reads means the same, and that
+// nothing is lost from the records that production writes back. Otherwise a downgrade, or an
+// upgrade of one process at a time, would lose data.
+func TestProductionReadsRecords(t *testing.T) {
 	seen := map[string]int{}
 	for _, name := range []string{"pipelines", "pipelines_cancelled", "store_limits_lowered"} {
 		scenario := mustParse(t, readFile(t, "testdata/"+name+".toml"))
-		scenario.DurationS = 60 // in mid-run
+		scenario.DurationS = 60 // ends in the middle of the run
 		sim, _, err := Play(scenario)
 		if err != nil {
 			t.Fatal(err)
@@ -197,21 +201,22 @@
 	}
 	for _, kind := range []string{"partition", "log", "job", "terminal state", "catalogue", "schema"} {
 		if seen[kind] == 0 {
-			t.Errorf("no record of the kind %s was written", kind)
+			t.Errorf("got no record of the kind %s, want at least one", kind)
 		}
 	}
 	checkProductionReadsHeartbeat(t)
 }
 
-// checkProductionReads has production's type read the value of a key, and returns its kind.
+// checkProductionReads checks that production's type for a key reads the stored value, and
+// returns the kind of record.
 func checkProductionReads(t *testing.T, sim *Simulation, scenario, key string) string {
 	t.Helper()
-	kind, record, strict := productionRecord(key)
+	kind, record, strict := productionRecordType(key)
 	if kind == "" {
-		t.Fatalf("%s: production does not know what %s is", scenario, key)
+		t.Fatalf("%s: key %s has no kind of record that production knows", scenario, key)
 	}
 	if record == nil {
-		return kind // ignored: no prefix that production knows
+		return kind // production ignores the key: it does not know its prefix
 	}
 	value := sim.store.keys[key].data
 	if err := json.Unmarshal(value, record, json.RejectUnknownMembers(strict)); err != nil {
@@ -221,9 +226,10 @@
 	return kind
 }
 
-// productionRecord returns a key's kind and production's type for it; strict: production
-// writes the record back, or takes it for its own.
-func productionRecord(key string) (kind string, record any, strict bool) {
+// productionRecordType returns the kind of record under a key, and a value of production's
+// type for it; nil if production ignores the record. strict reports whether every field must
+// be known to production, because it writes the record back or uses it as its own.
+func productionRecordType(key string) (kind string, record any, strict bool) {
 	switch {
 	case strings.HasPrefix(key, "live/p/"):
 		return "partition", &productionPartition{}, true
@@ -243,29 +249,30 @@
 	return "", nil, false
 }
 
-// checkSameMeaning checks what production read of a record.
+// checkSameMeaning checks that what production read from a record matches what this version
+// wrote.
 func checkSameMeaning(t *testing.T, sim *Simulation, what, key string, value []byte, read any) {
 	t.Helper()
 	switch read := read.(type) {
 	case *productionJob:
 		owner := sim.usersByID[read.Spec.ID]
 		if owner == nil || key != "live/j/"+owner.id || read.Spec.Tasks != max(1, owner.job.Tasks) || read.At == 0 {
-			t.Errorf("%s read as %+v", what, read)
+			t.Errorf("%s: got job %+v, want the submitted job", what, read)
 		}
 	case *productionTerminalState:
 		if !isTerminal(api.JobState(read.State)) {
-			t.Errorf("%s read as %+v", what, read)
+			t.Errorf("%s: got %+v, want a terminal state", what, read)
 		}
 	case *productionLogEntry:
 		writtenBack, err := json.Marshal(read)
 		if err != nil || !bytes.Equal(writtenBack, value) {
-			t.Errorf("%s: %s would be written back as %s", what, value, writtenBack)
+			t.Errorf("%s: production writes %s back as %s, want it unchanged", what, value, writtenBack)
 		}
 	}
 }
 
-// checkProductionReadsHeartbeat checks that a controllers' heartbeat of ours means the same
-// to production.
+// checkProductionReadsHeartbeat checks that production reads a heartbeat between controllers,
+// which this version sends, as this version means it.
 func checkProductionReadsHeartbeat(t *testing.T) {
 	t.Helper()
 	encoded, err := peer.Encode(&peer.Heartbeat{
@@ -282,6 +289,6 @@
 		t.Fatal(err)
 	}
 	if read.V != 3 || read.Node != "nodo-2" || !read.StoreOK || len(read.Idle) != 1 || read.Asks[0].Tier != 4 {
-		t.Errorf("production reads our heartbeat as %+v", read)
+		t.Errorf("production reads this version's heartbeat as %+v, want the values that were encoded", read)
 	}
 }
--- a/internal/simulation/relay_test.go
+++ b/internal/simulation/relay_test.go
@@ -18,15 +18,15 @@
 	"github.com/go-json-experiment/json"
 )
 
-// relay stands between the processes and the stand-ins: it notes each order with its
-// sender and term, and can hold back what one process sends, to deliver it later, though
-// its sender has given up by then.
+// relay forwards requests from the processes to the simulated services and workers. It
+// records each order with its sender and term. It can hold back the orders of one process
+// and deliver them later, even after the sender's request has timed out.
 type relay struct {
-	loopback *loopback
-	mu       sync.Mutex
-	held     [controllerCount]map[leadership.Action]bool // what is held back, by sender
-	release  chan struct{}                               // closed when what is held is delivered
-	orders   []*relayedOrder
+	cluster *loopbackCluster
+	mu      sync.Mutex
+	held    [controllerCount]map[leadership.Action]bool // actions whose orders are held back, by sender
+	release chan struct{}                               // closed when the held orders are delivered
+	orders  []*relayedOrder
 }
 
 // relayedOrder is an order as it passed through the relay.
@@ -34,24 +34,24 @@
 	sender      int
 	action      leadership.Action
 	role        string
-	term        leadership.Term // of a command: its fencing token
-	request     string          // name of a launch request
-	worker      string          // address of the worker that is commanded
+	term        leadership.Term // for a command, its fencing token
+	request     string          // name of the launch request, for a launch
+	worker      string          // address of the worker, for a command
 	arrivedAt   time.Time
-	deliveredAt time.Time // zero: not yet
+	deliveredAt time.Time // zero until it is delivered
 	held        bool
 	tookEffect  bool
 }
 
-func newRelay(loopback *loopback) *relay {
-	r := &relay{loopback: loopback, release: make(chan struct{})}
+func newRelay(loopback *loopbackCluster) *relay {
+	r := &relay{cluster: loopback, release: make(chan struct{})}
 	for i := range r.held {
 		r.held[i] = map[leadership.Action]bool{}
 	}
 	return r
 }
 
-// hold has orders of a process held back from now on.
+// hold holds back the orders of a process that carry out one of the actions, from now on.
 func (r *relay) hold(sender int, actions ...leadership.Action) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -60,7 +60,7 @@
 	}
 }
 
-// deliver delivers what is held and holds nothing more.
+// deliver delivers all held orders and holds back no further ones.
 func (r *relay) deliver() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -71,7 +71,7 @@
 	r.release = make(chan struct{})
 }
 
-// ordersMatching returns the orders so far that match.
+// ordersMatching returns copies of the matching orders, in the sequence of their arrival.
 func (r *relay) ordersMatching(matches func(order *relayedOrder) bool) []relayedOrder {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -84,7 +84,8 @@
 	return matching
 }
 
-// handler passes a process's requests on to a stand-in.
+// handler returns a handler that passes the requests of a process on to next, the handler of
+// a simulated service or worker.
 func (r *relay) handler(sender int, next http.HandlerFunc) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		body, err := io.ReadAll(request.Body)
@@ -98,31 +99,32 @@
 			return
 		}
 		order.sender = sender
-		r.noteArrival(order)
+		r.recordArrival(order)
 		before := r.countMachines()
 		answer := serveRecorded(next, request)
-		r.noteOutcome(order, answer.Code, before)
+		r.recordOutcome(order, answer.Code, before)
 		if answer.Code == 0 {
 			panic(http.ErrAbortHandler)
 		}
 		maps.Copy(writer.Header(), answer.Header())
 		writer.WriteHeader(answer.Code)
-		_, _ = writer.Write(answer.Body.Bytes()) // its sender may have given up
+		_, _ = writer.Write(answer.Body.Bytes()) // the sender may have closed the connection
 	}
 }
 
-// serveRecorded has a stand-in serve a request, and returns its answer; code 0 if it closes
-// the connection.
+// serveRecorded has a handler serve a request and returns the recorded response. Its code
+// is 0 if the handler closes the connection.
 func serveRecorded(serve http.HandlerFunc, request *http.Request) (answer *httptest.ResponseRecorder) {
-	answer = httptest.NewRecorder() // a named result, for it must outlast a panic
+	answer = httptest.NewRecorder() // a named result, so that it is returned after a panic too
 	answer.Code = 0
-	defer func() { _ = recover() }() // it closes the connection by a panic
+	defer func() { _ = recover() }() // the handler panics to close the connection
 	serve(answer, request)
 	return answer
 }
 
-// noteArrival notes an order, and waits while its sender's are held back.
-func (r *relay) noteArrival(order *relayedOrder) {
+// recordArrival records an order. If it is held back, recordArrival returns only once the
+// held orders are delivered.
+func (r *relay) recordArrival(order *relayedOrder) {
 	r.mu.Lock()
 	order.arrivedAt = time.Now()
 	r.orders = append(r.orders, order)
@@ -134,8 +136,9 @@
 	}
 }
 
-// noteOutcome notes what became of an order.
-func (r *relay) noteOutcome(order *relayedOrder, status int, before fleetCount) {
+// recordOutcome records when an order was delivered and whether it took effect. A launch or
+// deletion took effect if the count of launched or ended machines rose meanwhile.
+func (r *relay) recordOutcome(order *relayedOrder, status int, before machineCounts) {
 	after := r.countMachines()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -150,13 +153,13 @@
 	}
 }
 
-// fleetCount counts machines.
-type fleetCount struct{ launched, gone int }
+// machineCounts is how many machines were ever launched and how many of them have ended.
+type machineCounts struct{ launched, gone int }
 
-func (r *relay) countMachines() fleetCount {
-	var count fleetCount
-	r.loopback.locked(func() {
-		for _, worker := range r.loopback.sim.workers {
+func (r *relay) countMachines() machineCounts {
+	var count machineCounts
+	r.cluster.withLock(func() {
+		for _, worker := range r.cluster.sim.workers {
 			count.launched++
 			if worker.terminated {
 				count.gone++
@@ -166,7 +169,7 @@
 	return count
 }
 
-// parseOrder reads which order a request is; nil: it is none.
+// parseOrder returns the order in a request, or nil if the request is not an order.
 func parseOrder(request *http.Request, body []byte) *relayedOrder {
 	switch request.URL.Path {
 	case "/txn":
@@ -187,7 +190,8 @@
 	return nil
 }
 
-// parseLaunch reads under which role and term a launch is: its name tells both.
+// parseLaunch returns the order to launch machines. Its role and term are part of the
+// request's name.
 func parseLaunch(body []byte) *relayedOrder {
 	var launch api.LaunchRequest
 	if json.Unmarshal(body, &launch) != nil {
@@ -195,11 +199,12 @@
 	}
 	partition, rest, _ := strings.Cut(strings.TrimPrefix(launch.Name, "p"), "-")
 	digits, _, _ := strings.Cut(rest, "-")
-	term, _ := strconv.ParseUint(digits, 10, 64) // zero if its name tells none
+	term, _ := strconv.ParseUint(digits, 10, 64) // zero if the name holds no term
 	return &relayedOrder{action: leadership.Launch, role: partitionRole(partition), term: leadership.Term(term), request: launch.Name}
 }
 
-// parseWrite reads under which role a transaction is, which it compares; nil: under none.
+// parseWrite returns the order to write. Its role and term are in the partition record that
+// the transaction compares. It returns nil if the transaction compares none, or writes one.
 func parseWrite(body []byte) *relayedOrder {
 	var transaction api.Transaction
 	if json.Unmarshal(body, &transaction) != nil {
@@ -218,6 +223,5 @@
 	return nil
 }
 
-// partitionRole returns the name of the role of leading a partition, whose number is given
-// as text.
+// partitionRole returns the name of the role that leads the partition with this number.
 func partitionRole(partition string) string { return "partition/" + partition }
--- a/internal/simulation/scenarios_test.go
+++ b/internal/simulation/scenarios_test.go
@@ -14,17 +14,17 @@
 	randomRolesScenario = "testdata/random_duties.toml"
 )
 
-// scenarioFiles lists the files of all scenarios.
+// scenarioFiles returns the paths of all scenario files.
 func scenarioFiles(t *testing.T) []string {
 	t.Helper()
 	files, err := filepath.Glob("testdata/*.toml")
 	if err != nil || len(files) == 0 {
-		t.Fatalf("no scenarios: %v", err)
+		t.Fatalf("no scenario files found: %v", err)
 	}
 	return files
 }
 
-// readFile reads a file as text.
+// readFile returns the content of a file, and fails the test if it cannot be read.
 func readFile(t *testing.T, name string) string {
 	t.Helper()
 	text, err := os.ReadFile(name)
@@ -34,7 +34,7 @@
 	return string(text)
 }
 
-// withSeed returns a random scenario with another seed.
+// withSeed returns the text of a random scenario with its seed, 1 in the file, replaced.
 func withSeed(text string, seed int) string {
 	return strings.Replace(text, "seed = 1\n", "seed = "+strconv.Itoa(seed)+"\n", 1)
 }
@@ -50,29 +50,30 @@
 	}
 }
 
-// TestSeeds runs the random scenario with faults drawn from many seeds: 20, or as many as
-// SIMULATION_SEEDS says.
+// TestSeeds runs the random scenario once for each of 20 consecutive seeds, from which its
+// faults are drawn. SIMULATION_SEEDS sets another number of seeds.
 func TestSeeds(t *testing.T) {
 	t.Parallel()
 	runSeeds(t, randomScenario, 1000, 20)
 }
 
-// TestSlowSeeds is TestSeeds with links that are slow now and then.
+// TestSlowSeeds is TestSeeds with periods during which all links are slow.
 func TestSlowSeeds(t *testing.T) {
 	t.Parallel()
 	runSeeds(t, slowLinksScenario, 5000, 10)
 }
 
-// TestDutySeeds is TestSeeds with exclusive roles of the fleet, with launches that are
-// recorded first, and with controllers that are paused with orders on their way.
+// TestDutySeeds is TestSeeds with one leader for each of the fleet's roles, with launches that
+// are recorded before they are requested, and with controllers that are paused while orders
+// that they decided have not left the process.
 func TestDutySeeds(t *testing.T) {
 	t.Parallel()
 	runSeeds(t, randomRolesScenario, 9000, 10)
 }
 
-// runSeeds runs a random scenario from consecutive seeds: so many, or as many as
-// SIMULATION_SEEDS says.
-func runSeeds(t *testing.T, file string, first, count int) {
+// runSeeds runs a random scenario, as a subtest each, for count consecutive seeds from
+// firstSeed on. SIMULATION_SEEDS overrides count.
+func runSeeds(t *testing.T, file string, firstSeed, count int) {
 	t.Helper()
 	if value := os.Getenv("SIMULATION_SEEDS"); value != "" {
 		number, err := strconv.Atoi(value)
@@ -82,21 +83,22 @@
 		count = number
 	}
 	text := readFile(t, file)
-	for seed := first; seed < first+count; seed++ {
+	for seed := firstSeed; seed < firstSeed+count; seed++ {
 		t.Run(strconv.Itoa(seed), func(t *testing.T) {
 			t.Parallel()
 			scenario := mustParse(t, withSeed(text, seed))
 			if scenario.Seed != uint64(seed) {
-				t.Fatalf("seed is %d", scenario.Seed)
+				t.Fatalf("got seed %d, want the seed that names the subtest", scenario.Seed)
 			}
 			runScenario(t, scenario)
 		})
 	}
 }
 
-// runScenario runs a scenario, and checks that no invariant is violated but the one that
-// it names, and what it expects of the log. The log goes to a file if SIMULATION_LOG names
-// a directory.
+// runScenario runs a scenario and checks that the log contains and omits what the scenario
+// says. It checks that no invariant is violated or, if the scenario expects a violation, that
+// this one is detected. If SIMULATION_LOG names a directory, the log is written to a file
+// there.
 func runScenario(t *testing.T, scenario *Scenario) {
 	t.Helper()
 	sim, violations, err := Play(scenario)
@@ -111,10 +113,10 @@
 		}
 	}
 	if scenario.LogContains != "" && !strings.Contains(log, scenario.LogContains) {
-		t.Errorf("the log does not say %q", scenario.LogContains)
+		t.Errorf("the log does not contain %q", scenario.LogContains)
 	}
 	if scenario.LogOmits != "" && strings.Contains(log, scenario.LogOmits) {
-		t.Errorf("the log says %q", scenario.LogOmits)
+		t.Errorf("the log contains %q, which it must not", scenario.LogOmits)
 	}
 	if scenario.ExpectedViolation != "" {
 		for _, violation := range violations {
@@ -122,9 +124,9 @@
 				return
 			}
 		}
-		t.Fatalf("a deliberate violation of %s was not detected; detected: %q", scenario.ExpectedViolation, violations)
+		t.Fatalf("want a violation of %s detected, got %q", scenario.ExpectedViolation, violations)
 	}
 	if len(violations) > 0 {
-		t.Errorf("broken:\n  %s", strings.Join(violations, "\n  "))
+		t.Errorf("got violations, want none:\n  %s", strings.Join(violations, "\n  "))
 	}
 }
--- a/internal/simulation/upgrade_test.go
+++ b/internal/simulation/upgrade_test.go
@@ -13,7 +13,8 @@
 	"spurmoor/internal/api"
 )
 
-// upgradeScenario has limits of the store that are lowered at the end.
+// upgradeScenario has short leases, and lower limits of the store that TestUpgrade puts in
+// force at the end.
 const upgradeScenario = `lease_s = 6
 cancel_s = 14
 value_kb = 8
@@ -30,20 +31,22 @@
 count = 4
 `
 
-// upgrade is a test of the change from the version in production to these sources.
-type upgrade struct {
-	*loopback
+// upgradeTest runs processes of the version in production (old) and of these sources (new) in
+// one cluster.
+type upgradeTest struct {
+	*loopbackCluster
 	oldBinary, newBinary string
-	operatorsFile        string // that only the new version knows
-	lastJob              int    // number of the last job of a burst
-	jobs                 []string
+	newOperatorsFile     string // settings that only the new version knows
+	lastBurstJob         int    // number of the latest job that submitBurst submitted
+	burstJobs            []string
 }
 
-// TestUpgrade builds the version in production (deploy/service.toml) from the repository's
-// history and changes three processes over to these sources while they serve: one after
-// the other, with kills in between, failovers in both directions, machines transferred
-// between versions, and the limits of the key-value store lowered at the end. It needs the
-// history, so CI does not run it:
+// TestUpgrade upgrades three processes, one after the other and while they serve, from the
+// version in production (deploy/service.toml) to these sources. No task may be lost or run
+// twice. Processes are killed in between, partitions fail over between the versions in both
+// directions, and machines are transferred between them. At the end the limits of the
+// key-value store are lowered. The test builds the version in production from the
+// repository's history, so CI does not run it:
 //
 //	go test -tags upgrade -run TestUpgrade ./internal/simulation
 func TestUpgrade(t *testing.T) {
@@ -54,8 +57,8 @@
 	for i := range controllerCount {
 		upgrade.waitReady(i)
 	}
-	// Long work in every partition, gangs of whole machines, a cancellation; of all that
-	// runs meanwhile nothing may be lost or run twice.
+	// The jobs are long-running ones, bursts of arrays and of gangs that need whole machines,
+	// and a cancelled one with a dependant.
 	service := upgrade.submit(900, Job{Tasks: 2, GPUs: 1, Team: "norte", Kind: api.KindService})
 	long := upgrade.submit(901, Job{Tasks: 2, CPUs: 1, RunS: 600, Team: "sur"})
 	upgrade.submitBurst()
@@ -66,16 +69,16 @@
 		upgrade.upgradeProcess(i)
 	}
 	if upgrade.machinesTransferred.Load() == transferredBefore {
-		t.Error("no machine was transferred while both versions served")
+		t.Error("got no machine transferred while both versions served, want at least one")
 	}
-	upgrade.goBackAndForth()
-	upgrade.lowerLimits()
+	upgrade.downgradeAndUpgrade()
+	upgrade.lowerStoreLimits()
 	upgrade.submitBurst()
-	dependencies := []int{upgrade.lastJob, upgrade.lastJob - 1, upgrade.lastJob - 2}
+	dependencies := []int{upgrade.lastBurstJob, upgrade.lastBurstJob - 1, upgrade.lastBurstJob - 2}
 	last := upgrade.submit(951, Job{Tasks: 1, RunS: 1, Team: "oeste", Dependencies: dependencies})
 	dependent := upgrade.submit(952, Job{Tasks: 1, RunS: 1, Team: "norte", Dependencies: []int{901, 951}})
-	for _, id := range append(upgrade.jobs, last) {
-		upgrade.waitForState(id, upgrade.lastJob%controllerCount, api.JobDone)
+	for _, id := range append(upgrade.burstJobs, last) {
+		upgrade.waitForState(id, upgrade.lastBurstJob%controllerCount, api.JobDone)
 	}
 	upgrade.cancel(long, 1)
 	upgrade.waitForState(dependent, 2, api.JobCancelled)
@@ -83,76 +86,77 @@
 	upgrade.checkNoViolations()
 }
 
-// newUpgrade builds both versions.
-func newUpgrade(t *testing.T) *upgrade {
+// newUpgrade builds both versions and starts the simulation, but no process.
+func newUpgrade(t *testing.T) *upgradeTest {
 	t.Helper()
-	test := &upgrade{loopback: newLoopback(t, mustParse(t, upgradeScenario))}
+	test := &upgradeTest{loopbackCluster: newLoopbackCluster(t, mustParse(t, upgradeScenario))}
 	root, err := filepath.Abs("../..")
 	if err != nil {
 		t.Fatal(err)
 	}
 	service := readFile(t, filepath.Join(root, "deploy/service.toml"))
-	named := regexp.MustCompile(`(?m)^production = "([0-9a-f]{40})"$`).FindStringSubmatch(service)
-	if named == nil {
+	commit := regexp.MustCompile(`(?m)^production = "([0-9a-f]{40})"$`).FindStringSubmatch(service)
+	if commit == nil {
 		t.Fatal("deploy/service.toml names no commit in production")
 	}
 	tree := filepath.Join(test.dir, "production")
-	ctx := context.WithoutCancel(t.Context()) // it outlasts the test: the tree is removed after it
+	ctx := context.WithoutCancel(t.Context()) // the work tree is removed when the test's context has ended
 	git := func(args ...string) *exec.Cmd {
 		return exec.CommandContext(ctx, "git", append([]string{"-C", root, "worktree"}, args...)...)
 	}
-	if output, err := git("add", "--detach", tree, named[1]).CombinedOutput(); err != nil {
-		t.Fatalf("the history of production is not here: %v\n%s", err, output)
+	if output, err := git("add", "--detach", tree, commit[1]).CombinedOutput(); err != nil {
+		t.Fatalf("the commit in production cannot be checked out: %v\n%s", err, output)
 	}
 	t.Cleanup(func() { _ = git("remove", "--force", tree).Run() })
 	test.oldBinary, test.newBinary = test.build("was", tree), test.build("now", ".")
 	test.enableRoles("")
-	test.operatorsFile = test.operators
+	test.newOperatorsFile = test.operatorsFile
 	return test
 }
 
-// startOld starts a process of the old version, which does not know the operators'
-// settings for roles.
-func (u *upgrade) startOld(index int) {
+// startOld starts a process of the old version without the operators' settings for roles,
+// which it does not know.
+func (u *upgradeTest) startOld(index int) {
 	u.t.Helper()
-	u.operators = ""
+	u.operatorsFile = ""
 	u.start(index, u.oldBinary)
-	u.operators = u.operatorsFile
+	u.operatorsFile = u.newOperatorsFile
 }
 
-// submitBurst submits an array and a gang of each team.
-func (u *upgrade) submitBurst() {
+// submitBurst submits an array and an urgent gang for each team.
+func (u *upgradeTest) submitBurst() {
 	u.t.Helper()
 	for _, team := range []string{"norte", "sur", "oeste"} {
 		for _, job := range []Job{
 			{Tasks: 8, GPUs: 1, RunS: 4, Team: team},
 			{Tasks: 2, GPUs: 4, RunS: 2, Team: team, Kind: api.KindGang, Priority: "urgent"},
 		} {
-			u.lastJob++
-			u.jobs = append(u.jobs, u.submit(u.lastJob, job))
+			u.lastBurstJob++
+			u.burstJobs = append(u.burstJobs, u.submit(u.lastBurstJob, job))
 		}
 	}
 }
 
-// waitForExclusive waits until the fleet's roles have one leader each, or until they do
-// not: they have only while all controllers know of them.
-func (u *upgrade) waitForExclusive(index int, want bool) {
+// waitForExclusiveRoles waits until a controller reports that each of the fleet's roles has one
+// leader and that launches are recorded, or that neither is so if want is false. Both are so
+// only while all controllers know the records of roles.
+func (u *upgradeTest) waitForExclusiveRoles(index int, want bool) {
 	u.t.Helper()
-	u.waitUntil("one leader for each of the fleet's roles", func() bool {
+	u.waitUntil("the controller reports exclusive roles, or none, as wanted", func() bool {
 		roles := u.roles(index)
 		return roles.Node != "" && roles.Exclusive == want && roles.RecordsMachineRequests == want
 	})
 }
 
-// upgradeProcess changes one process over to the new version.
-func (u *upgrade) upgradeProcess(index int) {
+// upgradeProcess replaces one process of the old version by one of the new version.
+func (u *upgradeTest) upgradeProcess(index int) {
 	u.t.Helper()
 	u.kill(index)
 	u.submitBurst()
-	// Another's version takes the partition over: the old one's here first, then the new
-	// one's of what an old one led.
-	u.waitUntil("another leads the partition of "+nodeName(index), func() bool { return u.replaced(index) })
-	if index == 1 { // ends before its turn, and comes back old once more
+	// The first time a process of the old version takes over. Later one of the new version
+	// takes over what the old version led.
+	u.waitUntil("another process leads the partition of "+nodeName(index), func() bool { return u.replaced(index) })
+	if index == 1 { // runs the old version once more before it is replaced
 		u.startOld(1)
 		u.waitReady(1)
 		u.kill(1)
@@ -163,32 +167,33 @@
 	u.start(index, u.newBinary)
 	u.waitReady(index)
 	if index < 2 {
-		u.waitUntil("jobs that wait for jobs are put off while an old version lives", func() bool {
+		u.waitUntil("a job with dependencies is answered with status 503 while an old process runs", func() bool {
 			dependent := submission(Job{RunS: 1, Dependencies: []int{901}}.spec(950))
 			status, _ := u.request(http.MethodPost, index, "/work", dependent)
 			return status == http.StatusServiceUnavailable
 		})
 	}
 	u.submitBurst()
-	u.waitUntil(nodeName(index)+" has its partition back", func() bool { return u.leaderOf(index) == index })
-	u.waitForExclusive(index, index == 2)
+	u.waitUntil(nodeName(index)+" leads its partition again", func() bool { return u.leaderOf(index) == index })
+	u.waitForExclusiveRoles(index, index == 2)
 }
 
-// goBackAndForth has a partition go to an old process and back: it reads what the new
-// version wrote, and nothing of jobs that wait is there yet.
-func (u *upgrade) goBackAndForth() {
+// downgradeAndUpgrade replaces the first process by one of the old version and then by one of
+// the new version. The old version has to read what the new version wrote. No job with
+// dependencies may exist yet, as the old version does not know them.
+func (u *upgradeTest) downgradeAndUpgrade() {
 	u.t.Helper()
 	u.kill(0)
 	u.startOld(0)
 	u.waitReady(0)
-	u.waitForExclusive(1, false)
-	u.waitUntil("the old version leads a partition again", func() bool { return u.leaderOf(0) == 0 })
+	u.waitForExclusiveRoles(1, false)
+	u.waitUntil("a process of the old version leads a partition again", func() bool { return u.leaderOf(0) == 0 })
 	u.submitBurst()
 	u.kill(0)
 	u.start(0, u.newBinary)
 	u.waitReady(0)
-	u.waitForExclusive(1, true)
+	u.waitForExclusiveRoles(1, true)
 }
 
-// lowerLimits puts the store's next limits in force.
-func (u *upgrade) lowerLimits() { u.locked(func() { u.sim.injectLowerLimits(injection{}) }) }
+// lowerStoreLimits puts the store's next limits in force.
+func (u *upgradeTest) lowerStoreLimits() { u.withLock(func() { u.sim.injectLowerLimits(injection{}) }) }
