--- a/internal/cluster/boot_statistics_test.go
+++ b/internal/cluster/boot_statistics_test.go
@@ -24,7 +24,7 @@
 	}{
 		{"type not in the catalog", nil, bootTime{}, untypedBootTimeout},
 		{"none is up", machineType, bootTime{}, 180 * micros.Second},
-		{"others took as long as they should", machineType, booted(60 * micros.Second), 150 * micros.Second},
+		{"others took the nominal boot time", machineType, booted(60 * micros.Second), 150 * micros.Second},
 		{"others were quick", machineType, booted(20 * micros.Second), 120 * micros.Second},
 		{
 			"those that are up were launched much earlier", machineType,
@@ -71,7 +71,7 @@
 		{"the first", 80 * micros.Second, 0, 80 * micros.Second},
 		{"a quicker one", 40 * micros.Second, 0, 40 * micros.Second},
 		{"a slower one", 80 * micros.Second, bootObservedWithin - 1, 50 * micros.Second},
-		{"one of a former leader's", 10 * micros.Second, bootObservedWithin, 50 * micros.Second},
+		{"one that another controller awaited first", 10 * micros.Second, bootObservedWithin, 50 * micros.Second},
 	} {
 		machine := addTestMachine(t, state, tc.name, "g4")
 		machine.LaunchedAt, machine.AwaitingHeartbeatSince = env.Now, env.Now+tc.awaitedAfter
@@ -80,8 +80,9 @@
 		boot := statistics.bootTimes["g4"]
 		if boot.typicalDuration != tc.want || boot.latestLaunchAt != machine.LaunchedAt {
 			t.Errorf(
-				"%s: got a typical duration of %v s, want %v s; got %+v, want this launch as the latest",
-				tc.name, boot.typicalDuration.Seconds(), tc.want.Seconds(), boot,
+				"%s: got a typical duration of %v s, want %v s; got the latest launch at %v s, want %v s",
+				tc.name, boot.typicalDuration.Seconds(), tc.want.Seconds(),
+				boot.latestLaunchAt.Seconds(), machine.LaunchedAt.Seconds(),
 			)
 		}
 	}
--- a/internal/cluster/commit.go
+++ b/internal/cluster/commit.go
@@ -60,9 +60,9 @@
 	Records []records.Machine
 	// Adopt reports whether these are orphaned instances, which another controller may adopt or
 	// record as launched at the same time.
-	Adopt bool
-	// OnRecorded is called after the batch is committed. For an adoption it is also called when
-	// the commit is refused and the batch is dropped.
+	IsAdoption bool
+	// OnRecorded is called after the batch is committed. It is also called when the batch is
+	// dropped: because leadership is lost or, for an adoption, because a commit is refused.
 	OnRecorded func()
 }
 
@@ -81,7 +81,7 @@
 // may hold thousands. It returns nil if there is nothing to commit or if the commit waits for
 // more budget.
 func (l *PartitionLog) BuildCommit(partition *Partition, maxWrites int) *LogCommit {
-	maxWrites = max(minCommitWrites, maxWrites>>partition.sizeReductions)
+	maxWrites = max(minCommitWrites, maxWrites>>partition.sizeHalvings)
 	jobIDs := slices.Sorted(maps.Keys(partition.ChangedJobs))
 	ended := l.terminalJobsDue(partition, jobIDs)
 	if l.awaitsBudget(partition, len(ended), maxWrites) {
@@ -216,10 +216,11 @@
 	c.terminalRecords = append(c.terminalRecords, record)
 }
 
-// addLogEntries adds log entries with the changes of machines and tasks.
+// addLogEntries adds log entries with the changes of machines and tasks, as many as fit. The
+// other changes remain for later commits.
 func (l *PartitionLog) addLogEntries(commit *LogCommit, partition *Partition, jobIDs []string, maxWrites int) {
 	maxEntryBytes := min(MaxTransactionBytes/minEntriesPerTransaction, l.Settings.MaxValueBytes()-maxEntryOverheadBytes)
-	maxEntryBytes >>= partition.sizeReductions
+	maxEntryBytes >>= partition.sizeHalvings
 	builder := &entryBuilder{
 		log: l, partition: partition, commit: commit,
 		maxCompares:   l.Settings.MaxCompares(),
--- a/internal/cluster/commit_outcome.go
+++ b/internal/cluster/commit_outcome.go
@@ -8,8 +8,8 @@
 	"spurmoor/internal/records"
 )
 
-// maxSizeReductions is how many times the size of a partition's commits is halved at most.
-const maxSizeReductions = 3
+// maxSizeHalvings is how many times the size of a partition's commits is halved at most.
+const maxSizeHalvings = 3
 
 // HandleCommitted applies the commit in flight of a partition, which was carried out at a
 // revision of the store.
@@ -104,15 +104,15 @@
 // instances will be found again.
 func (l *PartitionLog) handleRefused(partition *Partition) {
 	partition.MachineBatches = slices.DeleteFunc(partition.MachineBatches, func(batch *MachineBatch) bool {
-		if batch.Adopt {
+		if batch.IsAdoption {
 			batch.OnRecorded()
 		}
-		return batch.Adopt
+		return batch.IsAdoption
 	})
 	if partition.CommitInFlight.Malformed {
 		// The store admits smaller transactions than the settings say. A transaction of this
 		// size is not sent again.
-		partition.sizeReductions = min(partition.sizeReductions+1, maxSizeReductions)
+		partition.sizeHalvings = min(partition.sizeHalvings+1, maxSizeHalvings)
 	}
 	partition.CommitInFlight = nil
 }
--- a/internal/cluster/dependency_graph.go
+++ b/internal/cluster/dependency_graph.go
@@ -162,7 +162,9 @@
 
 // TerminalOutcome returns how a job ended whose key was deleted, and whether that is known. A
 // cancellation changes the job's key before the commit of its end deletes the key, and that
-// commit compares the version of the key. So a job that was not cancelled was done.
+// commit compares the version of the key. So a job that was not cancelled was done. It is not
+// known how a job ended that had not started and has a dependency with an unknown outcome: it may
+// have been cancelled with that dependency.
 func (g *DependencyGraph) TerminalOutcome(job *Job) (records.TerminalJob, bool) {
 	if record, ok := g.TerminalStates.Records[job.ID]; ok {
 		return record, true
--- a/internal/cluster/dependency_test.go
+++ b/internal/cluster/dependency_test.go
@@ -71,15 +71,21 @@
 				t.Fatalf("got %d reads, want 1", reads)
 			}
 			if job.PendingDependencies != tc.pending || job.UnknownDependencies > 0 != tc.unknown {
-				t.Errorf("got %d dependencies pending, %d unknown, want as in the case", job.PendingDependencies, job.UnknownDependencies)
+				t.Errorf(
+					"got %d dependencies pending and %d unknown, want %d pending and any unknown %t",
+					job.PendingDependencies, job.UnknownDependencies, tc.pending, tc.unknown,
+				)
 			}
 			if job.Cancelled != tc.dependencyCancelled || job.DependencyCancelled != tc.dependencyCancelled {
-				t.Errorf("got cancelled %t and dependency cancelled %t, want both as in the case", job.Cancelled, job.DependencyCancelled)
+				t.Errorf(
+					"got cancelled %t and dependency cancelled %t, want both %t",
+					job.Cancelled, job.DependencyCancelled, tc.dependencyCancelled,
+				)
 			}
 			env.Now += 2 * outcomeRetryInterval
 			graph.ReadUnknownOutcomes()
 			if readAgain := len(env.StoreReplyHandlers) == 1; readAgain != tc.readAgain {
-				t.Errorf("got read again %t, want the opposite", readAgain)
+				t.Errorf("got read again %t, want %t", readAgain, tc.readAgain)
 			}
 		})
 	}
--- a/internal/cluster/entry_builder.go
+++ b/internal/cluster/entry_builder.go
@@ -53,7 +53,7 @@
 // last carryover left little space in its entry. The carryover of the oldest entry may exceed
 // the size limit of an entry, because the limit was higher when the entry was written or
 // because its runs have split. Part of it then goes to a new slot. After some such commits the
-// rest fits, so the log never gets stuck.
+// rest fits into an entry, and the slot is overwritten.
 func (b *entryBuilder) chooseSlot(reused int) (int, carryover) {
 	if b.useNewSlot || len(b.partition.Log)-reused < minLogSlots {
 		return b.newSlot(), carryover{}
@@ -142,7 +142,7 @@
 		batch.Records = slices.DeleteFunc(batch.Records, func(record records.Machine) bool {
 			return b.log.cluster.Machines[record.Name] != nil
 		})
-		if batch.Adopt && !adopts {
+		if batch.IsAdoption && !adopts {
 			if !b.mayAdopt() {
 				continue
 			}
@@ -242,7 +242,7 @@
 	case RaiseToken:
 		record.MinToken = 0
 	case transferRecord:
-		record.Partition, record.MinToken = machine.transferTo, 0
+		record.Partition, record.MinToken = machine.pendingPartition, 0
 		record.Epoch++
 	case NoRecordChange, CopyRecord:
 	}
@@ -267,7 +267,7 @@
 // of the start and a concurrent cancellation only one succeeds.
 func (b *entryBuilder) addChangesOf(job *Job) bool {
 	compared := false
-	for index, task := range job.knownTasks() {
+	for index, task := range job.allocatedTasks() {
 		if !task.uncommitted {
 			continue
 		}
--- a/internal/cluster/failures.go
+++ b/internal/cluster/failures.go
@@ -29,7 +29,7 @@
 	minBackoff    = 4 * micros.Second
 	maxBackoff    = 60 * micros.Second
 	backoffGrowth = 2
-	// deprioritizedFor is how long after its last failure a suspect job stays behind all other
+	// deprioritizedFor is how long after its last failure a suspect job ranks behind all other
 	// jobs.
 	deprioritizedFor = 120 * micros.Second
 )
@@ -138,10 +138,10 @@
 	return count
 }
 
-// failsEverywhere reports whether a job's failures are attributed to the job: none of its tasks
-// was ever done, it failed on at least three machines that are not known to be faulty, and
-// these are more than its placed tasks, which have not failed. Without the last two conditions,
-// a gang of eight that meets one faulty machine in each of three attempts is deprioritized and
+// failsEverywhere reports whether a job's failures are attributed to the job. This holds if none
+// of its tasks was ever done, it failed on at least three machines, these are not quarantined,
+// and they outnumber its placed tasks, which have not failed. Without the last two conditions, a
+// gang of eight that meets one faulty machine in each of three attempts is deprioritized and
 // starts only after ten minutes.
 func (l *TaskLifecycle) failsEverywhere(job *Job) bool {
 	machines := l.healthyMachinesFailedOn(job)
--- a/internal/cluster/gang.go
+++ b/internal/cluster/gang.go
@@ -12,7 +12,7 @@
 	if j.Spec.Kind != api.KindGang || j.DoneTasks > 0 || j.PlacedTasks == 0 || j.Cancelled || j.needsNewAttempt {
 		return false
 	}
-	for _, task := range j.knownTasks() {
+	for _, task := range j.allocatedTasks() {
 		if task.State == records.TaskPlaced && !task.awaitsGang() {
 			return false
 		}
@@ -38,8 +38,8 @@
 	return j.DoneTasks == 0 && j.PlacedTasks > 0 && j.PlacedTasks < j.Spec.Tasks
 }
 
-// isPlacedWhole reports whether all tasks of a gang are placed or done and all that is
-// committed.
-func (j *Job) isPlacedWhole() bool {
+// isFullyPlaced reports whether every task of a gang is placed or done and none has an
+// uncommitted change.
+func (j *Job) isFullyPlaced() bool {
 	return j.PlacedTasks+j.DoneTasks == j.Spec.Tasks && j.UncommittedTasks == 0
 }
--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -7,8 +7,8 @@
 )
 
 // TasksPerChunk is the number of tasks in a chunk, the unit in which tasks of a job are
-// allocated. A chunk is allocated when one of its tasks first changes, since most arrays wait
-// for a long time.
+// allocated. A chunk is allocated when one of its tasks first changes. Until then a job that
+// waits, as most arrays do for a long time, takes no memory for its tasks.
 const TasksPerChunk = 128
 
 // Job is an unfinished job.
@@ -31,7 +31,7 @@
 	// that they may run.
 	StopRequiredSince micros.Micros
 
-	// Tasks and their counts. Written by State.
+	// Tasks and their counts. Written by State, UncommittedTasks also by the partition log.
 	Chunks           map[int][]Task // by index / TasksPerChunk
 	PlacedTasks      int
 	DoneTasks        int
@@ -45,7 +45,7 @@
 	// Dependencies. The list is written when the record is applied, the rest by the
 	// dependency graph.
 	Dependencies        []string // ids of jobs that must be done first
-	PendingDependencies int      // dependencies that are not done or not known to be
+	PendingDependencies int      // dependencies that are not known to be done
 	UnknownDependencies int      // dependencies that have ended with an unknown outcome
 	DependencyCancelled bool
 	dependenciesDoneAt  micros.Micros // when the last of them was done
@@ -56,7 +56,7 @@
 	Suspect        bool            // fails on every machine, probably because of a mistake in it
 	lastFailureAt  micros.Micros
 	backoff        micros.Micros // last wait between two attempts while suspect
-	NotBefore      micros.Micros // the job is not placed before
+	NotBefore      micros.Micros // its tasks are not placed before this time
 
 	// Start of a gang. StartUncommitted is written by planning, the partition log and State,
 	// needsNewAttempt by the task lifecycle and State.
@@ -79,10 +79,10 @@
 	return list
 }
 
-// knownTasks returns an iterator over the tasks of the allocated chunks, in order, with their
-// indexes. Its type is that of an iter.Seq2, written out to keep the imports of the state
-// machine few.
-func (j *Job) knownTasks() func(yield func(int, *Task) bool) {
+// allocatedTasks returns an iterator over the tasks of the allocated chunks, in order, with their
+// indexes. Its type is that of an iter.Seq2. It is written out because the state machine may
+// import only a few packages of the standard library, and iter is not among them.
+func (j *Job) allocatedTasks() func(yield func(int, *Task) bool) {
 	return func(yield func(int, *Task) bool) {
 		for _, chunk := range j.ChunkIndexes() {
 			tasks := j.Chunks[chunk]
@@ -95,8 +95,8 @@
 	}
 }
 
-// EnsureTask returns a task. It allocates the task's chunk if necessary, in which new tasks
-// are pending.
+// EnsureTask returns a task. It allocates the task's chunk if necessary; all tasks of a new
+// chunk are pending.
 func (j *Job) EnsureTask(index int) *Task {
 	chunk := index / TasksPerChunk
 	if j.Chunks[chunk] == nil {
@@ -117,15 +117,15 @@
 	return nil
 }
 
-// IsCommitted reports whether a task has no uncommitted change.
-func (j *Job) IsCommitted(index int) bool {
+// IsTaskCommitted reports whether a task has no uncommitted change.
+func (j *Job) IsTaskCommitted(index int) bool {
 	task := j.Task(index)
 	return task == nil || !task.uncommitted
 }
 
-// Placeable returns the indexes of tasks that may be placed now: at most limit of them, or
-// all for a gang.
-func (j *Job) Placeable(now micros.Micros, limit int) []int {
+// PlaceableTasks returns the indexes of the tasks that may be placed now. It returns at most
+// limit of them, or all of a gang.
+func (j *Job) PlaceableTasks(now micros.Micros, limit int) []int {
 	var list []int
 	for chunk := 0; chunk*TasksPerChunk < j.Spec.Tasks; chunk++ {
 		tasks := j.Chunks[chunk]
@@ -139,9 +139,9 @@
 			}
 		}
 	}
-	// All tasks of a gang start together. There are two exceptions: a gang that is
-	// reassembling, and a gang of which a task is done. In the latter all tasks are done, so
-	// tasks whose lost machines could not report it only have to be run again.
+	// All tasks of a gang are placed together, with two exceptions. A gang that is reassembling
+	// gets only its missing tasks. If one task of a gang is done, all of them are done, and a
+	// pending one is run again only because its machine was lost before it could report that.
 	if j.Spec.Kind == api.KindGang && len(list)+j.DoneTasks < j.Spec.Tasks && !j.IsReassembling() {
 		return nil
 	}
@@ -151,7 +151,7 @@
 // LastAttempt returns the highest attempt number of any task, 0 if none was ever placed.
 func (j *Job) LastAttempt() api.Attempt {
 	var last api.Attempt
-	for _, task := range j.knownTasks() {
+	for _, task := range j.allocatedTasks() {
 		last = max(last, task.Attempt)
 	}
 	return last
--- a/internal/cluster/job_test.go
+++ b/internal/cluster/job_test.go
@@ -9,7 +9,7 @@
 	"spurmoor/internal/records"
 )
 
-func TestPlaceable(t *testing.T) {
+func TestPlaceableTasks(t *testing.T) {
 	t.Parallel()
 	const now = 100 * micros.Second
 	for _, tc := range []struct {
@@ -18,7 +18,7 @@
 		prepare func(*State, *Job)
 		want    []int // of 4 tasks, with a limit of 3
 	}{
-		{"array that is new", api.KindArray, func(*State, *Job) {}, []int{0, 1, 2}},
+		{"new array", api.KindArray, func(*State, *Job) {}, []int{0, 1, 2}},
 		{"array with tasks placed and done", api.KindArray, func(state *State, job *Job) {
 			state.SetTask(job, 0, TaskRecord{State: records.TaskPlaced})
 			state.SetTask(job, 2, TaskRecord{State: records.TaskDone})
@@ -27,8 +27,8 @@
 			job.EnsureTask(0).notBefore = now + 1
 			job.EnsureTask(1).notBefore = now
 		}, []int{1, 2, 3}},
-		{"gang is placed whole", api.KindGang, func(*State, *Job) {}, []int{0, 1, 2, 3}},
-		{"gang with a task on its machine", api.KindGang, func(state *State, job *Job) {
+		{"new gang, whose size is above the limit", api.KindGang, func(*State, *Job) {}, []int{0, 1, 2, 3}},
+		{"gang with a placed task", api.KindGang, func(state *State, job *Job) {
 			state.SetTask(job, 0, TaskRecord{State: records.TaskPlaced})
 		}, nil},
 		{"gang that is reassembling", api.KindGang, func(state *State, job *Job) {
@@ -45,15 +45,15 @@
 			job := addTestJob(t, state, "wk-000001", 4)
 			job.Spec.Kind = tc.kind
 			tc.prepare(state, job)
-			if got := job.Placeable(now, 3); !slices.Equal(got, tc.want) {
+			if got := job.PlaceableTasks(now, 3); !slices.Equal(got, tc.want) {
 				t.Errorf("got placeable tasks %v, want %v", got, tc.want)
 			}
 		})
 	}
 }
 
-// TestKnownTasks checks that the iterator yields the tasks of allocated chunks only, in order.
-func TestKnownTasks(t *testing.T) {
+// TestAllocatedTasks checks that the iterator yields the tasks of allocated chunks only, in order.
+func TestAllocatedTasks(t *testing.T) {
 	t.Parallel()
 	const tasks = 3*TasksPerChunk + 1
 	job := addTestJob(t, newState(t, newEnvironment(t)), "wk-000001", tasks)
@@ -63,14 +63,14 @@
 		t.Fatalf("got chunks %v, want [1 3]", chunks)
 	}
 	var indexes []int
-	for index, task := range job.knownTasks() {
+	for index, task := range job.allocatedTasks() {
 		indexes = append(indexes, index)
 		if task != job.Task(index) {
-			t.Errorf("index %d: got another task, want that of job.Task", index)
+			t.Errorf("index %d: got task %p, want that of job.Task, %p", index, task, job.Task(index))
 		}
 	}
 	if len(indexes) != TasksPerChunk+1 || indexes[0] != TasksPerChunk || indexes[TasksPerChunk] != tasks-1 || !slices.IsSorted(indexes) {
-		t.Errorf("got indexes %v, want all of chunk 1 and the last task, in order", indexes)
+		t.Errorf("got indexes %v, want %d to %d and %d, in order", indexes, TasksPerChunk, 2*TasksPerChunk-1, tasks-1)
 	}
 	if job.LastAttempt() != 7 || job.Task(0) != nil || job.Task(tasks) != nil {
 		t.Errorf("got last attempt %d, task 0 %v and past the end %v, want 7, nil and nil", job.LastAttempt(), job.Task(0), job.Task(tasks))
@@ -93,7 +93,7 @@
 	} {
 		got, ok := ParseTaskID(tc.name)
 		if ok != tc.ok || ok && (got != tc.want || got.String() != tc.name) {
-			t.Errorf("ParseTaskID(%q): got %v, %t, want the result of the case", tc.name, got, ok)
+			t.Errorf("ParseTaskID(%q): got %v, %t, want %v, %t", tc.name, got, ok, tc.want, tc.ok)
 		}
 	}
 }
--- a/internal/cluster/log_entry_test.go
+++ b/internal/cluster/log_entry_test.go
@@ -119,20 +119,20 @@
 		}
 		if size != commit.lastEntryBytes || size > limit {
 			t.Fatalf(
-				"%d tasks: got %d bytes in the last entry, want at most 500; got %d bytes counted, want the same",
-				added, size, commit.lastEntryBytes,
+				"%d tasks: got %d bytes in the last entry, want at most %d; got %d bytes counted, want %d",
+				added, size, limit, commit.lastEntryBytes, size,
 			)
 		}
 	}
 	if len(commit.Entries) != maxEntries || added == 2000 || added != len(commit.tasks) {
 		t.Fatalf(
-			"got %d entries, want 3; got %d tasks added, want below 2000; got %d to commit, want as many",
-			len(commit.Entries), added, len(commit.tasks),
+			"got %d entries, want %d; got %d tasks added, want below 2000; got %d to commit, want %d",
+			len(commit.Entries), maxEntries, added, len(commit.tasks), added,
 		)
 	}
 	for i, entry := range commit.Entries {
 		if size := len(entry.encode()); size > limit+maxEntryOverheadBytes {
-			t.Errorf("entry %d: got %d bytes, want at most the size limit and the overhead", i, size)
+			t.Errorf("entry %d: got %d bytes, want at most %d", i, size, limit+maxEntryOverheadBytes)
 		}
 	}
 	if builder.reserveSpace(limit + 1) {
--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -9,16 +9,17 @@
 	"spurmoor/internal/scheduler"
 )
 
-// RecordOrigin identifies the record of a machine that is applied: its epoch, and the log
-// entry that holds it.
+// RecordOrigin tells which record of a machine is applied: its epoch and the log entry that
+// holds it.
 type RecordOrigin struct {
 	Epoch     uint64
 	Partition int
 	Sequence  uint64 // of the log entry
 }
 
-// supersededBy reports whether a record of another origin is the same or newer.
-// namedPartition is the partition that the other record assigns the machine to.
+// supersededBy reports whether the record of another origin is the same or applies in place of
+// this one, by the rules of records.Machine. namedPartition is the partition that the other
+// record assigns the machine to.
 func (o RecordOrigin) supersededBy(other RecordOrigin, namedPartition int) bool {
 	switch {
 	case other.Epoch != o.Epoch:
@@ -29,7 +30,7 @@
 	return other.Partition == namedPartition
 }
 
-// noPartition is the MoveToPartition of a machine that stays in its partition.
+// noPartition is the TransferToPartition of a machine whose transfer is not planned.
 const noPartition = -1
 
 // Machine is a machine that has a record in the store.
@@ -41,9 +42,9 @@
 	MachineType *api.MachineType // nil: the catalog does not have the type
 
 	// The requested change of the record, until it is committed. Written by State, the
-	// registry and the partition log.
-	PendingChange RecordChangeKind
-	transferTo    int // target partition of a pending transfer
+	// registry and the partition log, and by core when leadership is lost.
+	PendingChange    RecordChangeKind
+	pendingPartition int // the new partition, if the pending change is a transfer
 
 	// Tasks placed on the machine. Written by State, IdleSince also by reconciliation in
 	// core.
@@ -52,15 +53,15 @@
 	UncommittedRemovals map[string]bool // ids of jobs whose tasks were removed, which may be uncommitted
 	IdleSince           micros.Micros   // since when it has no tasks
 
-	// Launch and boot. Written by State and reconciliation in core; LaunchedAt and Address
-	// also by provisioning, from the cloud's list.
+	// Launch and boot. Written by State and core; LaunchedAt and Address also by provisioning,
+	// from the cloud's list, and LaunchedAt by the partition log.
 	LaunchedAt             micros.Micros // by this controller's clock
 	AwaitingHeartbeatSince micros.Micros // since when its first heartbeat to this controller is awaited
 	FirstHeartbeatAt       micros.Micros // 0: none yet
 	Address                string        // of its worker
 
-	// What the machine's worker reported. Written by reconciliation in core; the registry and
-	// State reset TokenConfirmed.
+	// What the machine's worker reported. Written by core; the registry and State reset
+	// TokenConfirmed.
 	Incarnation       api.Incarnation // of the worker's process
 	HeartbeatSequence uint64          // of the last heartbeat applied; counts within an incarnation
 	TokenConfirmed    bool            // the worker reported with the current fencing token
@@ -68,24 +69,25 @@
 	CachedImages      []cachedImage // least recently used first; also written by the task lifecycle
 	InterruptionAt    micros.Micros // announced interruption of a spot instance; 0: none announced
 
-	// Contact with the worker and the lease that this controller grants it. Written by the
-	// heartbeat handler and reconciliation in core, and by State after a failover.
+	// Contact with the worker and the lease that this controller grants it. Written by core, and
+	// by State when the machine is new or comes from another leader.
 	LastSeenAt      micros.Micros // last contact of any kind
 	LastHeartbeatAt micros.Micros // only heartbeats renew the lease
 	LeaseExpiresAt  micros.Micros // unless another heartbeat is answered
 
-	// Commands sent to the worker directly or with answers to heartbeats. Written by
-	// planning, and by core as the worker answers; NextCommandAt by every component that
-	// has commands for the worker.
+	// Commands sent to the worker directly or with answers to heartbeats. Written by planning,
+	// by core as the worker answers, and by State when the machine comes from another leader;
+	// NextCommandAt by every component that has commands for the worker.
 	NextCommandAt         micros.Micros // when to send the next direct command, if there is any
 	CommandInFlight       bool
 	lastCommands          []api.Command // sent with the last answer to a heartbeat
 	IgnoringCommandsSince micros.Micros // since when the same commands have to be repeated; 0: it obeys
 	// HighestStartToken is the highest fencing token of the direct starts sent to the worker.
 	HighestStartToken api.FencingToken
-	// StartOutcomeUnknown reports whether a direct start was not answered. The next token
-	// must then be higher than that of the start.
-	StartOutcomeUnknown bool
+	// MustRaiseToken reports whether the fencing token must be raised: because a direct start was
+	// not answered and may still be carried out, or because the worker may forget exited tasks only
+	// under a token higher than HighestStartToken.
+	MustRaiseToken bool
 
 	// Failures of tasks on the machine. Written by the task lifecycle.
 	Failures    MachineFailures
@@ -97,11 +99,13 @@
 	ClaimExpiresAt  micros.Micros
 	ClaimGuaranteed bool // the claim is within a team's guaranteed quota
 
-	// Planned move to another partition. Written by planning, and by State after a failover.
-	MoveToPartition int  // partition to transfer it to once it is empty; noPartition: none
-	PreemptForMove  bool // its tasks are preempted for the move
+	// Planned transfer to another partition. Written by planning, and by State when the machine
+	// is new or comes from another leader.
+	TransferToPartition int  // partition to transfer it to once it is empty; noPartition: none
+	PreemptForTransfer  bool // its tasks are preempted for the transfer
 
-	// Deletion in the cloud. Written by provisioning.
+	// Deletion in the cloud. Written by provisioning, and by State when the machine comes from
+	// another leader.
 	DeleteSent      bool
 	DeleteConfirmed bool
 }
@@ -117,7 +121,7 @@
 	markRecordForDeletion
 	// DeleteRecord deletes the record of a machine that no longer exists.
 	DeleteRecord
-	// transferRecord moves the machine to another partition.
+	// transferRecord transfers the machine to another partition.
 	transferRecord
 	// RaiseToken raises the lowest fencing token that the machine's worker may obey.
 	RaiseToken
--- a/internal/cluster/machine_registry.go
+++ b/internal/cluster/machine_registry.go
@@ -126,7 +126,7 @@
 	r.cluster.RequestRecordChange(machine, markRecordForDeletion)
 }
 
-// Transfer requests that an empty machine moves to another partition. It has no effect if
+// Transfer requests that an empty machine is transferred to another partition. It has no effect if
 // the machine is not empty, is marked for deletion or has a pending change of its record, or
 // if there is no such other partition.
 func (r *MachineRegistry) Transfer(machine *Machine, newPartition int) {
@@ -140,6 +140,6 @@
 		"machine transferred", logkey.Machine, machine.Name, logkey.FromPartition, machine.Record.Partition,
 		logkey.ToPartition, newPartition, logkey.HomePartition, machine.Record.HomePartition,
 	)
-	machine.transferTo = newPartition
+	machine.pendingPartition = newPartition
 	r.cluster.RequestRecordChange(machine, transferRecord)
 }
--- a/internal/cluster/machine_test.go
+++ b/internal/cluster/machine_test.go
@@ -7,8 +7,8 @@
 	"spurmoor/internal/micros"
 )
 
-// TestRecordSuperseded checks which of two records of a machine applies.
-func TestRecordSuperseded(t *testing.T) {
+// TestRecordOriginSupersededBy checks which of two records of a machine applies.
+func TestRecordOriginSupersededBy(t *testing.T) {
 	t.Parallel()
 	known := RecordOrigin{Epoch: 2, Partition: 1, Sequence: 10}
 	for _, tc := range []struct {
--- a/internal/cluster/partition.go
+++ b/internal/cluster/partition.go
@@ -17,7 +17,8 @@
 	// The partition's log, sorted by sequence number. Written by State.
 	Log []LogEntry
 
-	// Changes to commit. Written by State, planning and provisioning.
+	// Changes to commit. Written by State, provisioning and the partition log, and by core
+	// when leadership begins or is lost.
 	ChangedJobs    map[string]bool // by job id
 	RecordChanges  []*Machine      // machines with a requested change of their record
 	MachineBatches []*MachineBatch // new machines to record
@@ -26,7 +27,7 @@
 	// and by core when leadership is lost.
 	CommitInFlight *LogCommit
 	lastCommitAt   micros.Micros // when the last commit was sent
-	sizeReductions int           // how many times its commits were too large; each time halves their size
+	sizeHalvings   int           // how many times the size of its commits was halved, because the store refused larger ones
 
 	// Exchange of machines between partitions. Written by planning.
 	HasBlockedJobs bool   // jobs still waited after the last scheduling cycle
--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -27,9 +27,9 @@
 
 	Machines       map[string]*Machine
 	MachinesByName []*Machine // sorted by name
-	// tombstones holds the origins of records that deleted machines, by machine name. A
-	// tombstone is kept while some log entry still names the machine; logReferences counts
-	// those entries in all logs.
+	// tombstones holds the origin of the record that marks a machine as deleted, by machine
+	// name. A tombstone is kept while some log entry still names the machine. logReferences
+	// counts these entries in all logs, by machine name.
 	tombstones    map[string]RecordOrigin
 	logReferences map[string]int
 	// adoptionVersion is the version of records.AdoptionKey, which every adoption changes.
@@ -81,8 +81,8 @@
 	return max(api.FencingToken(s.Partitions[machine.Record.Partition].Term), machine.Record.MinToken)
 }
 
-// AddJob adds a job that the replica does not have. The caller sets its Spec and the rest
-// of its record.
+// AddJob adds a job that the replica does not have. It takes only the resources and the team
+// from spec: the caller sets the job's Spec and the rest of its record.
 func (s *State) AddJob(id string, spec api.Job) *Job {
 	job := &Job{
 		ID:             id,
@@ -102,10 +102,9 @@
 	delete(s.Partitions[job.Partition].ChangedJobs, job.ID)
 }
 
-// addMachine adds a machine whose first record was read. Its age counts from now, not from
-// the launch time in the record: that is a reading of another controller's clock, and with a
-// clock that is hours off a booting machine would be overdue at once. The cloud's list
-// corrects the age later.
+// addMachine adds a machine whose first record was read. Its age counts from now, since the
+// launch time in the record was read from another controller's clock. If that clock is hours
+// off, a booting machine would be overdue at once. The cloud's list corrects the age later.
 func (s *State) addMachine(record records.Machine) *Machine {
 	machine := &Machine{
 		Name:                   record.Name,
@@ -114,7 +113,7 @@
 		LaunchedAt:             s.Now,
 		AwaitingHeartbeatSince: s.Now,
 		Failures:               MachineFailures{Unattributed: map[string]bool{}},
-		MoveToPartition:        noPartition,
+		TransferToPartition:    noPartition,
 	}
 	s.Machines[record.Name] = machine
 	at, _ := slices.BinarySearchFunc(s.MachinesByName, machine.Name, compareMachineName)
@@ -161,7 +160,7 @@
 	machine.DeleteSent, machine.DeleteConfirmed = false, false
 	machine.lastCommands, machine.IgnoringCommandsSince = nil, 0
 	machine.PendingChange = NoRecordChange
-	machine.MoveToPartition = noPartition
+	machine.TransferToPartition = noPartition
 }
 
 // setTombstone records that a machine was deleted by the record of that origin.
--- a/internal/cluster/task.go
+++ b/internal/cluster/task.go
@@ -31,7 +31,8 @@
 	// none.
 	LogSequence uint64
 
-	// Changes to commit. Written by State when the task changes.
+	// Changes to commit. Written by State when the task changes, and by the partition log after
+	// a commit.
 	uncommitted bool   // a change is not committed yet, or its commit is in flight
 	generation  uint32 // counts changes, so that a commit can detect a later change
 
@@ -42,18 +43,18 @@
 	RunningSince  micros.Micros
 
 	// Starting and stopping. PlacedAt is written by SetTask, DirectStartToken by planning and
-	// reconciliation in core, the rest by the task lifecycle.
+	// core, the rest by the task lifecycle.
 	PlacedAt        micros.Micros
 	StopRequestedAt micros.Micros // 0: no stop is requested
 	// GraceS is how many seconds the task has to save a checkpoint after a requested stop.
 	GraceS    float64
-	notBefore micros.Micros // the task is not placed before
+	notBefore micros.Micros // the task is not placed before this time
 	// DirectStartToken is the fencing token of a direct start that may still be in flight; 0
 	// means none.
 	DirectStartToken api.FencingToken
 }
 
-// mayBePlaced reports whether a task is pending and its delay is over.
+// mayBePlaced reports whether a task is pending and its notBefore has passed.
 func (t *Task) mayBePlaced(now micros.Micros) bool {
 	return t.State == records.TaskPending && now >= t.notBefore
 }
--- a/internal/cluster/task_accounting.go
+++ b/internal/cluster/task_accounting.go
@@ -34,7 +34,7 @@
 // RevertUncommitted resets all tasks of a job to their committed state.
 func (s *State) RevertUncommitted(job *Job) {
 	job.StartUncommitted = false
-	for index, task := range job.knownTasks() {
+	for index, task := range job.allocatedTasks() {
 		if task.uncommitted {
 			s.SetTask(job, index, task.Committed)
 		}
@@ -103,15 +103,15 @@
 // addPlacedTasks adds the placed tasks of a job to a machine whose record was read after the
 // tasks were.
 func (s *State) addPlacedTasks(job *Job, machine *Machine) {
-	for index, task := range job.knownTasks() {
+	for index, task := range job.allocatedTasks() {
 		if task.State == records.TaskPlaced && task.Machine == machine.Name {
 			s.updateMachineCounts(job, index, machine, 1)
 		}
 	}
 }
 
-// RequestJobStop requests that the machines of a job are sent commands at once, since its
-// tasks must not run any more.
+// RequestJobStop handles that a job's tasks must not run any more. It sets StopRequiredSince, if
+// that is not set yet, and requests that commands are sent to the job's machines at once.
 func (s *State) RequestJobStop(job *Job) {
 	if job.StopRequiredSince == 0 {
 		job.StopRequiredSince = s.cache.CurrentAsOf
@@ -119,7 +119,7 @@
 	if job.PlacedTasks == 0 || !s.Partitions[job.Partition].Leads() {
 		return
 	}
-	for _, task := range job.knownTasks() {
+	for _, task := range job.allocatedTasks() {
 		s.requestCommand(task.Machine)
 	}
 }
--- a/internal/cluster/task_lifecycle.go
+++ b/internal/cluster/task_lifecycle.go
@@ -62,7 +62,7 @@
 	if machine.Record.MarkedForDeletion || machine.InterruptionAt != 0 {
 		return false
 	}
-	return job.Spec.Kind != api.KindGang || job.isPlacedWhole()
+	return job.Spec.Kind != api.KindGang || job.isFullyPlaced()
 }
 
 // HandleExit handles a worker's report that a task has exited.
@@ -126,7 +126,7 @@
 // requestGangStop requests that all placed tasks of a gang stop together, with the same grace
 // period.
 func (l *TaskLifecycle) requestGangStop(job *Job, graceS float64) {
-	for _, task := range job.knownTasks() {
+	for _, task := range job.allocatedTasks() {
 		if task.State == records.TaskPlaced {
 			task.StopRequestedAt, task.GraceS = l.Now, graceS
 			l.cluster.requestCommand(task.Machine)
@@ -142,7 +142,7 @@
 		if !l.cluster.Partitions[job.Partition].Leads() || job.PlacedTasks == 0 {
 			continue
 		}
-		for index, task := range job.knownTasks() {
+		for index, task := range job.allocatedTasks() {
 			if task.State == records.TaskPlaced && l.cluster.Machines[task.Machine] == nil {
 				l.Release(job, index, "its machine's record is gone")
 			}
--- a/internal/cluster/task_lifecycle_test.go
+++ b/internal/cluster/task_lifecycle_test.go
@@ -27,11 +27,11 @@
 		{"done, but its job is cancelled", true, exits(api.ExitDone), records.TaskPending},
 		{"failed", false, exits(api.ExitFailed), records.TaskPending},
 		{"stopped", false, exits(api.ExitStopped), records.TaskPending},
-		{"mates gone", false, exits(api.ExitGangEnded), records.TaskPending},
-		{"alone", false, exits(api.ExitGangIncomplete), records.TaskPending},
+		{"gang ended", false, exits(api.ExitGangEnded), records.TaskPending},
+		{"gang incomplete", false, exits(api.ExitGangIncomplete), records.TaskPending},
 		{"no room", false, exits(api.ExitNoRoom), records.TaskPending},
 		{"busy", false, exits(api.ExitBusy), records.TaskPending},
-		{"no such", false, exits(api.ExitUnknownTask), records.TaskPending},
+		{"unknown task", false, exits(api.ExitUnknownTask), records.TaskPending},
 		{"gone", false, func(tasks *TaskLifecycle, job *Job, _ *Machine) { tasks.Release(job, 0, "test") }, records.TaskPending},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -55,7 +55,10 @@
 				t.Errorf("got state %v, want %v; got permitted %t, want true", got, tc.want, records.TaskPlaced.CanBecome(got))
 			}
 			if job.PlacedTasks != 0 || len(machine.TaskIDs) != 0 || !machine.UncommittedRemovals[job.ID] {
-				t.Errorf("got %d tasks placed, %v on the machine, want none and its removal recorded", job.PlacedTasks, machine.TaskIDs)
+				t.Errorf(
+					"got %d tasks placed, %v on the machine and removal recorded %t, want 0, [] and true",
+					job.PlacedTasks, machine.TaskIDs, machine.UncommittedRemovals[job.ID],
+				)
 			}
 		})
 	}
--- a/internal/core/heartbeat_reconciliation.go
+++ b/internal/core/heartbeat_reconciliation.go
@@ -166,7 +166,7 @@
 		}
 	}
 	if !r.mayForgetExited && exited >= maxExitedTasksKept && !r.machine.RecordChangePending() {
-		r.machine.StartOutcomeUnknown = true // causes the token to be raised
+		r.machine.MustRaiseToken = true // causes the token to be raised
 	}
 }
 
@@ -204,7 +204,7 @@
 	switch {
 	case job != nil && job.MustNotRun() && !exited:
 		r.addStop(id, reported.Attempt, 0)
-	case job != nil && !job.Terminal && !job.IsCommitted(id.Index):
+	case job != nil && !job.Terminal && !job.IsTaskCommitted(id.Index):
 		// Wait until the latest decision on the task is committed.
 	case !exited:
 		r.addStop(id, reported.Attempt, 0)
@@ -257,7 +257,7 @@
 func (r *heartbeatReconciliation) reconcileAbsent(id cluster.TaskID) {
 	job := r.cluster.Jobs[id.Job]
 	task := job.Task(id.Index)
-	if !r.renewsLease || !job.IsCommitted(id.Index) || job.Partition != r.machine.Record.Partition {
+	if !r.renewsLease || !job.IsTaskCommitted(id.Index) || job.Partition != r.machine.Record.Partition {
 		return
 	}
 	mustStop := r.tasks.MustStop(job, task)
--- a/internal/planning/direct_commands.go
+++ b/internal/planning/direct_commands.go
@@ -73,7 +73,7 @@
 	if task.Observed || task.DirectStartToken > 0 || job.Partition != machine.Record.Partition {
 		return false
 	}
-	return !m.tasks.MustStop(job, task) && job.IsCommitted(index) && m.tasks.MayStartOn(machine, job)
+	return !m.tasks.MustStop(job, task) && job.IsTaskCommitted(index) && m.tasks.MayStartOn(machine, job)
 }
 
 // shouldStopDirectly reports whether a task must stop, was reported by its worker, and is
@@ -111,7 +111,7 @@
 	if reply.Status == commandsUnanswered && reply.StartsTasks && !reply.Unsent {
 		// The start may still be carried out minutes late. Once the worker has seen a
 		// higher token, that is impossible.
-		machine.StartOutcomeUnknown = true
+		machine.MustRaiseToken = true
 	}
 	carriedOutNone := reply.Status == commandsRefused || reply.Unsent
 	if !carriedOutNone {
--- a/internal/planning/fixture_test.go
+++ b/internal/planning/fixture_test.go
@@ -80,7 +80,7 @@
 		IdleSince:              longAgo,
 		LastSeenAt:             f.env.Now,
 		LastHeartbeatAt:        f.env.Now,
-		MoveToPartition:        noPartition,
+		TransferToPartition:    noPartition,
 	}
 	f.state.Machines[machine.Name] = machine
 	f.state.MachinesByName = append(f.state.MachinesByName, machine)
--- a/internal/planning/lending_test.go
+++ b/internal/planning/lending_test.go
@@ -164,7 +164,7 @@
 	reclaim := peer.MachineRequest{Partition: 1, Reclaim: true}
 	lentByOther := func(machine *cluster.Machine) { machine.Record.HomePartition = 1 }
 	quarantine := func(machine *cluster.Machine) { machine.Quarantined = true }
-	scheduleTransfer := func(machine *cluster.Machine) { machine.MoveToPartition = 0 }
+	scheduleTransfer := func(machine *cluster.Machine) { machine.TransferToPartition = 0 }
 	for _, tc := range []struct {
 		name    string
 		change  func(machine *cluster.Machine)
@@ -189,8 +189,9 @@
 			}
 			tc.request.Machine = machine.Name
 			fix.lender.HandleMachineRequests([]peer.MachineRequest{tc.request})
-			if machine.MoveToPartition != tc.moveTo || machine.PreemptForMove {
-				t.Errorf("got transfer to %d, preempting %t; want %d, false", machine.MoveToPartition, machine.PreemptForMove, tc.moveTo)
+			if machine.TransferToPartition != tc.moveTo || machine.PreemptForTransfer {
+				t.Errorf("got transfer to %d, preempting %t; want %d, false",
+					machine.TransferToPartition, machine.PreemptForTransfer, tc.moveTo)
 			}
 		})
 	}
--- a/internal/planning/machine_manager.go
+++ b/internal/planning/machine_manager.go
@@ -130,8 +130,8 @@
 	if machine.Origin.Partition != machine.Record.Partition && !machine.RecordChangePending() {
 		m.cluster.RequestRecordChange(machine, cluster.CopyRecord)
 	}
-	if machine.StartOutcomeUnknown && !machine.RecordChangePending() {
-		machine.StartOutcomeUnknown = false
+	if machine.MustRaiseToken && !machine.RecordChangePending() {
+		machine.MustRaiseToken = false
 		m.cluster.RequestRecordChange(machine, cluster.RaiseToken)
 	}
 }
@@ -140,7 +140,7 @@
 // drained, kept for the gang that it is reserved for, transferred to another partition,
 // or scaled in as idle.
 func (m *MachineManager) releaseMachine(machine *cluster.Machine) {
-	transferring := machine.MoveToPartition != noPartition
+	transferring := machine.TransferToPartition != noPartition
 	switch {
 	case machine.InterruptionAt > 0 || machine.Quarantined:
 		m.drain(machine)
@@ -170,13 +170,13 @@
 // advanceTransfer transfers a machine to another partition once it is empty. Its tasks
 // are stopped only if the scheduled transfer permits preemption.
 func (m *MachineManager) advanceTransfer(machine *cluster.Machine) {
-	if machine.PreemptForMove {
+	if machine.PreemptForTransfer {
 		for job, task := range tasksOn(m.cluster, machine) {
 			m.tasks.RequestStop(job, task, "the machine goes to another partition")
 		}
 	}
 	if len(machine.TaskIDs) == 0 && machine.TokenConfirmed {
-		m.registry.Transfer(machine, machine.MoveToPartition)
+		m.registry.Transfer(machine, machine.TransferToPartition)
 	}
 }
 
--- a/internal/planning/machine_requests.go
+++ b/internal/planning/machine_requests.go
@@ -36,7 +36,7 @@
 // transfer to another partition: it is healthy, and not yet reserved, claimed by its own
 // partition, or scheduled for transfer.
 func (l *MachineLender) mayScheduleTransfer(machine *cluster.Machine) bool {
-	if machine.MoveToPartition != noPartition || !machine.TokenConfirmed || !staysInService(machine) {
+	if machine.TransferToPartition != noPartition || !machine.TokenConfirmed || !staysInService(machine) {
 		return false
 	}
 	return !l.reservations.isReserved(machine) && !l.claimedByOwnPartition(machine)
@@ -52,12 +52,12 @@
 			logkey.Machine, machine.Name,
 			logkey.ToPartition, request.Partition,
 			logkey.Tasks, len(machine.TaskIDs))
-		machine.MoveToPartition, machine.PreemptForMove = request.Partition, false
+		machine.TransferToPartition, machine.PreemptForTransfer = request.Partition, false
 	case request.Reclaim && machine.Record.HomePartition == request.Partition:
 		l.LogInfo("lent machine reclaimed",
 			logkey.Machine, machine.Name,
 			logkey.HomePartition, request.Partition)
-		machine.MoveToPartition, machine.PreemptForMove = request.Partition, false
+		machine.TransferToPartition, machine.PreemptForTransfer = request.Partition, false
 	case request.Tier > 0 && l.mayPreemptAll(machine, request):
 		l.LogInfo("machine transfer scheduled",
 			logkey.Machine, machine.Name,
@@ -65,7 +65,7 @@
 			logkey.Tasks, len(machine.TaskIDs),
 			logkey.Tier, request.Tier,
 			logkey.Guaranteed, request.Guaranteed)
-		machine.MoveToPartition, machine.PreemptForMove = request.Partition, true
+		machine.TransferToPartition, machine.PreemptForTransfer = request.Partition, true
 	}
 }
 
--- a/internal/planning/plan_execution.go
+++ b/internal/planning/plan_execution.go
@@ -29,7 +29,7 @@
 // start of a gang as uncommitted. All tasks of a gang get the same attempt: a new one,
 // unless replacements complete a gang that has not begun to run.
 func (c *SchedulingCycle) newTaskQueue(job *cluster.Job) *taskQueue {
-	queue := &taskQueue{job: job, pending: job.Placeable(c.Now, c.tasks.MaxTasksPerCycle(job))}
+	queue := &taskQueue{job: job, pending: job.PlaceableTasks(c.Now, c.tasks.MaxTasksPerCycle(job))}
 	if job.Spec.Kind == api.KindGang {
 		queue.gangAttempt = job.LastAttempt()
 		if !job.IsReassembling() {
--- a/internal/planning/snapshot.go
+++ b/internal/planning/snapshot.go
@@ -90,7 +90,7 @@
 		}
 		schedulerJob := b.view.schedulerJob(job)
 		if b.Now >= job.NotBefore && !isRestarting(job) {
-			schedulerJob.PendingTasks = len(job.Placeable(b.Now, b.tasks.PlaceableLimit(job)))
+			schedulerJob.PendingTasks = len(job.PlaceableTasks(b.Now, b.tasks.PlaceableLimit(job)))
 		}
 		b.jobs[id] = job
 		b.schedulerJobs[id] = schedulerJob
@@ -214,7 +214,7 @@
 // fillOwnMachine sets the state of a machine of this partition. It reports whether the
 // machine accepts tasks, now or soon.
 func (b *snapshotBuilder) fillOwnMachine(machine *cluster.Machine, schedulerMachine *scheduler.Machine) bool {
-	if machine.RecordChangePending() || machine.MoveToPartition != noPartition {
+	if machine.RecordChangePending() || machine.TransferToPartition != noPartition {
 		return false
 	}
 	responds := b.lender.isResponsive(machine) && !b.cluster.HeartbeatsMissing(machine)
--- a/internal/provisioning/instance_list_test.go
+++ b/internal/provisioning/instance_list_test.go
@@ -114,7 +114,7 @@
 		list.Now += list.orphanTimeout() + 1
 		list.ObserveInstance(instance)
 	}
-	if len(partition.MachineBatches) != 1 || !partition.MachineBatches[0].Adopt {
+	if len(partition.MachineBatches) != 1 || !partition.MachineBatches[0].IsAdoption {
 		t.Fatalf("got %d batches to record, want one adoption", len(partition.MachineBatches))
 	}
 	list.deletions.Record("n-2")
--- a/internal/provisioning/orphan_adoption.go
+++ b/internal/provisioning/orphan_adoption.go
@@ -76,7 +76,7 @@
 	}
 	partition.MachineBatches = append(partition.MachineBatches, &cluster.MachineBatch{
 		Records:    []records.Machine{record},
-		Adopt:      true,
+		IsAdoption: true,
 		OnRecorded: func() {},
 	})
 	return true
--- a/internal/records/dependency_packing_test.go
+++ b/internal/records/dependency_packing_test.go
@@ -46,7 +46,7 @@
 		record := Job{PackedDependencies: packed}
 		for _, id := range record.Dependencies() {
 			if len(id) > len(jobIDPrefix)+maxIDDigits {
-				t.Errorf("%x: got an id of %d bytes, want at most the prefix and maxIDDigits", packed, len(id))
+				t.Errorf("%x: got an id of %d bytes, want at most %d", packed, len(id), len(jobIDPrefix)+maxIDDigits)
 			}
 		}
 	}
--- a/internal/records/encoding_test.go
+++ b/internal/records/encoding_test.go
@@ -14,13 +14,13 @@
 		{Job: "wk-000001", First: 12_345, Tasks: 678, State: TaskPlaced, Attempt: 1 << 40, Machine: "n-000412"},
 	} {
 		if got, want := run.EncodedSize(), len(MustMarshal(run))+1; got != want {
-			t.Errorf("%+v: want %d bytes with its comma, got %d", run, want, got)
+			t.Errorf("%+v: got %d bytes with its comma, want %d", run, got, want)
 		}
 	}
 	machine := Machine{Name: "n-000412", Type: "g4", Zone: "alta", Epoch: 1}
 	one, two := []Machine{machine}, []Machine{machine, machine}
 	if got, want := machine.EncodedSize(), len(MustMarshal(two))-len(MustMarshal(one)); got != want {
-		t.Errorf("second machine of a list: want %d bytes, got %d", want, got)
+		t.Errorf("second machine of a list: got %d bytes, want %d", got, want)
 	}
 }
 
--- a/internal/records/task_state_test.go
+++ b/internal/records/task_state_test.go
@@ -42,7 +42,7 @@
 		}
 		var run TaskRun
 		if err := json.Unmarshal([]byte(tc.want), &run); err != nil || run.State != tc.state {
-			t.Errorf("decoding %s: got state %v and error %v, want the state of the case and no error", tc.want, run.State, err)
+			t.Errorf("decoding %s: got state %v and error %v, want %v and no error", tc.want, run.State, err, tc.state)
 		}
 	}
 }
