--- a/internal/planning/direct_commands.go
+++ b/internal/planning/direct_commands.go
@@ -20,17 +20,19 @@
 	// commandsRefused is the status with which a worker answers commands of which it
 	// carried out none.
 	commandsRefused = message.StatusConflict
-	// commandsUnanswered is the status if no answer came.
+	// commandsUnanswered is the status if no answer came, message.StatusNoReply. Whether the
+	// worker carried out the commands is then unknown, unless the reply is marked as unsent.
 	commandsUnanswered = 0
 )
 
 // sendDueCommands sends a machine the commands that should not wait for its next
 // heartbeat. All others go with the answers to heartbeats.
 //
-// A machine whose heartbeat is late is sent a message even without commands, before it is
-// treated as failed. When two controllers are cut off, its heartbeat goes to both of them
-// first, for five seconds each. Without the message, two hundred machines at work were
-// deleted in that case.
+// A machine that has not confirmed this controller's fencing token, or whose heartbeat is
+// late, is sent a message even without commands. If the heartbeat is late, the message comes
+// before the machine is treated as failed: when two controllers are cut off, its heartbeat
+// goes to both of them first, for five seconds each. Without the message, two hundred
+// machines with running tasks are deleted in that case.
 func (m *MachineManager) sendDueCommands(machine *cluster.Machine) {
 	machine.NextCommandAt = m.Now + commandInterval
 	if machine.Address == "" || machine.RecordChangePending() {
@@ -44,7 +46,7 @@
 }
 
 // directCommands returns the commands that are sent at once: stops of tasks that must
-// stop and have not begun to, and the first start of each task.
+// stop and are not yet saving a checkpoint, and the first start of each task.
 func (m *MachineManager) directCommands(machine *cluster.Machine) []api.Command {
 	var commands []api.Command
 	for _, id := range machine.TaskIDsCopy() {
--- a/internal/planning/isolation_test.go
+++ b/internal/planning/isolation_test.go
@@ -6,9 +6,8 @@
 	"spurmoor/internal/micros"
 )
 
-// TestIsolationTimeout checks that a small cluster does not take one or two lost
-// heartbeats for isolation, and that a large one waits no longer than it takes to be
-// certain.
+// TestIsolationTimeout checks that in a small cluster one or two lost heartbeats do not
+// count as isolation, and that a large one waits no longer than it takes to be certain.
 func TestIsolationTimeout(t *testing.T) {
 	t.Parallel()
 	fix := newFixture(t)
--- a/internal/planning/lending.go
+++ b/internal/planning/lending.go
@@ -118,8 +118,8 @@
 	return staysInService(machine) && !l.claimedByOwnPartition(machine) && l.isResponsive(machine)
 }
 
-// staysInService reports whether a machine is neither condemned nor quarantined, and no
-// interruption is announced for it.
+// staysInService reports whether a machine is neither marked for deletion nor quarantined,
+// and no interruption is announced for it.
 func staysInService(machine *cluster.Machine) bool {
 	return !machine.Record.MarkedForDeletion && !machine.Quarantined && machine.InterruptionAt == 0
 }
--- a/internal/planning/lending_test.go
+++ b/internal/planning/lending_test.go
@@ -19,7 +19,7 @@
 }{
 	{name: "idle", change: func(*fixture, *cluster.Machine) {}, lendable: true, offered: true},
 	{name: "idle just now", change: func(f *fixture, machine *cluster.Machine) { machine.IdleSince = f.env.Now }, lendable: true},
-	{name: "led by another", change: func(_ *fixture, machine *cluster.Machine) { machine.Record.Partition = 1 }},
+	{name: "led by another controller", change: func(_ *fixture, machine *cluster.Machine) { machine.Record.Partition = 1 }},
 	{name: "token not confirmed", change: func(_ *fixture, machine *cluster.Machine) { machine.TokenConfirmed = false }},
 	{name: "with a task", change: func(f *fixture, machine *cluster.Machine) {
 		f.placeTask(machine, "wk-1", api.Job{Kind: api.KindArray})
@@ -32,15 +32,15 @@
 		machine.UncommittedRemovals = map[string]bool{"wk-1": true}
 		f.state.AddJob("wk-1", api.Job{})
 	}, lendable: true, offered: true},
-	{name: "worker still shows a task", change: func(_ *fixture, machine *cluster.Machine) {
+	{name: "worker still reports a task", change: func(_ *fixture, machine *cluster.Machine) {
 		machine.ReportedTasks = []api.TaskStatus{{Task: "wk-1/0", State: api.TaskRunning}}
 	}},
 	{name: "record changes", change: func(_ *fixture, machine *cluster.Machine) { machine.PendingChange = cluster.CopyRecord }},
-	{name: "condemned", change: func(_ *fixture, machine *cluster.Machine) { machine.Record.MarkedForDeletion = true }},
+	{name: "marked for deletion", change: func(_ *fixture, machine *cluster.Machine) { machine.Record.MarkedForDeletion = true }},
 	{name: "quarantined", change: func(_ *fixture, machine *cluster.Machine) { machine.Quarantined = true }},
 	{name: "to be interrupted", change: func(f *fixture, machine *cluster.Machine) { machine.InterruptionAt = f.env.Now }},
 	{name: "ignores commands", change: func(f *fixture, machine *cluster.Machine) { machine.IgnoringCommandsSince = f.env.Now }},
-	{name: "not heard", change: func(f *fixture, machine *cluster.Machine) {
+	{name: "not heard from", change: func(f *fixture, machine *cluster.Machine) {
 		machine.LastSeenAt = f.env.Now - f.env.Settings.ContactTimeout()
 	}},
 	{name: "claimed by its own partition", change: func(f *fixture, machine *cluster.Machine) {
@@ -55,7 +55,7 @@
 		f.state.AddJob("wk-1", api.Job{})
 		f.reservations.byMachine = map[string]scheduler.AdvanceReservation{machine.Name: {Job: &scheduler.Job{ID: "wk-1"}}}
 	}},
-	{name: "reserved for a gang that has begun", change: func(f *fixture, machine *cluster.Machine) {
+	{name: "reserved for a gang that has started", change: func(f *fixture, machine *cluster.Machine) {
 		f.state.AddJob("wk-1", api.Job{}).PlacedTasks = 1
 		f.reservations.byMachine = map[string]scheduler.AdvanceReservation{machine.Name: {Job: &scheduler.Job{ID: "wk-1"}}}
 	}, lendable: true, offered: true},
@@ -173,11 +173,11 @@
 	}{
 		{name: "spare", request: spare, moveTo: 1},
 		{name: "reclaimed", change: lentByOther, request: reclaim, moveTo: 1},
-		{name: "reclaimed by another", request: reclaim, moveTo: noPartition},
+		{name: "reclaimed by a partition that is not its home", request: reclaim, moveTo: noPartition},
 		{name: "to its own partition", request: peer.MachineRequest{Partition: 0, Spare: true}, moveTo: noPartition},
 		{name: "to no partition", request: peer.MachineRequest{Partition: 2, Spare: true}, moveTo: noPartition},
 		{name: "quarantined", change: quarantine, request: spare, moveTo: noPartition},
-		{name: "promised before", change: scheduleTransfer, request: spare, moveTo: 0},
+		{name: "already scheduled for transfer", change: scheduleTransfer, request: spare, moveTo: 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/planning/machine_manager.go
+++ b/internal/planning/machine_manager.go
@@ -136,9 +136,9 @@
 	}
 }
 
-// releaseMachine handles a machine that does not stay in use as it is: the machine is
-// drained, kept for the gang that it is reserved for, transferred to another partition,
-// or scaled in as idle.
+// releaseMachine takes a machine out of its present use if that is due: the machine is
+// drained, kept for the gang that it is reserved for, transferred to another partition, or
+// scaled in as idle.
 func (m *MachineManager) releaseMachine(machine *cluster.Machine) {
 	transferring := machine.TransferToPartition != noPartition
 	switch {
--- a/internal/planning/machine_requests.go
+++ b/internal/planning/machine_requests.go
@@ -69,10 +69,11 @@
 	}
 }
 
-// mayPreemptAll reports whether PROTOCOL permits preempting all tasks on a machine for a
-// request. Tasks of a lower tier may be preempted. Tasks of the same tier may be
-// preempted if their teams keep their guarantees without them and the team of the
-// requesting job is within its own.
+// mayPreemptAll reports whether all tasks on a machine may be preempted for a request. Tasks
+// of a lower tier may be preempted. Tasks of the same tier that did not start recently may be
+// preempted if their teams keep their guarantees without them and the team of the requesting
+// job is within its own. Preemptions that the protocol permits but that cost more than they
+// gain are rejected.
 func (l *MachineLender) mayPreemptAll(machine *cluster.Machine, request peer.MachineRequest) bool {
 	preempted := map[string]scheduler.Resources{} // by team, of tasks of the same tier
 	for job, task := range tasksOn(l.cluster, machine) {
--- a/internal/planning/plan_execution.go
+++ b/internal/planning/plan_execution.go
@@ -27,7 +27,7 @@
 
 // newTaskQueue returns the queue of a job's tasks that may be placed now. It marks the
 // start of a gang as uncommitted. All tasks of a gang get the same attempt: a new one,
-// unless replacements complete a gang that has not begun to run.
+// unless replacements complete a gang that does not run yet.
 func (c *SchedulingCycle) newTaskQueue(job *cluster.Job) *taskQueue {
 	queue := &taskQueue{job: job, pending: job.PlaceableTasks(c.Now, c.tasks.MaxTasksPerCycle(job))}
 	if job.Spec.Kind == api.KindGang {
--- a/internal/planning/reservation.go
+++ b/internal/planning/reservation.go
@@ -49,7 +49,7 @@
 const noPartition = -1
 
 const (
-	// A gang of which nothing runs after 1/reserveAfterDivisor of begin_within_s gets a
+	// A gang that has not started after 1/reserveAfterDivisor of begin_within_s gets a
 	// reservation. Until 1/preferPreemptionDivisor of begin_within_s has passed, it gets
 	// one only if it cannot have its machines sooner by preemption.
 	reserveAfterDivisor     = 4
@@ -66,7 +66,7 @@
 	preemptionLeadTime = 2 * scheduler.PreemptionTime
 )
 
-// beginWithin returns the time within which a job should begin.
+// beginWithin returns how long an eligible job should wait at most until it starts.
 func (r *ReservationPlanner) beginWithin() micros.Micros {
 	return micros.FromSeconds(r.Settings.Operators.BeginWithinS)
 }
@@ -119,10 +119,10 @@
 	return gangs
 }
 
-// expireUnusedReservation ends a reservation that its gang has not used for a long time:
-// something that this controller does not know of keeps the gang from starting. The gang
-// gets no new reservation for as long, since machines would otherwise be held for it
-// indefinitely.
+// expireUnusedReservation ends a reservation that its gang has not used for as long as
+// beginWithin: something that this controller does not know of keeps the gang from starting.
+// The gang gets no new reservation for the same time, since machines would otherwise be held
+// for it indefinitely.
 func (r *ReservationPlanner) expireUnusedReservation(job *cluster.Job) {
 	if job.ReservedSince > 0 && r.Now > job.ReservedSince+r.beginWithin() {
 		job.ReservedSince = 0
@@ -130,8 +130,8 @@
 	}
 }
 
-// needsReservation reports whether a job is a gang that could run and has waited for
-// 1/reserveAfterDivisor of the time within which it should have begun.
+// needsReservation reports whether a job is a gang that could run, in a partition that has a
+// leader, and has waited for 1/reserveAfterDivisor of begin_within_s.
 func (r *ReservationPlanner) needsReservation(job *cluster.Job) bool {
 	if job.Spec.Kind != api.KindGang || !mayRun(job) || job.HasStarted() {
 		return false
@@ -195,8 +195,8 @@
 }
 
 // reservedForPartition returns the partition of the gang that a machine is reserved for.
-// It returns noPartition if the machine is not reserved, or if the gang has begun or no
-// longer waits.
+// It returns noPartition if the machine is not reserved, or if the gang has started, is
+// cancelled or has finished.
 func (r *ReservationPlanner) reservedForPartition(machine *cluster.Machine) int {
 	reservation, ok := r.byMachine[machine.Name]
 	if !ok {
--- a/internal/planning/scale_in.go
+++ b/internal/planning/scale_in.go
@@ -19,7 +19,7 @@
 	// defaultBootS is the boot time assumed for a machine of an unknown type, in seconds.
 	defaultBootS = 60.0
 	// A machine that has not come up after bootTimeoutFactor times the boot time of its
-	// type plus bootMarginS seconds never will.
+	// type plus bootMarginS seconds is scaled in: it is expected never to come up.
 	bootTimeoutFactor = 3
 	bootMarginS       = 20
 	// firstHeartbeatMargin is how much longer the first heartbeat of a machine is waited
@@ -45,8 +45,8 @@
 	return ""
 }
 
-// bootTimeout returns how long after its launch a machine that has not come up is given
-// up.
+// bootTimeout returns how long after its launch a machine that has not come up is scaled
+// in, even if jobs wait for it.
 func bootTimeout(machine *cluster.Machine) micros.Micros {
 	bootS := defaultBootS
 	if machine.MachineType != nil {
--- a/internal/planning/scale_in_test.go
+++ b/internal/planning/scale_in_test.go
@@ -33,12 +33,12 @@
 		mostSilent bool
 		want       string
 	}{
-		{name: "idle and heard", change: silent(0)},
+		{name: "idle and heard from", change: silent(0)},
 		{name: "booting", change: launched(90 * second)},
 		{name: "overdue", change: launched(90*second + 1), want: reasonBootOverdue},
 		{name: "overdue while jobs wait", change: launched(110 * second), blocked: true},
 		{name: "never came up", change: launched(110*second + 1), blocked: true, want: reasonNeverCameUp},
-		{name: "overdue, not awaited by us for long", change: func(f *fixture, machine *cluster.Machine) {
+		{name: "overdue, awaited by this controller only recently", change: func(f *fixture, machine *cluster.Machine) {
 			launched(300*second)(f, machine)
 			machine.AwaitingHeartbeatSince = f.env.Now - 20*second
 		}},
--- a/internal/planning/scheduler_view.go
+++ b/internal/planning/scheduler_view.go
@@ -27,8 +27,8 @@
 }
 
 const (
-	// recentStartWindow is how long a start must last to count for users. Stopping a task
-	// earlier undoes its start.
+	// recentStartWindow is how long a task must stay on its machine for users to count it as
+	// started. Stopping it earlier undoes its start.
 	recentStartWindow = 30 * micros.Second
 	// cancelledTaskStopTime is how soon a task of a cancelled job is expected to be gone.
 	cancelledTaskStopTime = 3 * micros.Second
@@ -40,9 +40,10 @@
 	// minFetchGBPerS is the lowest rate assumed for fetching images, in gigabytes per
 	// second. The rate of a machine type may be missing.
 	minFetchGBPerS = 0.01
-	// An overdue task is expected to run for another minRemainingTime plus
-	// 1/remainingAgeDivisor of the time since its placement. Its estimate was wrong, and
-	// the longer it has run, the longer it may still run.
+	// A task is expected to run for at least another minRemainingTime plus
+	// 1/remainingAgeDivisor of the time since its placement, even if its estimate has
+	// passed. The estimate is then wrong, and the longer the task has run, the longer it
+	// may still run.
 	minRemainingTime    = micros.Second
 	remainingAgeDivisor = 5
 	// A task that is placed but not running yet is assumed to lose
@@ -71,7 +72,7 @@
 // schedulerMachine converts a machine without its allocations. The type of the machine
 // must be known.
 func (v *SchedulerView) schedulerMachine(machine *cluster.Machine) *scheduler.Machine {
-	total := totalResources(machine.MachineType)
+	total := capacity(machine.MachineType)
 	return &scheduler.Machine{
 		Name:      machine.Name,
 		Type:      machine.MachineType,
@@ -83,8 +84,8 @@
 	}
 }
 
-// totalResources returns the resources of an empty machine of a type.
-func totalResources(machineType *api.MachineType) scheduler.Resources {
+// capacity returns the resources of an empty machine of a type.
+func capacity(machineType *api.MachineType) scheduler.Resources {
 	return scheduler.NewResources(machineType.CPUs, machineType.GPUs, machineType.MemoryGB)
 }
 
@@ -116,7 +117,8 @@
 	}
 }
 
-// setTaskState sets when a task is expected to end and what stopping it costs.
+// setTaskState sets when a task is expected to end, how much work stopping it loses, and
+// whether it is already stopping or started recently.
 func (v *SchedulerView) setTaskState(
 	allocation *scheduler.Allocation, job *cluster.Job, task *cluster.Task, machine *cluster.Machine,
 ) {
--- a/internal/planning/snapshot.go
+++ b/internal/planning/snapshot.go
@@ -24,9 +24,8 @@
 	// tokenConfirmationTime is about how long it takes until a machine that is up has
 	// sent a heartbeat with this controller's fencing token.
 	tokenConfirmationTime = 3 * micros.Second
-	// A partition whose machines cost more than largeBorrowerFactor times as much as
-	// those of the lending partition uses far more than that one. Machines lent to it are
-	// reclaimed.
+	// A borrower counts as large if its machines cost more than largeBorrowerFactor times
+	// as much as those of the lending partition. Machines lent to it are reclaimed.
 	largeBorrowerFactor = 2
 )
 
@@ -104,8 +103,8 @@
 	return job.Spec.Kind == api.KindGang && job.PlacedTasks > 0 && !job.IsReassembling()
 }
 
-// sumPrices adds up the machine prices of each partition. Condemned machines and those of
-// unknown type do not count.
+// sumPrices adds up the machine prices of each partition. Machines that are marked for
+// deletion or have an unknown type do not count.
 func (b *snapshotBuilder) sumPrices() {
 	b.priceByPartition = make([]float64, len(b.cluster.Partitions))
 	for _, machine := range b.cluster.MachinesByName {
@@ -197,7 +196,7 @@
 	}
 	lenderPrice := b.priceByPartition[b.partition.Index]
 	borrowerPrice := b.priceByPartition[machine.Record.Partition]
-	schedulerMachine.BorrowerOverShare = largeBorrowerFactor*lenderPrice < borrowerPrice
+	schedulerMachine.BorrowerIsLarge = largeBorrowerFactor*lenderPrice < borrowerPrice
 }
 
 // fillBusyMachine sets the state of a machine with tasks of another partition. A claimed
@@ -256,7 +255,7 @@
 
 // pendingMachine returns a machine of a kind that was requested. It has no name yet.
 func (b *snapshotBuilder) pendingMachine(kind scheduler.InstanceKind, machineType *api.MachineType) *scheduler.Machine {
-	total := totalResources(machineType)
+	total := capacity(machineType)
 	return &scheduler.Machine{
 		Type:    machineType,
 		Zone:    kind.Zone,
--- a/internal/planning/spare_machine.go
+++ b/internal/planning/spare_machine.go
@@ -11,8 +11,8 @@
 	"spurmoor/internal/scheduler"
 )
 
-// A spare machine is requested for a job of which nothing has begun after
-// 1/spareAfterDivisor of begin_within_s.
+// A spare machine is requested for a job that has not started after 1/spareAfterDivisor of
+// begin_within_s.
 const spareAfterDivisor = 6
 
 // chooseSpare returns a machine of another partition that has room for a waiting job for
@@ -20,7 +20,7 @@
 // The machine is to be transferred once its tasks have ended, one machine at a time.
 //
 // A machine belongs to one partition, so the room beside another partition's tasks is of
-// no use to this one. Without spare machines, a team within its limit waited for two
+// no use to this one. Without spare machines, a team within its limit waits for two
 // minutes beside such room in a small, full cluster.
 func (c *SchedulingCycle) chooseSpare(
 	partition *cluster.Partition, jobs map[string]*cluster.Job, blockedReasons map[string]string,
@@ -48,8 +48,8 @@
 	return spare
 }
 
-// oldestJobNeedingSpare returns the job that has waited longest of those that a single
-// machine would help and for which nothing can be launched, or nil if there is none.
+// oldestJobNeedingSpare returns the job that was accepted first of those that need a spare
+// machine and for which nothing can be launched, or nil if there is none.
 func (c *SchedulingCycle) oldestJobNeedingSpare(
 	jobs map[string]*cluster.Job, blockedReasons map[string]string,
 ) *cluster.Job {
@@ -66,8 +66,8 @@
 	return oldest
 }
 
-// needsSpare reports whether a job has waited long enough to get a spare machine, and a
-// single machine would help it.
+// needsSpare reports whether a job has waited long enough to get a spare machine without
+// starting, and a single machine would let a task of it start.
 func (c *SchedulingCycle) needsSpare(job *cluster.Job) bool {
 	oneMachineHelps := job.Spec.Kind == api.KindArray || job.Spec.Tasks == 1
 	if !oneMachineHelps || job.HasStarted() || c.tasks.IsDeprioritized(job) {
@@ -102,8 +102,8 @@
 	return soonest
 }
 
-// mayRequestSpare reports whether a machine of another partition may be requested for a
-// job.
+// mayRequestSpare reports whether a machine belongs to another partition and may be
+// requested as a spare machine for a job.
 func (c *SchedulingCycle) mayRequestSpare(machine *cluster.Machine, partition *cluster.Partition, job *cluster.Job) bool {
 	if machine.Record.Partition == partition.Index || machine.MachineType == nil || machine.Record.MarkedForDeletion {
 		return false
--- a/internal/planning/urgency.go
+++ b/internal/planning/urgency.go
@@ -28,8 +28,8 @@
 	return &UrgencyIndex{Environment: env, catalog: catalog, cluster: state, dependencies: dependencies}
 }
 
-// urgency is the tier and the deadline that a job is ranked by: its own, or those of the
-// most urgent job that depends on it.
+// urgency is the tier and the deadline that a job is ranked by: the highest tier and the
+// earliest deadline of the job itself and the jobs that depend on it.
 type urgency struct {
 	tier     int
 	deadline scheduler.Deadline
--- a/internal/provisioning/catalog.go
+++ b/internal/provisioning/catalog.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// TypeNamed returns the machine type of a name, or nil if it is not known.
+// TypeNamed returns the machine type with the name, or nil if it is not known.
 func (c *MachineCatalog) TypeNamed(name string) *api.MachineType { return c.machineTypeByName[name] }
 
 // ReadWhenDue reads the cloud's catalog every catalogInterval, as prices change. One read
@@ -76,7 +76,7 @@
 	c.CallCloud(message.CloudCall{Op: message.OpReadCatalog}, c.handleCatalogReply)
 }
 
-// handleCatalogReply takes over the types that the cloud listed and stores a copy. A reply
+// handleCatalogReply sets the types to those that the cloud listed and stores a copy. A reply
 // without types counts as a failure.
 func (c *MachineCatalog) handleCatalogReply(reply *message.CloudReply) {
 	c.readInFlight = false
@@ -162,9 +162,10 @@
 	return pages
 }
 
-// storeCatalog writes the catalog to the store if this controller may act as catalog keeper
-// and the types differ from the stored ones. Without the copy, a controller
-// that starts while the cloud does not answer could neither accept jobs nor place tasks.
+// storeCatalog writes the catalog to the store if this controller may act as catalog updater
+// and the types differ from the stored ones by more than their prices. Without the copy, a
+// controller that starts while the cloud does not answer could neither accept jobs nor place
+// tasks.
 func (c *MachineCatalog) storeCatalog() {
 	if !c.cache.Synced || c.storedWithoutPrices == encodeWithoutPrices(c.MachineTypes) {
 		return
@@ -175,7 +176,7 @@
 	}
 	pages := c.paginate()
 	if len(pages) > 1 && !c.schema.AllRead(records.SchemaDependencies) {
-		return // versions before this schema take the first page for the whole catalog
+		return // versions before this schema treat the first page as the whole catalog
 	}
 	if len(pages) > c.Settings.Deployment.Store.MaxTransactionOps {
 		return
@@ -189,7 +190,7 @@
 }
 
 // catalogTransaction returns the transaction that writes the pages of the catalog. It
-// fails if the copy has changed or another controller has become the catalog keeper.
+// fails if the copy has changed or another controller has become the catalog updater.
 func (c *MachineCatalog) catalogTransaction(grant leadership.Grant, pages []records.CatalogPage) *api.Transaction {
 	transaction := &api.Transaction{Compares: []api.Compare{{Key: records.CatalogKey, Version: c.storedVersion}}}
 	if grant.Term() > 0 {
--- a/internal/provisioning/instance_list.go
+++ b/internal/provisioning/instance_list.go
@@ -25,7 +25,7 @@
 
 	NextReadAt     micros.Micros
 	readInFlight   bool
-	listRound      int                     // number of the current or last reading of the whole list
+	readNumber     int                     // number of the current or last read of the whole list
 	listed         map[string]*observation // by instance ID
 	unknownWorkers map[string]*observation // workers that sent a heartbeat and have no record, by machine
 	sweeping       bool                    // this controller acts as instance sweeper
@@ -55,25 +55,25 @@
 type observation struct {
 	graceStartedAt micros.Micros // when it was first seen or last acted on; grace periods begin here
 	lastSeenAt     micros.Micros
-	listRound      int // round of the list in which it was last seen
+	lastReadNumber int // readNumber of the read in which it was last seen
 }
 
 const (
 	// addressListInterval is how often the list is read by a controller that is not the
 	// instance sweeper. It needs only the addresses of machines that have come up.
 	addressListInterval = 60 * micros.Second
-	// minListIntervalS is the least time in seconds between two readings by a sweeper.
+	// minListIntervalS is the least time in seconds between two reads by a sweeper.
 	minListIntervalS = 5
 	// listRetryInterval is about how long after a failure the list is read again.
 	listRetryInterval = 5 * micros.Second
 	// instancesPerPage is the most instances that a page of the list holds.
 	instancesPerPage = 500
-	// listCallShare is the share of the cloud's rate limit that the readings of all
-	// controllers together may use.
+	// listCallShare is the share of the cloud's rate limit that the reads of all controllers
+	// together may use.
 	listCallShare = 1.0 / 3
-	// maxMissedRounds is how many readings of the list in a row may lack an instance that
+	// maxMissedReads is how many reads of the list in a row may lack an instance that
 	// exists: the pages are read one after another, and the list lags.
-	maxMissedRounds = 2
+	maxMissedReads = 2
 )
 
 // TrackSweeperRole notices when this controller begins or ceases to act as instance
@@ -90,13 +90,13 @@
 	return l.sweeping && l.roles.IsExclusive(leadership.InstanceSweeper)
 }
 
-// ReadWhenDue starts to read the cloud's list if that is due and no reading is in progress.
+// ReadWhenDue starts to read the cloud's list if that is due and no read is in progress.
 func (l *InstanceList) ReadWhenDue() {
 	if l.readInFlight || l.Now < l.NextReadAt {
 		return
 	}
 	l.readInFlight = true
-	l.listRound++
+	l.readNumber++
 	l.readPage("")
 }
 
@@ -124,9 +124,9 @@
 	})
 }
 
-// listInterval returns the time between two readings of the list. For a sweeper it is at
-// least the lag of the list, and it grows with the number of pages so that the readings of
-// all controllers together stay within listCallShare.
+// listInterval returns the time between two reads of the list. For a sweeper it is at least
+// the lag of the list, and it grows with the number of pages so that the reads of all
+// controllers together stay within listCallShare.
 func (l *InstanceList) listInterval() micros.Micros {
 	if !l.sweeping {
 		return addressListInterval
@@ -172,10 +172,11 @@
 	}
 }
 
-// markSeen sets the time and the round in which something was last seen to now.
+// markSeen records that an instance or an unknown worker was seen now, during the current or
+// last read of the list.
 func (l *InstanceList) markSeen(seen *observation) {
 	seen.lastSeenAt = l.Now
-	seen.listRound = l.listRound
+	seen.lastReadNumber = l.readNumber
 }
 
 // expireUnlisted drops the observations of instances and unknown workers that are absent.
@@ -193,8 +194,8 @@
 	maps.DeleteFunc(l.unknownWorkers, func(_ string, seen *observation) bool { return l.isAbsent(seen) })
 }
 
-// isAbsent reports whether something was not seen for more than maxMissedRounds of the list
-// and for longer than unlistedTimeout.
+// isAbsent reports whether an instance or an unknown worker was last seen more than
+// maxMissedReads reads of the list ago, and longer ago than unlistedTimeout.
 func (l *InstanceList) isAbsent(seen *observation) bool {
-	return seen.listRound < l.listRound-maxMissedRounds && l.Now > seen.lastSeenAt+l.unlistedTimeout()
+	return seen.lastReadNumber < l.readNumber-maxMissedReads && l.Now > seen.lastSeenAt+l.unlistedTimeout()
 }
--- a/internal/provisioning/launched_machines.go
+++ b/internal/provisioning/launched_machines.go
@@ -13,8 +13,8 @@
 	// shortfallPlanDelay is the longest time to the next scheduling cycle after the cloud
 	// launched fewer machines than were requested.
 	shortfallPlanDelay = micros.Second / 5
-	// machineBatchDivisor bounds a batch of new machines: it may fill the largest log entry
-	// divided by this. The rest is left for tasks and other machines.
+	// A batch of new machines may fill 1/machineBatchDivisor of the largest log entry. The
+	// rest is left for tasks and other machines.
 	machineBatchDivisor = 3
 )
 
--- a/internal/provisioning/list_findings.go
+++ b/internal/provisioning/list_findings.go
@@ -142,8 +142,8 @@
 	}
 }
 
-// ledMachine returns the machine of a name, or nil if there is none or this controller does
-// not lead its partition.
+// ledMachine returns the machine with the name, or nil if there is none or this controller
+// does not lead its partition.
 func (l *InstanceList) ledMachine(name string) *cluster.Machine {
 	machine := l.cluster.Machines[name]
 	if machine == nil || l.cluster.LedPartition(machine) == nil {
--- a/internal/provisioning/provisioner.go
+++ b/internal/provisioning/provisioner.go
@@ -16,10 +16,6 @@
 	"spurmoor/internal/scheduler"
 )
 
-// The statuses of the cloud's replies are in package message; message.StatusNoReply means
-// that no reply came.
-const ()
-
 // Provisioner requests machines from the cloud and queues the launched ones to be recorded
 // in the log of their partition. It acts only for partitions that this controller leads.
 type Provisioner struct {
@@ -35,7 +31,7 @@
 	trackers          []*requestTracker // by partition
 	lastRequestNumber int
 	unavailableUntil  map[scheduler.InstanceKind]micros.Micros // kinds not to be requested for now
-	RecordingRequests bool                                     // requests are recorded before they are sent; the value logged last
+	RecordingRequests bool                                     // whether requests are recorded before they are sent, as last logged
 }
 
 // NewProvisioner returns a provisioner without open requests.
--- a/internal/provisioning/request_records.go
+++ b/internal/provisioning/request_records.go
@@ -34,8 +34,8 @@
 const (
 	// requestRecordBytes is the largest size of an encoded RequestRecord.
 	requestRecordBytes = 160
-	// requestsTransactionDivisor bounds the record of open requests: it may fill the
-	// largest transaction divided by this.
+	// The record of open requests may fill 1/requestsTransactionDivisor of the largest
+	// transaction.
 	requestsTransactionDivisor = 8
 	// minOpenRequests is how many requests may be open at least, however small the store's
 	// values are.
@@ -122,8 +122,8 @@
 }
 
 // ApplyRequests handles a partition's record of open requests, unless a newer one is
-// known. keySuffix is the part of its key after the prefix. A record that cannot be decoded
-// counts as empty, and the error is returned.
+// known. keySuffix is the part of its key after the prefix. Of a record that cannot be
+// decoded, what precedes the error is kept, and the error is returned.
 func (p *Provisioner) ApplyRequests(keySuffix string, value []byte, version api.Revision) error {
 	tracker := p.trackerForKey(keySuffix)
 	if tracker == nil || tracker.recordVersion >= version {
--- a/internal/provisioning/request_tracker.go
+++ b/internal/provisioning/request_tracker.go
@@ -41,7 +41,7 @@
 	recorded          bool          // its record is committed, or requests are not recorded
 	inFlight          bool          // sent and not answered
 	nextSendAt        micros.Micros // earliest time to send it
-	attempts          int           // sent so often in a row without an answer
+	attempts          int           // how often it was sent in a row without an answer
 	deferred          bool          // not to be sent for now: the cloud refused it or did not answer
 	outcomeUnknown    bool          // sent at least once without an answer: it may still be carried out
 	unrecordedBatches int           // batches of launched machines not recorded yet; 0 until the answer comes
--- a/internal/provisioning/request_tracker_test.go
+++ b/internal/provisioning/request_tracker_test.go
@@ -55,7 +55,7 @@
 			}
 			other := scheduler.InstanceKind{Type: "g4", Zone: "alta", Spot: true}
 			if tracker.deferredRequest(kind) != tracker.open[0] || tracker.deferredRequest(other) != nil {
-				t.Error("deferredRequest found a request of another kind, or not the first of this kind; want only the latter")
+				t.Error("deferredRequest: got one of another kind, or not the first of this kind; want the first of this kind and no other")
 			}
 			if !tracker.recordOutdated {
 				t.Error("recordOutdated is false, want true so that the record is written again")
--- a/internal/scheduler/advance_reservation.go
+++ b/internal/scheduler/advance_reservation.go
@@ -28,11 +28,11 @@
 // keyed by machine name.
 //
 // Without advance reservations, the largest gangs wait until all other work is done, because
-// a partition seldom has eight machines in one zone and no task may be preempted for a job
-// of the same tier. Every controller computes the reservations from its own replica and
-// applies them to its own machines, so that none has to request a machine. If machines are
-// requested one by one, several gangs of eight each hold some of them and wait for the
-// others, and none starts.
+// a partition seldom has eight machines in one zone and a job may preempt tasks of its own
+// tier only within its team's guarantee. Every controller computes the reservations from its
+// own replica and applies them to its own machines, so that none has to request a machine. If
+// machines are requested one by one, several gangs of eight each hold some of them and wait
+// for the others, and none starts.
 //
 // A gang that became eligible after recentSince gets no reservation for a single machine, or
 // for machines that it can have at once or by preempting tasks of lower tiers. It gets those
@@ -93,8 +93,8 @@
 }
 
 // emptyAt returns when the machine is expected to run nothing that the job must wait for.
-// Tasks of lower tiers can be preempted within PreemptionTime. For a service that cannot be
-// preempted it returns never.
+// Tasks of lower tiers can be preempted within PreemptionTime. If a service that cannot be
+// preempted runs there, it returns never.
 func (m *Machine) emptyAt(job *Job, now micros.Micros) micros.Micros {
 	at := m.schedulableAt(now)
 	for _, allocation := range m.Allocations {
--- a/internal/scheduler/availability.go
+++ b/internal/scheduler/availability.go
@@ -14,10 +14,11 @@
 	at      micros.Micros
 }
 
-// earliestRoom returns the eligible machines that are the first to have room for all of the
-// job's tasks, and the time at which the last of them has it. They are in one zone if the
-// job must stay in one. If there are too few machines for the whole job, it returns all of
-// them; for a job that must stay in one zone it returns none and never.
+// earliestRoom returns the eligible machines that are the first to have room for a task of
+// the job, as many as hold all of its tasks when they are empty. It also returns the time
+// at which the last of them has that room. The machines are in one zone if the job must stay
+// in one. If there are too few for the whole job, it returns all of them; for a job that
+// must stay in one zone it returns none and never.
 func (s *planState) earliestRoom(job *Job, eligible func(machine *Machine) bool) ([]availability, micros.Micros) {
 	byZone := map[string][]availability{}
 	for _, machine := range s.Machines {
@@ -39,8 +40,9 @@
 	return best, best[len(best)-1].at
 }
 
-// earliestSet returns the machines of the group that is the first to have room for all of
-// the job's tasks, or nil if no group has enough. It sorts each group by time.
+// earliestSet returns the machines of the group that is the first to have enough available
+// machines for all of the job's tasks, or nil if no group has enough. It sorts each group by
+// time.
 func earliestSet(job *Job, groups map[string][]availability) []availability {
 	var best []availability
 	for _, name := range slices.Sorted(maps.Keys(groups)) {
--- a/internal/scheduler/demand.go
+++ b/internal/scheduler/demand.go
@@ -17,7 +17,7 @@
 const deadlineEstimateFactor = 1.2
 
 // demandPlanner determines which machines to borrow or launch for blocked jobs. It assigns
-// them the room that they can expect, so that each machine is counted on only once.
+// them the room that they can expect, so that no two jobs wait for the same room.
 type demandPlanner struct {
 	*planState
 	machines     []*Machine    // of the snapshot, and those to launch
@@ -171,10 +171,9 @@
 // mayAssign reports whether room on the machine, now or later, may be assigned to the job.
 func (d *demandPlanner) mayAssign(job *Job, machine *Machine) bool {
 	// A lent machine is reclaimed only for a job within its team's guarantee, or from a
-	// borrower that uses far more than this partition. Otherwise it returns when its tasks
-	// end. Under overload of all partitions, unrestricted reclaiming only moves machines
-	// and their work in circles.
-	if machine.LentOut && !machine.BorrowerOverShare && !d.withinGuarantee(job) {
+	// large borrower. Otherwise it returns when its tasks end. When all partitions are
+	// overloaded, unrestricted reclaiming only moves machines back and forth between them.
+	if machine.LentOut && !machine.BorrowerIsLarge && !d.withinGuarantee(job) {
 		return false
 	}
 	if machine.Reservation != nil {
@@ -207,7 +206,9 @@
 	d.plan.BlockedReasons[job.ID] = ReasonNothingToLaunch
 }
 
-// drainTime returns how long work that takes request of a resource occupies total of it.
+// drainTime returns how long tasks take to run if they can use the whole of a resource. work
+// is the sum of their runtimes, request is what each task requests of the resource, and total
+// is its amount.
 func drainTime(work micros.Micros, request, total int64) micros.Micros {
 	return work * micros.Micros(request) / micros.Micros(max(1, total))
 }
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -98,7 +98,7 @@
 }
 
 // countMachinesNeeded returns how many of the machines, taken in order, hold all pending
-// tasks of the gang. If the gang does not fit, it returns more than there can be.
+// tasks of the gang. If the gang does not fit, it returns math.MaxInt32.
 func countMachinesNeeded(machines []*Machine, job *Job) int {
 	remaining := job.PendingTasks
 	for i, machine := range machines {
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -35,7 +35,7 @@
 	// Results of the planning steps, for the later ones.
 	score        float64 // jobs are ranked by descending score
 	blockedTasks int     // tasks that found no room
-	launchZone   string  // the only zone to launch machines in; "" for no such restriction
+	launchZone   string  // the only zone where blocked tasks get room or machines are launched; "": any zone
 }
 
 // Deadline is a job's own deadline, or one that it inherits from a job that depends on it.
--- a/internal/scheduler/launch.go
+++ b/internal/scheduler/launch.go
@@ -20,8 +20,8 @@
 	perMachineCost = 1e-6
 )
 
-// maxMachinesPerRequest is how many machines one request to the cloud asks for. When a request
-// is full, the cheapest option is chosen again.
+// maxMachinesPerRequest is the most machines that one request to the cloud asks for. When a
+// request is full, the cheapest option is chosen again.
 const maxMachinesPerRequest = 50
 
 // launchOption is a kind of machine that may be launched for a job, with its type.
@@ -83,8 +83,8 @@
 // chooseLaunchZone returns the zone for all machines of a job that must stay in one zone, or
 // "" if there is none. It is the zone where most of the job's tasks already fit and machines
 // for the rest can be launched. If each machine is launched where it is cheapest, a gang can
-// get half of its machines in each of two zones. They are then returned as idle and launched
-// again without end.
+// get half of its machines in each of two zones. They are then scaled in as idle and
+// launched again, over and over.
 func (d *demandPlanner) chooseLaunchZone(job *Job) string {
 	fittingTasks := d.fittingTasksByZone(job)
 	best, mostTasks := "", -1
@@ -209,7 +209,7 @@
 	return base * (1 + waitedS/d.Operators.CeilingGrowthS)
 }
 
-// isIdleTimeWork reports whether the job has the lowest priority, no deadline, and a class
+// isIdleTimeWork reports whether the job has the lowest tier, no deadline, and a class
 // without objectives in the settings. Such a job runs where there is room, or on cheap
 // machines launched for it.
 func (d *demandPlanner) isIdleTimeWork(job *Job) bool {
--- a/internal/scheduler/launch_test.go
+++ b/internal/scheduler/launch_test.go
@@ -9,7 +9,7 @@
 )
 
 // TestIdlePriceCeiling guards against launching expensive machines for idle-time work.
-// Without the lower ceiling, 55 on-demand machines at five times the spot price were
+// Without the lower ceiling, 55 on-demand machines at five times the spot price are
 // launched for such work in the last half minute of a scenario.
 func TestIdlePriceCeiling(t *testing.T) {
 	t.Parallel()
--- a/internal/scheduler/machine.go
+++ b/internal/scheduler/machine.go
@@ -54,7 +54,7 @@
 	Borrowable           bool                // idle machine of another partition, may be requested
 	HeldByOtherPartition bool                // in use there, may be requested if all its tasks may be preempted
 	LentOut              bool                // in use by another partition, but this one is its home
-	BorrowerOverShare    bool                // the borrower of a lent machine uses far more than this partition
+	BorrowerIsLarge      bool                // lent out to a partition whose machines cost far more than those of this one
 	ClaimedBy            string              // ID of the job for which tasks are being preempted on it
 	Reservation          *AdvanceReservation // for a gang of any partition that has waited long
 	CachedImages         []string            // cached or being fetched
@@ -63,8 +63,8 @@
 	// sortedByEnd is set once Allocations is a copy owned by the plan, sorted by
 	// expected end.
 	sortedByEnd bool
-	// lastRejectedStart is when the last job that could not wait for room on this machine
-	// would have had it. Jobs that must start before that time skip the machine.
+	// lastRejectedStart is the time at which this machine would have had room for the last
+	// job that could not wait that long. Jobs that must start earlier skip the machine.
 	lastRejectedStart micros.Micros
 }
 
--- a/internal/scheduler/objectives.go
+++ b/internal/scheduler/objectives.go
@@ -39,8 +39,8 @@
 	return float64(count.missed) / math.Max(1, float64(count.applicable))
 }
 
-// countObjective counts an objective of the job's own class. A deadline objective counts as
-// met for a job without a deadline; for the others see missedObjectiveShare.
+// countObjective counts an objective of the job's own class. For a job without a deadline, a
+// deadline objective counts as met. For a job with one, missedObjectiveShare counts it.
 func (r *ranker) countObjective(count *objectiveCount, job *Job, objective settings.Objective) {
 	ageS := (r.Now - job.EligibleAt).Seconds()
 	switch objective.Kind {
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -116,8 +116,8 @@
 	if quota == nil || job.Spec.Kind != api.KindGang || job.Deprioritized {
 		return
 	}
-	if quota.reservedForGangs == (Resources{}) {
-		quota.reservedForGangs = quota.reservedForGangs.AddScaled(job.Request, int64(job.PendingTasks))
+	if quota.reservedForGang == (Resources{}) {
+		quota.reservedForGang = quota.reservedForGang.AddScaled(job.Request, int64(job.PendingTasks))
 	}
 }
 
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -120,9 +120,9 @@
 	})
 }
 
-// isWorthwhile reports whether the preemption gains more for the job, which would otherwise
-// have room at roomAt, than it loses. Preempting only victims of lower tiers is always
-// worthwhile.
+// isWorthwhile reports whether preempting the victims gains more for the job than it loses.
+// roomAt is when the job has room without the preemption. Preempting only victims of lower
+// tiers is always worthwhile.
 func (p *preemptor) isWorthwhile(job *Job, sets []victimSet, roomAt micros.Micros) bool {
 	var lostWork micros.Micros
 	onlyLowerTiers := true
@@ -137,7 +137,7 @@
 		return false // the lost work exceeds the saved wait
 	}
 	hasInheritedTier := job.Tier > job.ownTier()
-	return !hasInheritedTier || !meetsDeadline(job, roomAt) // with an inherited deadline met anyway, preempt nothing
+	return !hasInheritedTier || !meetsDeadline(job, roomAt) // an inherited tier is not needed if the deadline is met anyway
 }
 
 // meetsDeadline reports whether the job has a deadline and meets it if it has room at roomAt.
--- a/internal/scheduler/preemption_test.go
+++ b/internal/scheduler/preemption_test.go
@@ -14,8 +14,8 @@
 }
 
 // TestInheritedTierPreemption guards against gangs preempting other gangs of their own class
-// by a tier that they inherit from a pipeline; one gang was preempted ten times in a row. By
-// an inherited tier a job may preempt only tasks of arrays that did not start recently.
+// by a tier that they inherit from a pipeline. One gang is then preempted ten times in a row.
+// By an inherited tier a job may preempt only tasks of arrays that did not start recently.
 func TestInheritedTierPreemption(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -5,13 +5,13 @@
 type Quota struct {
 	Used, Guaranteed, Limit Resources
 
-	reservedForGangs Resources // part of Limit that is kept for a gang waiting because of it
+	reservedForGang Resources // part of Limit that is kept for a gang that waits because of the limit
 }
 
 // tasksWithinLimit returns how many of the given number of tasks may start within the
 // team's limit.
 func (q *Quota) tasksWithinLimit(request Resources, tasks int) int {
-	left := q.Limit.AddScaled(q.Used, -1).AddScaled(q.reservedForGangs, -1)
+	left := q.Limit.AddScaled(q.Used, -1).AddScaled(q.reservedForGang, -1)
 	if q.Limit.MilliCPU > 0 && request.MilliCPU > 0 {
 		tasks = min(tasks, int(max(0, left.MilliCPU)/request.MilliCPU))
 	}
--- a/internal/scheduler/quota_test.go
+++ b/internal/scheduler/quota_test.go
@@ -17,7 +17,7 @@
 		{"no limit and no guarantee", Quota{Used: gpus(100)}, 5, 5, false},
 		{"up to the limit", Quota{Used: gpus(7), Limit: gpus(10)}, 5, 3, false},
 		{"beyond the limit", Quota{Used: gpus(11), Limit: gpus(10)}, 5, 0, false},
-		{"up to what is reserved", Quota{Used: gpus(7), Limit: gpus(10), reservedForGangs: gpus(2)}, 5, 1, false},
+		{"up to what is reserved", Quota{Used: gpus(7), Limit: gpus(10), reservedForGang: gpus(2)}, 5, 1, false},
 		{"within the guarantee", Quota{Used: gpus(7), Guaranteed: gpus(12)}, 5, 5, true},
 		{"beyond the guarantee", Quota{Used: gpus(7), Guaranteed: gpus(11)}, 5, 5, false},
 	} {
--- a/internal/scheduler/ranking.go
+++ b/internal/scheduler/ranking.go
@@ -9,17 +9,20 @@
 	"spurmoor/internal/micros"
 )
 
-// Amounts that rank a job before or after all others, whatever the other terms of its
-// score are.
 const (
-	overdueBonus         = 2
+	// overdueBonus ranks an overdue gang or service before jobs of a higher tier. With the
+	// default weight, the tiers of two jobs make a difference of at most 1.8 (0.20 × 9). The
+	// other terms can still rank the job lower, and so can a larger weight of the priority.
+	overdueBonus = 2
+	// deprioritizedPenalty ranks a job after all others. It exceeds what the other terms add
+	// up to with any permitted settings.
 	deprioritizedPenalty = 100
 )
 
 // Factors of the penalty for large arrays.
 const (
-	// fullPenaltyMultiple is how many times the drain time of the average waiting array an
-	// array must have to get the full penalty.
+	// fullPenaltyMultiple is the drain time, in multiples of the average of the waiting arrays,
+	// from which an array gets the full penalty.
 	fullPenaltyMultiple = 2.5
 	// penaltyFadeMultiple is the wait, in multiples of BeginWithinS, after which an array has no
 	// penalty any more. Without it, large arrays are postponed forever.
--- a/internal/scheduler/victims.go
+++ b/internal/scheduler/victims.go
@@ -66,7 +66,7 @@
 
 // victimsOn chooses victims on the machine, those with the least lost work first, until the
 // given number of the job's tasks fits. It returns false for a machine of another partition
-// that cannot be emptied.
+// that cannot be emptied, or that is empty and not offered.
 func (p *preemptor) victimsOn(machine *Machine, job *Job, tasks int) (victimSet, bool) {
 	if machine.ClaimedBy == job.ID {
 		return victimSet{machine: machine, taskCapacity: machine.Total.FitCount(job.Request)}, true
@@ -98,19 +98,19 @@
 	return set, true
 }
 
-// cheapestSubset sorts the sets by lost work per task and returns the first of them that hold
-// the given number of tasks, and the work that they lose. It returns nil if all of them do
-// not hold that many.
-func cheapestSubset(list []victimSet, tasks int) ([]victimSet, micros.Micros) {
-	slices.SortStableFunc(list, func(a, b victimSet) int {
+// cheapestSubset sorts the sets by lost work per task. It returns the shortest prefix that has
+// room for the given number of tasks, and the work that this prefix loses. It returns nil if
+// all sets together have too little room.
+func cheapestSubset(sets []victimSet, tasks int) ([]victimSet, micros.Micros) {
+	slices.SortStableFunc(sets, func(a, b victimSet) int {
 		return cmp.Compare(a.lostWork/micros.Micros(a.taskCapacity), b.lostWork/micros.Micros(b.taskCapacity))
 	})
 	lostWork := micros.Micros(0)
-	for i, set := range list {
+	for i, set := range sets {
 		lostWork += set.lostWork
 		tasks -= set.taskCapacity
 		if tasks <= 0 {
-			return list[:i+1], lostWork
+			return sets[:i+1], lostWork
 		}
 	}
 	return nil, 0
