--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -13,7 +13,8 @@
 	"spurmoor/internal/scheduler"
 )
 
-// maxSubmissionsInFlight bounds the submissions that are recorded concurrently.
+// maxSubmissionsInFlight bounds the submissions that are being recorded or wait for a lookup
+// of their dependencies.
 const maxSubmissionsInFlight = 100
 
 // admissionStoreTimeout is how long the store must be unavailable before submissions are
--- a/internal/core/cancellation.go
+++ b/internal/core/cancellation.go
@@ -35,7 +35,7 @@
 // cancellation is a request in progress to cancel a job.
 type cancellation struct {
 	requestID  uint64
-	jobID      string // the job's
+	jobID      string
 	writesLeft int
 }
 
@@ -47,12 +47,12 @@
 // tryCancel looks the job up and cancels it unless it has ended.
 func (h *cancellationHandler) tryCancel(request *cancellation) {
 	h.jobs.lookUpOrRefuse(request.requestID, request.jobID, refusalNoSuchJob, func(status api.JobStatus) {
-		h.cancelInState(request, status.State)
+		h.cancelUnlessEnded(request, status.State)
 	})
 }
 
-// cancelInState cancels a job whose state was looked up. A job that has ended stays as it is.
-func (h *cancellationHandler) cancelInState(request *cancellation, state api.JobState) {
+// cancelUnlessEnded cancels a job whose state was looked up. A job that has ended stays as it is.
+func (h *cancellationHandler) cancelUnlessEnded(request *cancellation, state api.JobState) {
 	job := h.cluster.Jobs[request.jobID]
 	switch {
 	case state == api.JobDone || state == api.JobCancelled:
--- a/internal/core/command_reply.go
+++ b/internal/core/command_reply.go
@@ -8,14 +8,14 @@
 	"spurmoor/internal/peer"
 )
 
-// unsentCommandRetry is the delay before commands that never left this process are sent
+// unsentCommandRetryDelay is the delay before commands that never left this process are sent
 // again.
-const unsentCommandRetry = micros.Second / 5
+const unsentCommandRetryDelay = micros.Second / 5
 
 // handleCommandReply handles a worker's reply to direct commands, or the lack of one.
 func (h *workerHandler) handleCommandReply(reply message.CommandReply) {
 	if reply.Status != 0 {
-		h.workerReach.ObserveReply()
+		h.reachability.ObserveReply()
 	}
 	machine := h.cluster.Machines[reply.Machine]
 	if machine == nil {
@@ -24,7 +24,7 @@
 	}
 	machine.CommandInFlight = false
 	if reply.Unsent {
-		machine.NextCommandAt = h.Now + unsentCommandRetry
+		machine.NextCommandAt = h.Now + unsentCommandRetryDelay
 	}
 	if h.cluster.LedPartition(machine) == nil {
 		return
@@ -55,7 +55,7 @@
 	return reply.Heartbeat
 }
 
-// adoptOrphan has an instance recorded that replied to commands but has no record.
+// adoptOrphan adopts an instance that replied to commands although it has no record.
 func (h *workerHandler) adoptOrphan(reply message.CommandReply) {
 	heartbeat := heartbeatOf(reply)
 	if heartbeat == nil {
--- a/internal/core/commit_test.go
+++ b/internal/core/commit_test.go
@@ -46,7 +46,7 @@
 		{Key: slotKey, Version: commit.PreviousSlotVersion},
 	} {
 		if !slices.Contains(commit.Request.Compares, compare) {
-			t.Errorf("compares of the commit: want %+v among them, got %+v", compare, commit.Request.Compares)
+			t.Errorf("compares of the commit: got %+v, want %+v among them", commit.Request.Compares, compare)
 		}
 	}
 }
--- a/internal/core/components.go
+++ b/internal/core/components.go
@@ -19,20 +19,21 @@
 type Controller struct {
 	*coordination.Environment
 
-	// The store, the lease on it, and the roles that depend on the lease.
-	storeHealth  *coordination.StoreHealth
-	trigger      *cluster.CycleTrigger
-	workerReach  *coordination.WorkerReachability
-	deletions    *cluster.DeletionLog
-	boots        *cluster.BootStatistics
-	audit        *coordination.RefusalCounter
-	budget       *coordination.WriteBudget
-	peers        *coordination.PeerTracker
-	cache        *coordination.WatchCache
-	transactions *coordination.TransactionSender
-	schema       *coordination.SchemaTracker
-	storeLease   *coordination.StoreLease
-	roles        *coordination.RoleManager
+	// The store, the lease on it, and the roles that depend on the lease. The trigger, the
+	// deletions and the boots are here because they depend on no other component.
+	storeHealth   *coordination.StoreHealth
+	trigger       *cluster.CycleTrigger
+	reachability  *coordination.WorkerReachability
+	deletions     *cluster.DeletionLog
+	boots         *cluster.BootStatistics
+	refusedOrders *coordination.RefusalCounter
+	budget        *coordination.WriteBudget
+	peers         *coordination.PeerTracker
+	cache         *coordination.WatchCache
+	transactions  *coordination.TransactionSender
+	schema        *coordination.SchemaTracker
+	storeLease    *coordination.StoreLease
+	roles         *coordination.RoleManager
 
 	// The replica, and the components that change it and commit the changes.
 	cluster      *cluster.State
@@ -48,13 +49,13 @@
 	deleter      *provisioning.InstanceDeleter
 
 	// Scheduling, and the management of machines according to the plans.
-	isolation    *planning.IsolationMonitor
-	urgencies    *planning.UrgencyIndex
-	view         *planning.SchedulerView
-	reservations *planning.ReservationPlanner
-	lending      *planning.MachineLender
-	manager      *planning.MachineManager
-	scheduling   *planning.SchedulingCycle
+	isolationMonitor *planning.IsolationMonitor
+	urgencies        *planning.UrgencyIndex
+	view             *planning.SchedulerView
+	reservations     *planning.ReservationPlanner
+	lender           *planning.MachineLender
+	manager          *planning.MachineManager
+	schedulingCycle  *planning.SchedulingCycle
 
 	// Handlers for requests and messages.
 	workers       *workerHandler
@@ -97,10 +98,10 @@
 func (c *Controller) initCoordination(env *coordination.Environment) {
 	c.storeHealth = coordination.NewStoreHealth(env)
 	c.trigger = cluster.NewCycleTrigger(env)
-	c.workerReach = coordination.NewWorkerReachability(env)
+	c.reachability = coordination.NewWorkerReachability(env)
 	c.deletions = cluster.NewDeletionLog(env)
 	c.boots = cluster.NewBootStatistics(env)
-	c.audit = coordination.NewRefusalCounter(env)
+	c.refusedOrders = coordination.NewRefusalCounter(env)
 	c.budget = coordination.NewWriteBudget(env)
 	c.peers = coordination.NewPeerTracker(env, c.storeHealth)
 	c.cache = coordination.NewWatchCache(env)
@@ -108,7 +109,7 @@
 	c.schema = coordination.NewSchemaTracker(env, c.budget, c.cache, c.peers)
 	c.storeLease = coordination.NewStoreLease(env, c.cache, c.peers)
 	c.roles = coordination.NewRoleManager(
-		env, c.audit, c.cache, c.peers, c.schema, c.storeLease, c.transactions, c.workerReach,
+		env, c.refusedOrders, c.cache, c.peers, c.schema, c.storeLease, c.transactions, c.reachability,
 	)
 }
 
@@ -135,20 +136,20 @@
 
 // initPlanning creates the components that schedule jobs and manage machines.
 func (c *Controller) initPlanning(env *coordination.Environment) {
-	c.isolation = planning.NewIsolationMonitor(env, c.cluster, c.peers, c.roles, c.workerReach)
+	c.isolationMonitor = planning.NewIsolationMonitor(env, c.cluster, c.peers, c.roles, c.reachability)
 	c.urgencies = planning.NewUrgencyIndex(env, c.catalog, c.cluster, c.dependencies)
 	c.view = planning.NewSchedulerView(env, c.cluster, c.tasks, c.urgencies)
 	c.reservations = planning.NewReservationPlanner(
 		env, c.boots, c.cluster, c.registry, c.tasks, c.urgencies, c.view,
 	)
-	c.lending = planning.NewMachineLender(
+	c.lender = planning.NewMachineLender(
 		env, c.cluster, c.peers, c.registry, c.reservations, c.urgencies, c.view,
 	)
 	c.manager = planning.NewMachineManager(
-		env, c.boots, c.cluster, c.isolation, c.registry, c.reservations, c.storeLease, c.tasks,
+		env, c.boots, c.cluster, c.isolationMonitor, c.registry, c.reservations, c.storeLease, c.tasks,
 	)
-	c.scheduling = planning.NewSchedulingCycle(
-		env, c.boots, c.cache, c.catalog, c.cluster, c.lending, c.peers, c.provisioning, c.reservations,
+	c.schedulingCycle = planning.NewSchedulingCycle(
+		env, c.boots, c.cache, c.catalog, c.cluster, c.lender, c.peers, c.provisioning, c.reservations,
 		c.tasks, c.trigger, c.urgencies, c.view,
 	)
 }
@@ -157,16 +158,16 @@
 // store.
 func (c *Controller) initHandlers(env *coordination.Environment) {
 	c.workers = newWorkerHandler(
-		env, c.boots, c.cache, c.cluster, c.instances, c.manager, c.storeLease, c.tasks, c.trigger, c.workerReach,
+		env, c.boots, c.cache, c.cluster, c.instances, c.manager, c.storeLease, c.tasks, c.trigger, c.reachability,
 	)
 	c.condition = newConditionTracker(
-		env, c.cache, c.cluster, c.isolation, c.peers, c.storeHealth, c.workerReach,
+		env, c.cache, c.cluster, c.isolationMonitor, c.peers, c.storeHealth, c.reachability,
 	)
 	c.messenger = newPeerMessenger(
-		env, c.budget, c.cache, c.cluster, c.instances, c.lending, c.peers, c.roles, c.scheduling, c.schema,
-		c.storeHealth, c.storeLease, c.workerReach,
+		env, c.budget, c.cache, c.cluster, c.instances, c.lender, c.peers, c.roles, c.schedulingCycle, c.schema,
+		c.storeHealth, c.storeLease, c.reachability,
 	)
-	c.summary = newSummaryLogger(env, c.cache, c.cluster, c.scheduling)
+	c.summary = newSummaryLogger(env, c.cache, c.cluster, c.schedulingCycle)
 	c.failover = newFailoverHandler(env, c.cluster, c.provisioning, c.tasks, c.trigger)
 	c.applier = newRecordApplier(
 		env, c.cache, c.catalog, c.cluster, c.dependencies, c.partitionLog, c.provisioning, c.registry,
@@ -182,5 +183,5 @@
 	c.submissions = newSubmissionHandler(env, c.admission, c.cache, c.dependencies, c.jobs, c.writer)
 	c.cancellations = newCancellationHandler(env, c.cluster, c.jobs, c.messenger, c.writer)
 	c.readiness = newReadinessHandler(env, c.cache, c.condition, c.peers, c.roles, c.storeHealth)
-	c.explainer = newJobExplainer(env, c.catalog, c.cluster, c.dependencies, c.jobs, c.scheduling)
+	c.explainer = newJobExplainer(env, c.catalog, c.cluster, c.dependencies, c.jobs, c.schedulingCycle)
 }
--- a/internal/core/condition.go
+++ b/internal/core/condition.go
@@ -40,12 +40,12 @@
 // checks.
 type conditionTracker struct {
 	*coordination.Environment
-	cache       *coordination.WatchCache
-	cluster     *cluster.State
-	isolation   *planning.IsolationMonitor
-	peers       *coordination.PeerTracker
-	storeHealth *coordination.StoreHealth
-	workerReach *coordination.WorkerReachability
+	cache            *coordination.WatchCache
+	cluster          *cluster.State
+	isolationMonitor *planning.IsolationMonitor
+	peers            *coordination.PeerTracker
+	storeHealth      *coordination.StoreHealth
+	reachability     *coordination.WorkerReachability
 
 	lastLogged    condition // logged last; the first one that lasts is set without a log line
 	lastLoggedAt  micros.Micros
@@ -57,14 +57,14 @@
 	env *coordination.Environment,
 	cache *coordination.WatchCache,
 	cluster *cluster.State,
-	isolation *planning.IsolationMonitor,
+	isolationMonitor *planning.IsolationMonitor,
 	peers *coordination.PeerTracker,
 	health *coordination.StoreHealth,
-	reach *coordination.WorkerReachability,
+	reachability *coordination.WorkerReachability,
 ) *conditionTracker {
 	return &conditionTracker{
-		Environment: env, cache: cache, cluster: cluster, isolation: isolation, peers: peers, storeHealth: health,
-		workerReach: reach,
+		Environment: env, cache: cache, cluster: cluster, isolationMonitor: isolationMonitor, peers: peers, storeHealth: health,
+		reachability: reachability,
 	}
 }
 
@@ -76,7 +76,7 @@
 		return t.conditionWithoutStore()
 	case !t.cache.Synced:
 		return conditionNotSynced
-	case t.workerReach.Isolated || t.isolation.NoWorkerContactSince > 0:
+	case t.reachability.Isolated || t.isolationMonitor.NoWorkerContactSince > 0:
 		return conditionNoWorkers
 	}
 	return conditionHealthy
@@ -86,7 +86,7 @@
 // on whether other controllers and workers can be heard.
 func (t *conditionTracker) conditionWithoutStore() condition {
 	workersSilent := len(t.cluster.Machines) >= minMachinesToDetectSilence &&
-		t.Now > t.workerReach.LastContactAt+t.Settings.HeartbeatTimeout()
+		t.Now > t.reachability.LastContactAt+t.Settings.HeartbeatTimeout()
 	switch {
 	case t.peers.AnyPeerHealthy() && t.storeHealth.Refusing:
 		return conditionStoreRefusesThisNode
--- a/internal/core/controller.go
+++ b/internal/core/controller.go
@@ -9,7 +9,8 @@
 //
 // This package dispatches inputs and answers users, workers and the other controllers.
 // Decisions about the cluster are made by the components, from other packages, that
-// Controller connects.
+// Controller connects. In its comments "we", "us" and "our" refer to the controller that runs
+// the code.
 package core
 
 import (
@@ -60,7 +61,7 @@
 	case message.ListRoles:
 		c.roles.HandleListRoles(input)
 	case message.OrderRefused:
-		c.audit.Count(input)
+		c.refusedOrders.Count(input)
 	case message.Stop:
 		c.handleStop()
 	}
@@ -91,7 +92,8 @@
 
 // runOnInterval does the work that is due every periodicInterval.
 func (c *Controller) runOnInterval() {
-	// The following steps depend on which connections of this controller work.
+	// The state of this controller's connections comes first: the timeouts of machines count
+	// only from when it can answer heartbeats.
 	c.condition.trackCondition()
 	c.storeLease.UpdateAnsweringSince()
 	// The schema comes before the roles: the schema that all controllers can read
@@ -103,22 +105,23 @@
 	c.roles.Reconcile()
 	c.manager.ReconcileMachines()
 	// ReconcileMachines has checked whether workers reach us. If none does, some are probed.
-	c.isolation.ProbeWorkers()
+	c.isolationMonitor.ProbeWorkers()
 	// Open requests to the cloud are repeated before the scheduler makes new ones.
 	c.reconcileCloud()
-	c.scheduling.RunIfDue()
+	c.schedulingCycle.RunIfDue()
 	// The new plan is committed at once instead of after the next input.
 	c.partitionLog.CommitChanges()
 	// The heartbeat carries the machine requests and idle machines of the new plan.
 	c.messenger.broadcastHeartbeat()
 	// The logs describe the state after all the steps above.
 	c.summary.logSummary()
-	c.audit.LogDue()
+	c.refusedOrders.LogDue()
 	// This comes last: a stop is complete once everything sent above is settled.
 	c.roles.CompleteStop()
 }
 
-// reconcileCloud sends the requests to the cloud that are due, one of each kind at a time.
+// reconcileCloud sends the requests to the cloud that are due. Except for launches, at most one
+// of each kind is in flight.
 func (c *Controller) reconcileCloud() {
 	c.catalog.ReadWhenDue()
 	c.instances.TrackSweeperRole()
@@ -130,8 +133,9 @@
 	c.deleter.DeleteWhenDue()
 }
 
-// handleStop resigns all roles. The other controllers are notified first, so that they
-// acquire the roles at once instead of waiting for the lease to expire.
+// handleStop resigns all roles, so that others need not wait for the lease to expire. The
+// other controllers are notified first, so that they acquire the roles at once. Otherwise
+// those that come after this controller as candidates would give it time to acquire them again.
 func (c *Controller) handleStop() {
 	c.roles.BeginStop()
 	c.peers.RequestBroadcast()
@@ -139,23 +143,25 @@
 	c.roles.Reconcile()
 }
 
-// handleStoreReply passes a reply from the store to the callback of its call.
+// handleStoreReply passes a reply from the store to the handler of its call. It ignores a
+// second reply to a call.
 func (c *Controller) handleStoreReply(reply *message.StoreReply) {
-	callback := c.StoreReplyHandlers[reply.CallID]
-	if callback == nil {
+	handle := c.StoreReplyHandlers[reply.CallID]
+	if handle == nil {
 		return
 	}
 	delete(c.StoreReplyHandlers, reply.CallID)
 	c.storeHealth.ObserveReply(reply)
-	callback(reply)
+	handle(reply)
 }
 
-// handleCloudReply passes a reply from the cloud to the callback of its call.
+// handleCloudReply passes a reply from the cloud to the handler of its call. It ignores a
+// second reply to a call.
 func (c *Controller) handleCloudReply(reply *message.CloudReply) {
-	callback := c.CloudReplyHandlers[reply.CallID]
-	if callback == nil {
+	handle := c.CloudReplyHandlers[reply.CallID]
+	if handle == nil {
 		return
 	}
 	delete(c.CloudReplyHandlers, reply.CallID)
-	callback(reply)
+	handle(reply)
 }
--- a/internal/core/explanation.go
+++ b/internal/core/explanation.go
@@ -17,11 +17,11 @@
 // jobExplainer answers why jobs wait and when they are expected to be done.
 type jobExplainer struct {
 	*coordination.Environment
-	catalog      *provisioning.MachineCatalog
-	cluster      *cluster.State
-	dependencies *cluster.DependencyGraph
-	jobs         *jobLookup
-	scheduling   *planning.SchedulingCycle
+	catalog         *provisioning.MachineCatalog
+	cluster         *cluster.State
+	dependencies    *cluster.DependencyGraph
+	jobs            *jobLookup
+	schedulingCycle *planning.SchedulingCycle
 }
 
 func newJobExplainer(
@@ -30,10 +30,10 @@
 	cluster *cluster.State,
 	dependencies *cluster.DependencyGraph,
 	jobs *jobLookup,
-	scheduling *planning.SchedulingCycle,
+	schedulingCycle *planning.SchedulingCycle,
 ) *jobExplainer {
 	return &jobExplainer{
-		Environment: env, catalog: catalog, cluster: cluster, dependencies: dependencies, jobs: jobs, scheduling: scheduling,
+		Environment: env, catalog: catalog, cluster: cluster, dependencies: dependencies, jobs: jobs, schedulingCycle: schedulingCycle,
 	}
 }
 
@@ -72,7 +72,7 @@
 		ID:      job.ID,
 		State:   state,
 		Leader:  partition.Claim.Node,
-		Reason:  x.scheduling.BlockedReasons[job.ID],
+		Reason:  x.schedulingCycle.BlockedReasons[job.ID],
 		WaitedS: (x.Now - job.AcceptedAt).Seconds(),
 	}
 	switch {
@@ -158,7 +158,7 @@
 	if !ok {
 		return 0
 	}
-	planned := x.scheduling.ExpectedEnds[job.ID]
+	planned := x.schedulingCycle.ExpectedEnds[job.ID]
 	switch {
 	case job.Spec.Kind == api.KindService:
 		return 0 // a service runs until it is cancelled
--- a/internal/core/failover.go
+++ b/internal/core/failover.go
@@ -35,8 +35,9 @@
 	return &failoverHandler{Environment: env, cluster: cluster, provisioning: provisioning, tasks: tasks, trigger: trigger}
 }
 
-// PartitionAcquired begins to act as the leader of a partition. The replica has all
-// recorded state. Observations of machines are reset, as they were not recorded.
+// PartitionAcquired begins to act as the leader of a partition. The replica already holds all
+// recorded state. What was observed of the partition's machines before is outdated, so it is
+// reset.
 func (f *failoverHandler) PartitionAcquired(index int) {
 	partition := f.cluster.Partitions[index]
 	f.LogInfo("partition acquired", logkey.Partition, partition.Index, logkey.Term, partition.Term)
--- a/internal/core/failure_attribution_test.go
+++ b/internal/core/failure_attribution_test.go
@@ -59,8 +59,8 @@
 }
 
 // TestFailureAttribution guards against quarantining healthy machines because of a faulty
-// job, and against blaming jobs for a faulty machine. On one recorded day, all 44 machines
-// that were quarantined had only run jobs that failed everywhere.
+// job, and against attributing failures to jobs because of a faulty machine. On one
+// recorded day, all 44 quarantined machines have only run jobs that fail everywhere.
 func TestFailureAttribution(t *testing.T) {
 	for _, tc := range attributionCases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -77,12 +77,12 @@
 			}
 			for name, machine := range machines {
 				if want := slices.Contains(tc.quarantined, name); machine.Quarantined != want {
-					t.Errorf("machine %s quarantined: got %t, want the opposite", name, machine.Quarantined)
+					t.Errorf("machine %s quarantined: got %t, want %t", name, machine.Quarantined, want)
 				}
 			}
 			for id, job := range jobs {
 				if want := slices.Contains(tc.suspect, id); job.Suspect != want {
-					t.Errorf("job %s suspect: got %t, want the opposite", id, job.Suspect)
+					t.Errorf("job %s suspect: got %t, want %t", id, job.Suspect, want)
 				}
 			}
 		})
--- a/internal/core/fixtures_test.go
+++ b/internal/core/fixtures_test.go
@@ -172,8 +172,8 @@
 	t.Helper()
 	controller := New(&settings.Settings{Operators: settings.Defaults()}, 1, rand.New(rand.NewPCG(1, 1)))
 	for _, name := range []string{"m-0", "m-1", "m-2", "m-3", "m-4"} {
-		evidence := cluster.MachineFailures{Unattributed: map[string]bool{}}
-		controller.cluster.Machines[name] = &cluster.Machine{Name: name, Failures: evidence}
+		failures := cluster.MachineFailures{Unattributed: map[string]bool{}}
+		controller.cluster.Machines[name] = &cluster.Machine{Name: name, Failures: failures}
 	}
 	for _, id := range []string{"a", "b", "c", "d"} {
 		spec := api.Job{Kind: api.KindArray, Tasks: 20}
--- a/internal/core/heartbeat_reconciliation.go
+++ b/internal/core/heartbeat_reconciliation.go
@@ -91,11 +91,11 @@
 }
 
 // stopCancelledTasks adds stops for cancelled tasks in a heartbeat without our fencing
-// token. Such a heartbeat may be a late copy from before our term, so it shows only where
-// the worker was: if its tasks were reconciled, tasks that were started since would count as
-// gone. The answer, or a direct command, raises the worker's token if the worker still
-// exists. The stops do not wait for that, because an answer that renews the lease must
-// always stop the tasks that may no longer run.
+// token. Such a heartbeat may be a late copy from before our term, so its tasks are not
+// reconciled: tasks that were started since would count as gone. The answer, or a direct
+// command, raises the worker's token if the worker still exists. The stops do not wait for
+// that, because an answer that renews the lease must always stop the tasks that may no longer
+// run.
 func (r *heartbeatReconciliation) stopCancelledTasks() {
 	for _, reported := range r.heartbeat.Tasks {
 		id, ok := cluster.ParseTaskID(reported.Task)
--- a/internal/core/heartbeat_reconciliation_test.go
+++ b/internal/core/heartbeat_reconciliation_test.go
@@ -59,7 +59,7 @@
 	fixture.machine.Record.MinToken = 12
 	fixture.partition.Term = 12
 	if fixture.cluster.FencingToken(fixture.machine) != 12 {
-		t.Fatal("got another fencing token, want 12")
+		t.Fatalf("got fencing token %d, want 12", fixture.cluster.FencingToken(fixture.machine))
 	}
 	if answer := fixture.sendHeartbeat(4, 11); answer.Status != message.StatusOK {
 		t.Errorf("with a higher token: got answer %+v, want status 200", answer)
@@ -96,9 +96,9 @@
 }
 
 // TestIncarnationUnderAnotherLeader guards against treating running tasks as gone because of
-// an incarnation that began under another leader: the tasks that leader started in it still
-// run. A new incarnation proves only those tasks gone that we observed in an earlier one since
-// we acquired the partition.
+// an incarnation that began under another leader: tasks that the other leader started in it
+// still run. A new incarnation proves only those tasks gone that we observed in an earlier one
+// since we acquired the partition.
 func TestIncarnationUnderAnotherLeader(t *testing.T) {
 	for _, tc := range []struct {
 		name     string
@@ -120,7 +120,7 @@
 			}
 			fixture.workers.observeIncarnation(fixture.machine, 2)
 			if gone := len(fixture.machine.TaskIDs) == 0; gone != tc.wantGone {
-				t.Errorf("task gone: got %t, want the opposite", gone)
+				t.Errorf("task gone: got %t, want %t", gone, tc.wantGone)
 			}
 		})
 	}
--- a/internal/core/job_lookup.go
+++ b/internal/core/job_lookup.go
@@ -49,8 +49,8 @@
 }
 
 // lookUp calls done with a job's state, which is at least as recent as any state that users
-// were told before. A terminal state is final and comes from memory. Any other state needs a
-// read of the store that begins now.
+// were told before. A terminal state is final, so a cached one is used. Any other state needs
+// a read of the store that begins now.
 func (l *jobLookup) lookUp(id string, done func(cluster.LookupResult, api.JobStatus)) {
 	if record, ok := l.dependencies.TerminalStates.Records[id]; ok {
 		done(cluster.JobKnown, terminalStatus(id, record))
@@ -84,8 +84,8 @@
 	}
 }
 
-// lookUpTerminalRecord reads the terminal record of a job that the replica does not have as
-// an unfinished one.
+// lookUpTerminalRecord reads the terminal record of a job that is not among the unfinished
+// jobs of the replica.
 func (l *jobLookup) lookUpTerminalRecord(id string, done func(cluster.LookupResult, api.JobStatus)) {
 	l.dependencies.ReadTerminalRecord(id, func(result cluster.LookupResult) {
 		if result != cluster.JobKnown {
--- a/internal/core/job_record_test.go
+++ b/internal/core/job_record_test.go
@@ -11,8 +11,8 @@
 	"spurmoor/internal/records"
 )
 
-// TestStaleWatchReplyIsIgnored guards against a watch reply that arrives after a later one:
-// applied, it permanently restores a job that has ended.
+// TestStaleWatchReplyIsIgnored guards against a watch reply that arrives after a later one. If
+// it is applied, it permanently restores a job that has ended.
 func TestStaleWatchReplyIsIgnored(t *testing.T) {
 	fixture := newSyncedFixture(t)
 	if fixture.cluster.Jobs[testJob] == nil {
@@ -22,7 +22,10 @@
 	fixture.applyWatchReply(3, fixture.jobPut)
 	terminal := fixture.dependencies.TerminalStates.Records[testJob]
 	if fixture.cluster.Jobs[testJob] != nil || terminal.State != api.JobDone {
-		t.Errorf("got the job in the replica or terminal record %+v, want no job and state done", terminal)
+		t.Errorf(
+			"got job in the replica %t, terminal record %+v, want false and state done",
+			fixture.cluster.Jobs[testJob] != nil, terminal,
+		)
 	}
 }
 
@@ -44,12 +47,12 @@
 			record.PackDependencies()
 			alone := len(records.MustMarshal(records.Job{Spec: api.Job{ID: "wk-1"}}))
 			if packed := len(records.MustMarshal(record)) - alone; packed > tc.maxBytes+60 {
-				t.Errorf("packed size of %d IDs: got %d bytes, want at most maxBytes plus 60", len(want), packed)
+				t.Errorf("packed size of %d IDs: got %d bytes, want at most %d", len(want), packed, tc.maxBytes+60)
 			}
 			got := record.Dependencies()
 			slices.Sort(got)
 			if !slices.Equal(got, want) {
-				t.Errorf("packed %d IDs, got %d after unpacking, want the same IDs", len(want), len(got))
+				t.Errorf("after unpacking: got %d IDs %q, want %d IDs %q", len(got), got, len(want), want)
 			}
 		})
 	}
--- a/internal/core/log_applier.go
+++ b/internal/core/log_applier.go
@@ -10,7 +10,9 @@
 )
 
 // applyLogSlot applies a slot of a partition's log. An unreadable slot is treated as empty,
-// so that it is the next to be written.
+// so that it is the next to be written. While the cache is being synchronized, slots that a
+// former leader wrote may arrive after this controller's claim to lead the partition, so they
+// are applied even if it leads.
 func (a *recordApplier) applyLogSlot(name string, value []byte, version api.Revision) error {
 	partition, slot := a.parseLogSlot(name)
 	if partition == nil {
@@ -51,8 +53,9 @@
 	}
 	for i := range partition.Log {
 		if entry := &partition.Log[i]; entry.Slot == slot {
-			// Only the version changes: the known contents hold even if another
-			// controller wrote the slot.
+			// Only the version changes. The contents are known: no commit of another
+			// controller succeeds while the partition's key has our claim, and we stop
+			// leading as soon as the cache shows another claim.
 			entry.Version = max(entry.Version, version)
 		}
 	}
--- a/internal/core/machine_records_test.go
+++ b/internal/core/machine_records_test.go
@@ -11,10 +11,10 @@
 	"spurmoor/internal/records"
 )
 
-// TestMachineIsEmptyOnceAllDeparturesAreCommitted guards against a decision that depends on
-// the iteration order of a map. Of the jobs whose tasks left a machine, all committed ones
-// must be removed in one call, even if an uncommitted one is visited first.
-func TestMachineIsEmptyOnceAllDeparturesAreCommitted(t *testing.T) {
+// TestMachineIsEmptyOnceAllRemovalsAreCommitted guards against a decision that depends on
+// the iteration order of a map. Of the jobs whose tasks were removed from a machine, one call
+// must drop all whose removals are committed, even if it visits an uncommitted one first.
+func TestMachineIsEmptyOnceAllRemovalsAreCommitted(t *testing.T) {
 	controller := newMachinesFixture(t)
 	jobs := controller.cluster.Jobs
 	machine := controller.cluster.Machines["m-0"]
@@ -26,14 +26,14 @@
 		machine.UncommittedRemovals[id] = true
 	}
 	if controller.cluster.IsEmptyAndCommitted(machine) {
-		t.Error("a departure is not committed: got an empty machine, want it not empty")
+		t.Error("a removal is not committed: got an empty machine, want it not empty")
 	}
 	for i := range 30 {
 		jobs[strconv.Itoa(i)].UncommittedTasks = 1 // other changes of these jobs are uncommitted
 	}
 	jobs["a"].UncommittedTasks = 0
 	if !controller.cluster.IsEmptyAndCommitted(machine) {
-		t.Error("all departures are committed: got a machine that is not empty, want it empty")
+		t.Error("all removals are committed: got a machine that is not empty, want it empty")
 	}
 }
 
--- a/internal/core/peer_messenger.go
+++ b/internal/core/peer_messenger.go
@@ -25,10 +25,10 @@
 // above zero because zero means an unknown rate: versions without this field send zero.
 const minWriteRate = 0.01
 
-// Heartbeats announce a cancellation to the other controllers for a few seconds. The leader
-// of the job's partition may not reach the store, and then ends the job's tasks sooner. The
-// announcement is only an optimization: if it is lost, the cancellation takes effect within
-// the answer window plus a worker's lease.
+// Heartbeats announce a cancellation to the other controllers for a few seconds. If the leader
+// of the job's partition does not reach the store, the announcement lets it stop the job's
+// tasks sooner. This is only an optimization: if the announcement is lost, the cancellation
+// takes effect within the answer window plus a worker's lease.
 const (
 	cancellationNoticeDuration = 5 * micros.Second
 	// maxCancellationNotices bounds the announced cancellations, so that a heartbeat fits
@@ -39,18 +39,18 @@
 // peerMessenger sends heartbeats to the other controllers and handles theirs.
 type peerMessenger struct {
 	*coordination.Environment
-	budget      *coordination.WriteBudget
-	cache       *coordination.WatchCache
-	cluster     *cluster.State
-	instances   *provisioning.InstanceList
-	lending     *planning.MachineLender
-	peers       *coordination.PeerTracker
-	roles       *coordination.RoleManager
-	scheduling  *planning.SchedulingCycle
-	schema      *coordination.SchemaTracker
-	storeHealth *coordination.StoreHealth
-	storeLease  *coordination.StoreLease
-	workerReach *coordination.WorkerReachability
+	budget          *coordination.WriteBudget
+	cache           *coordination.WatchCache
+	cluster         *cluster.State
+	instances       *provisioning.InstanceList
+	lender          *planning.MachineLender
+	peers           *coordination.PeerTracker
+	roles           *coordination.RoleManager
+	schedulingCycle *planning.SchedulingCycle
+	schema          *coordination.SchemaTracker
+	storeHealth     *coordination.StoreHealth
+	storeLease      *coordination.StoreLease
+	reachability    *coordination.WorkerReachability
 
 	cancellationNotices []cancellationNotice
 }
@@ -61,19 +61,19 @@
 	cache *coordination.WatchCache,
 	cluster *cluster.State,
 	instances *provisioning.InstanceList,
-	lending *planning.MachineLender,
+	lender *planning.MachineLender,
 	peers *coordination.PeerTracker,
 	roles *coordination.RoleManager,
-	scheduling *planning.SchedulingCycle,
+	schedulingCycle *planning.SchedulingCycle,
 	schema *coordination.SchemaTracker,
 	health *coordination.StoreHealth,
 	lease *coordination.StoreLease,
-	reach *coordination.WorkerReachability,
+	reachability *coordination.WorkerReachability,
 ) *peerMessenger {
 	return &peerMessenger{
-		Environment: env, budget: budget, cache: cache, cluster: cluster, instances: instances, lending: lending,
-		peers: peers, roles: roles, scheduling: scheduling, schema: schema, storeHealth: health, storeLease: lease,
-		workerReach: reach,
+		Environment: env, budget: budget, cache: cache, cluster: cluster, instances: instances, lender: lender,
+		peers: peers, roles: roles, schedulingCycle: schedulingCycle, schema: schema, storeHealth: health, storeLease: lease,
+		reachability: reachability,
 	}
 }
 
@@ -96,8 +96,8 @@
 		WriteRate:        max(minWriteRate, writeRate),
 		Node:             m.Settings.Node,
 		Healthy:          m.isHealthy(),
-		IdleMachines:     m.lending.IdleOffers(),
-		MachineRequests:  m.scheduling.MachineRequests,
+		IdleMachines:     m.lender.IdleOffers(),
+		MachineRequests:  m.schedulingCycle.MachineRequests,
 		CancelledJobs:    m.currentCancellationNotices(),
 		SchemaVersion:    records.SchemaVersion,
 		Stopping:         m.roles.Stopping,
@@ -107,20 +107,23 @@
 	}})
 }
 
-// isHealthy reports whether this controller can lead partitions.
+// isHealthy reports whether this controller is able to acquire partitions. Its replica must be
+// synchronized and it must have a lease. It must not be stopping, and must not have lost its
+// contact with the workers or the store.
 func (m *peerMessenger) isHealthy() bool {
 	if !m.cache.Synced || m.roles.Stopping || m.storeLease.Lease.ID == 0 {
 		return false
 	}
-	if m.workerReach.Isolated || m.Now < m.workerReach.NoAcquisitionBefore {
+	if m.reachability.Isolated || m.Now < m.reachability.NoAcquisitionBefore {
 		return false
 	}
 	since := m.storeHealth.UnavailableSince
 	return since == 0 || m.Now < since+healthStoreTimeout
 }
 
-// announceCancellation notifies the other controllers at once that this controller
-// confirmed a job's cancellation to a user.
+// announceCancellation announces to the other controllers that this controller confirmed a
+// job's cancellation to a user. The next heartbeat becomes due now. A cancellation beyond
+// maxCancellationNotices is not announced.
 func (m *peerMessenger) announceCancellation(id string) {
 	if len(m.cancellationNotices) < maxCancellationNotices {
 		m.cancellationNotices = append(m.cancellationNotices, cancellationNotice{jobID: id, confirmedAt: m.Now})
@@ -152,7 +155,7 @@
 		m.observeCancellation(id, heartbeat.Node)
 	}
 	if m.cache.Synced {
-		m.lending.HandleMachineRequests(heartbeat.MachineRequests)
+		m.lender.HandleMachineRequests(heartbeat.MachineRequests)
 		m.instances.ApplyPeerFindings(heartbeat)
 	}
 }
--- a/internal/core/provisioning_test.go
+++ b/internal/core/provisioning_test.go
@@ -29,7 +29,7 @@
 		{Key: records.RequestsPrefix + "0"},
 	} {
 		if !slices.Contains(record.Transaction.Body().Compares, compare) {
-			t.Errorf("got a write of the record without a compare, want %+v compared", compare)
+			t.Errorf("compares of the record's write: got %+v, want %+v among them", record.Transaction.Body().Compares, compare)
 		}
 	}
 	committed := &message.StoreReply{CallID: record.CallID, Status: message.StatusOK, Transaction: api.TransactionResult{Revision: 40}}
@@ -88,16 +88,16 @@
 	}
 }
 
-// TestDeletionFollowsTombstone guards against an instance that is deleted before its tombstone
-// is committed, and against a deletion without a valid lease.
-func TestDeletionFollowsTombstone(t *testing.T) {
+// TestDeletionWaitsForCommittedMark guards against an instance that is deleted before its
+// mark for deletion is committed, and against a deletion without a valid lease.
+func TestDeletionWaitsForCommittedMark(t *testing.T) {
 	fixture := newProvisioningFixture(t)
 	fixture.cluster.SetTask(fixture.job, 0, cluster.TaskRecord{})
 	fixture.registry.ScaleIn(fixture.machine, "test")
 	fixture.Effects = nil
 	fixture.deleter.DeleteNextBatch()
 	if n := len(effectsOf[message.CloudCall](fixture.Effects)); n != 0 {
-		t.Fatalf("before the tombstone is committed: got %d deletions, want 0", n)
+		t.Fatalf("before the mark is committed: got %d deletions, want 0", n)
 	}
 	fixture.machine.PendingChange = cluster.NoRecordChange // as if committed
 	fixture.machine.Record.MarkedForDeletion = true
--- a/internal/core/record_applier.go
+++ b/internal/core/record_applier.go
@@ -16,8 +16,8 @@
 	"github.com/go-json-experiment/json"
 )
 
-// newJobPlanDelay is the longest time from the first sight of a job to the next scheduling
-// cycle. The delay lets jobs that are submitted together be planned together.
+// newJobPlanDelay is the longest time from reading a new or changed record of a job to the
+// next scheduling cycle. The delay lets jobs that are submitted together be planned together.
 const newJobPlanDelay = micros.Second / 20
 
 // recordApplier applies the records that the watch cache reads to the replica and to the
@@ -69,8 +69,9 @@
 }
 
 // keyKinds returns the kinds in the order in which ReplaceAll applies them. Jobs come before
-// the logs, which hold the states of their tasks. Partitions come last, because a log is
-// applied only while this controller does not lead its partition.
+// the logs, because task states of unknown jobs are skipped. Partitions come last: if a claim
+// makes this controller the leader of a partition, it needs the jobs, machines and
+// provisioning requests of the partition at once.
 func (a *recordApplier) keyKinds() []keyKind {
 	return []keyKind{
 		{prefix: records.AdoptionKey, applyPut: a.applyAdoption},
@@ -198,8 +199,9 @@
 	return nil
 }
 
-// applyPartition applies a claim to lead a partition. An unreadable claim names no leader,
-// but the partition counts as led until the leader's lease must have expired.
+// applyPartition applies a claim to lead a partition. Of an unreadable claim only the part that
+// could be decoded is used, which may name no leader. The partition still counts as led until
+// its key is deleted, at the latest when the leader's lease expires.
 func (a *recordApplier) applyPartition(name string, value []byte, version api.Revision) error {
 	partition := a.partitionByName(name)
 	if partition == nil || partition.Term >= leadership.Term(version) {
--- a/internal/core/refusals.go
+++ b/internal/core/refusals.go
@@ -26,7 +26,7 @@
 	retryAfterJobsEndS = 5
 )
 
-// Refusals of requests of users and workers.
+// Refusals of users' requests. refusalNotSynced also refuses workers' heartbeats.
 var (
 	refusalNotSynced = refusal{
 		status: message.StatusServiceUnavailable, text: "the state service has not been read yet", retryAfterS: retrySoonS,
@@ -91,8 +91,8 @@
 	refusalLeaseMustExpire = refusal{
 		status: message.StatusServiceUnavailable, text: "a cancelled task may still start there", retryAfterS: retrySoonS,
 	}
-	// refusalNewerToken is used if the worker has a higher fencing token than ours: it obeys a
-	// later leader that our replica does not have yet.
+	// refusalNewerToken is used if the worker has a higher fencing token than ours: it got the
+	// token from a later leader that our replica does not show yet.
 	refusalNewerToken = refusal{
 		status: message.StatusServiceUnavailable, text: "not entitled", retryAfterS: retrySoonS,
 	}
--- a/internal/core/roles_test.go
+++ b/internal/core/roles_test.go
@@ -17,13 +17,17 @@
 const orphanAdopterKey = records.FleetRolePrefix + "strays"
 
 // TestUnreadableRoleCountsAsLed guards against a role that is taken from its leader because
-// its record is unreadable. The role must count as led until the leader's lease has expired.
+// its record is unreadable. The role must count as led until its key is deleted, here because
+// the leader's lease has expired.
 func TestUnreadableRoleCountsAsLed(t *testing.T) {
 	fixture := newProvisioningFixture(t)
 	fixture.applier.ApplyPut(orphanAdopterKey, []byte(`"?"`), 70)
 	role := fixture.roles.FleetRole(leadership.OrphanAdopter)
 	if fixture.roles.MayAcquire(role) || role.Leads() || fixture.roles.MayActAs(leadership.OrphanAdopter) {
-		t.Errorf("unreadable record: got vacant %t, led %t, want neither", fixture.roles.MayAcquire(role), role.Leads())
+		t.Errorf(
+			"unreadable record: got may acquire %t, leads %t, may act %t, want all false",
+			fixture.roles.MayAcquire(role), role.Leads(), fixture.roles.MayActAs(leadership.OrphanAdopter),
+		)
 	}
 	logged := slices.ContainsFunc(effectsOf[message.Log](fixture.Effects), func(line message.Log) bool {
 		return strings.Contains(line.Message, "unreadable value")
@@ -34,7 +38,7 @@
 	fixture.applier.ApplyDelete(orphanAdopterKey, 71)
 	fixture.Now += 10 * micros.Second
 	if !fixture.roles.MayAcquire(role) {
-		t.Error("after the lease expired: got a role that is not vacant, want it vacant")
+		t.Error("after the lease expired: got a role that may not be acquired, want that it may")
 	}
 }
 
--- a/internal/core/store_lease_test.go
+++ b/internal/core/store_lease_test.go
@@ -37,8 +37,8 @@
 }
 
 // TestResumedControllerWaitsForPeers guards against a controller that resumes from a pause
-// after its lease has expired but before its answer deadline. If it mistakes the silence of
-// its own pause for an outage of the store for all controllers, it answers workers that
+// after its lease has expired but before its answer deadline. If it mistakes the silence
+// during its own pause for an outage of the store for all controllers, it answers workers that
 // another controller already commands.
 func TestResumedControllerWaitsForPeers(t *testing.T) {
 	fixture := newLeaderFixture(t)
--- a/internal/core/submission.go
+++ b/internal/core/submission.go
@@ -135,8 +135,9 @@
 	})
 }
 
-// answerDuplicateOrRefuse refuses a submission unless the job was accepted before. In that
-// case it answers 200, whatever the body contains now. id is "" if the body has no job ID.
+// answerDuplicateOrRefuse answers 200 with the job's state if the job was accepted before,
+// whatever the body contains now. Otherwise it refuses the submission. id is "" if the body
+// has no job ID.
 func (h *submissionHandler) answerDuplicateOrRefuse(requestID uint64, id string, reason refusal) {
 	if id == "" {
 		refuse(h.Environment, requestID, reason)
--- a/internal/core/submission_test.go
+++ b/internal/core/submission_test.go
@@ -64,7 +64,7 @@
 			}
 			_, answered := answerTo(fixture.Step(fixture.Now+tc.writeTook, written), requestID)
 			if answered != tc.answeredAtOnce {
-				t.Errorf("answered at once: got %t, want the opposite", answered)
+				t.Errorf("answered at once: got %t, want %t", answered, tc.answeredAtOnce)
 			}
 		})
 	}
--- a/internal/core/summary.go
+++ b/internal/core/summary.go
@@ -20,9 +20,9 @@
 // summaryLogger periodically logs a summary of the cluster and the jobs that are blocked.
 type summaryLogger struct {
 	*coordination.Environment
-	cache      *coordination.WatchCache
-	cluster    *cluster.State
-	scheduling *planning.SchedulingCycle
+	cache           *coordination.WatchCache
+	cluster         *cluster.State
+	schedulingCycle *planning.SchedulingCycle
 
 	nextSummaryAt micros.Micros
 }
@@ -31,9 +31,9 @@
 	env *coordination.Environment,
 	cache *coordination.WatchCache,
 	cluster *cluster.State,
-	scheduling *planning.SchedulingCycle,
+	schedulingCycle *planning.SchedulingCycle,
 ) *summaryLogger {
-	return &summaryLogger{Environment: env, cache: cache, cluster: cluster, scheduling: scheduling}
+	return &summaryLogger{Environment: env, cache: cache, cluster: cluster, schedulingCycle: schedulingCycle}
 }
 
 // logSummary logs a summary, if one is due, and why the first blocked jobs of each team wait.
@@ -62,7 +62,7 @@
 // logBlockedJobs logs why the first blocked jobs of each team, in order of their IDs, wait.
 func (s *summaryLogger) logBlockedJobs() {
 	loggedByTeam := map[string]int{}
-	for _, id := range slices.Sorted(maps.Keys(s.scheduling.BlockedReasons)) {
+	for _, id := range slices.Sorted(maps.Keys(s.schedulingCycle.BlockedReasons)) {
 		job := s.cluster.Jobs[id]
 		if job == nil || loggedByTeam[job.Spec.Team] >= maxBlockedJobsLoggedPerTeam {
 			continue
@@ -72,7 +72,7 @@
 			logkey.Job, id,
 			logkey.Team, job.Spec.Team,
 			logkey.ForS, (s.Now - job.EligibleAt()).WholeSeconds(),
-			logkey.Reason, s.scheduling.BlockedReasons[id])
+			logkey.Reason, s.schedulingCycle.BlockedReasons[id])
 	}
 }
 
--- a/internal/core/worker_heartbeat.go
+++ b/internal/core/worker_heartbeat.go
@@ -19,15 +19,15 @@
 // reconciles the reports in both with the recorded state.
 type workerHandler struct {
 	*coordination.Environment
-	boots       *cluster.BootStatistics
-	cache       *coordination.WatchCache
-	cluster     *cluster.State
-	instances   *provisioning.InstanceList
-	manager     *planning.MachineManager
-	storeLease  *coordination.StoreLease
-	tasks       *cluster.TaskLifecycle
-	trigger     *cluster.CycleTrigger
-	workerReach *coordination.WorkerReachability
+	boots        *cluster.BootStatistics
+	cache        *coordination.WatchCache
+	cluster      *cluster.State
+	instances    *provisioning.InstanceList
+	manager      *planning.MachineManager
+	storeLease   *coordination.StoreLease
+	tasks        *cluster.TaskLifecycle
+	trigger      *cluster.CycleTrigger
+	reachability *coordination.WorkerReachability
 }
 
 func newWorkerHandler(
@@ -40,11 +40,11 @@
 	lease *coordination.StoreLease,
 	tasks *cluster.TaskLifecycle,
 	trigger *cluster.CycleTrigger,
-	reach *coordination.WorkerReachability,
+	reachability *coordination.WorkerReachability,
 ) *workerHandler {
 	return &workerHandler{
 		Environment: env, boots: boots, cache: cache, cluster: cluster, instances: instances, manager: manager,
-		storeLease: lease, tasks: tasks, trigger: trigger, workerReach: reach,
+		storeLease: lease, tasks: tasks, trigger: trigger, reachability: reachability,
 	}
 }
 
@@ -53,7 +53,7 @@
 // so its tasks continue to run.
 func (h *workerHandler) handleHeartbeat(request message.WorkerHeartbeat) {
 	heartbeat := request.Heartbeat
-	h.workerReach.ObserveContact()
+	h.reachability.ObserveContact()
 	if !h.cache.Synced {
 		refuse(h.Environment, request.RequestID, refusalNotSynced)
 		return
@@ -102,8 +102,9 @@
 
 // otherLeader returns the node of the other controller that leads a machine's partition, or
 // "" if none is known. A controller without a valid lease on the store returns "", because
-// its replica may be outdated: two controllers that had lost the store redirected workers to
-// each other until the leases of seven hundred machines had expired.
+// its replica may be outdated. Otherwise two controllers that have lost the store redirect
+// workers to each other until the workers' leases expire, in one case those of seven hundred
+// machines.
 func (h *workerHandler) otherLeader(machine *cluster.Machine) string {
 	index := machine.Record.Partition
 	known := index >= 0 && index < len(h.cluster.Partitions) && h.cluster.Partitions[index].Term > 0
--- a/internal/message/effects.go
+++ b/internal/message/effects.go
@@ -31,7 +31,9 @@
 	LeaseID     uint64       // for OpRenewLease
 	TTLMs       int64        // for OpGrantLease, in milliseconds
 	Transaction leadership.Order[*api.Transaction]
-	Urgent      bool // not delayed by the rate limit on requests; set for lease renewals
+	// Urgent calls are not delayed by the rate limit on requests. They grant or renew the lease,
+	// or read the latest changes.
+	Urgent bool
 }
 
 // StoreOp is an operation of the key-value store.
--- a/internal/message/inputs.go
+++ b/internal/message/inputs.go
@@ -54,16 +54,18 @@
 	Machine      string
 	FencingToken api.FencingToken // token that the commands were sent under
 	StartsTasks  bool             // at least one of the commands starts a task
-	Unsent       bool             // too many commands were in flight, so nothing left this process
-	Status       int
-	Heartbeat    *api.Heartbeat
+	// Unsent means that nothing left this process: too many commands were in flight, the
+	// commands were decided too long ago, or their grant no longer permitted them.
+	Unsent    bool
+	Status    int
+	Heartbeat *api.Heartbeat
 }
 
 // StoreReply is the reply to a StoreCall. Only the result of the call's operation is set.
 type StoreReply struct {
 	CallID      uint64
 	Status      int
-	Unsent      bool // its grant had ended: nothing left this process
+	Unsent      bool // its grant no longer permitted it: nothing left this process
 	Item        api.KeyValue
 	Page        api.KeyValuePage
 	Transaction api.TransactionResult
@@ -75,7 +77,7 @@
 type CloudReply struct {
 	CallID    uint64
 	Status    int
-	Unsent    bool // its grant had ended: nothing left this process
+	Unsent    bool // its grant no longer permitted it: nothing left this process
 	Catalog   api.Catalog
 	Launched  []string // names of the machines
 	Instances api.InstancePage
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -19,7 +19,7 @@
 type Heartbeat struct {
 	Version         int              `msgpack:"V"`
 	Node            string           `msgpack:"Node"`    // the sender
-	Healthy         bool             `msgpack:"StoreOK"` // the sender could lead more partitions
+	Healthy         bool             `msgpack:"StoreOK"` // the sender is able to acquire partitions
 	IdleMachines    []IdleMachine    `msgpack:"Idle"`
 	MachineRequests []MachineRequest `msgpack:"Asks"`
 	// WriteRate is the sender's recent rate of writes to the key-value store, per second; 0
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -20,7 +20,7 @@
 	}
 	received, err := Decode(encoded)
 	if err != nil || !reflect.DeepEqual(sent, received) {
-		t.Errorf("got %+v, error %v, want the heartbeat that was sent", received, err)
+		t.Errorf("got %+v, error %v, want %+v", received, err, sent)
 	}
 }
 
@@ -76,7 +76,7 @@
 	}
 	received, err := Decode(encoded)
 	if err != nil || !reflect.DeepEqual(&sent, received) {
-		t.Errorf("decoding: got %+v, error %v, want the heartbeat that was sent", received, err)
+		t.Errorf("decoding: got %+v, error %v, want %+v", received, err, &sent)
 	}
 }
 
@@ -89,7 +89,7 @@
 	f.Fuzz(func(t *testing.T, encoded []byte) {
 		heartbeat, err := Decode(encoded)
 		if err == nil && (heartbeat.Node == "" || heartbeat.Version != Version) {
-			t.Errorf("got %+v without an error, want one for an invalid header", heartbeat)
+			t.Errorf("got %+v without an error, want a sender and version %d", heartbeat, Version)
 		}
 	})
 }
