--- a/internal/api/job_validation.go
+++ b/internal/api/job_validation.go
@@ -95,7 +95,7 @@
 // fields return the field's value if it is valid; otherwise only err counts.
 type fieldChecker struct{ err error }
 
-// identity checks the fields that say whose job it is and of what kind.
+// identity checks the fields that say whose job it is and of what kind, and copies them to job.
 func (c *fieldChecker) identity(submitted *submission, job *Job) {
 	job.ID = c.id("Id", submitted.ID)
 	job.Class = c.text("Clase", submitted.Class)
@@ -105,7 +105,8 @@
 	job.Tasks = c.tasks("Tareas", submitted.Tasks)
 }
 
-// requirements checks the fields that say which resources a task needs and where it may run.
+// requirements checks the fields that say which resources a task needs and where it may run,
+// and copies them to job.
 func (c *fieldChecker) requirements(submitted *submission, job *Job) {
 	job.CPUs = c.amount("Vcpus", submitted.CPUs)
 	job.GPUs = c.amount("Accelerators", submitted.GPUs)
@@ -121,7 +122,8 @@
 	job.Spot = c.flag("Prestadas", submitted.Spot)
 }
 
-// times checks the estimated run time, the times of checkpoints and the deadline.
+// times checks the estimated run time, the times of checkpoints and the deadline, and copies
+// them to job.
 func (c *fieldChecker) times(submitted *submission, job *Job) {
 	job.EstimateS = c.amount("EstimadoS", submitted.EstimateS)
 	job.CheckpointIntervalS = c.amount("RespaldoS", submitted.CheckpointIntervalS)
@@ -224,7 +226,8 @@
 	return *value
 }
 
-// dependencies returns the ids of the jobs that a job waits for, without duplicates.
+// dependencies returns the ids of the jobs that a job waits for, without duplicates. Each must
+// have the format of a job id.
 func (c *fieldChecker) dependencies(field string, ids []string) []string {
 	var dependencies []string
 	seen := map[string]bool{}
--- a/internal/api/worker.go
+++ b/internal/api/worker.go
@@ -22,7 +22,8 @@
 // ExitReason says why a task ended, or why its worker did not start it.
 type ExitReason string
 
-// Exit reasons; the values are the protocol's.
+// Exit reasons; the values are the protocol's. After one that says "not started" the controllers
+// place the task again, and count no failure of the job or the machine.
 const (
 	ExitDone           ExitReason = "done"
 	ExitStopped        ExitReason = "halted"
@@ -30,8 +31,8 @@
 	ExitGangIncomplete ExitReason = "alone"      // the rest of its gang did not start in time
 	ExitFailed         ExitReason = "error"
 	ExitNoRoom         ExitReason = "no_room" // not started: the machine lacks free resources
-	ExitBusy           ExitReason = "busy"    // not started: another attempt has not ended there
-	ExitUnknownTask    ExitReason = "no_such" // not started: the worker does not find the task
+	ExitBusy           ExitReason = "busy"    // not started: another attempt of the task has not exited on the machine
+	ExitUnknownTask    ExitReason = "no_such" // not started: the worker knows no such task
 )
 
 // Attempt numbers the placements of a task, from 1. A worker applies a command only to the
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// Do sends a call and returns the reply. Its status is 0 if no reply came, and 429 if the
-// budget did not allow the call.
+// Do sends a call and returns the reply. Its status is 0 if no reply came or it could not be
+// decoded, and 429 if the budget did not allow the call.
 func (c *Client) Do(ctx context.Context, call message.CloudCall) *message.CloudReply {
 	reply := &message.CloudReply{CallID: call.CallID}
 	decodeReply := func(status int, body []byte) error { return decode(call.Op, status, body, reply) }
--- a/internal/jsonhttp/client_test.go
+++ b/internal/jsonhttp/client_test.go
@@ -33,7 +33,7 @@
 			replies := 0
 			err := client.Do(t.Context(), tc.request, func(int, []byte) error { replies++; return nil })
 			if errors.Is(err, ErrBudgetExhausted) != tc.refused || tc.refused != (replies == 0) {
-				t.Errorf("got %d replies, error %v, want either a reply or, beyond the budget, ErrBudgetExhausted", replies, err)
+				t.Errorf("got %d replies, error %v, want no reply but ErrBudgetExhausted: %t", replies, err, tc.refused)
 			}
 		})
 	}
--- a/internal/jsonhttp/not_sent_test.go
+++ b/internal/jsonhttp/not_sent_test.go
@@ -51,10 +51,10 @@
 		err := Do(host, request, func(int, []byte) error { return nil })
 		var notSent *NotSentError
 		if errors.As(err, &notSent) == tc.sent || tc.refusal != nil && !errors.Is(err, refusal) {
-			t.Errorf("BeforeSend returns %v: got error %v, want a NotSentError that wraps it, and none for nil", tc.refusal, err)
+			t.Errorf("BeforeSend returns %v: got error %v, want a NotSentError that wraps it: %t", tc.refusal, err, !tc.sent)
 		}
 		if size := <-received; size > 0 != tc.sent {
-			t.Errorf("BeforeSend returns %v: got %d bytes at the server, want none if it refuses", tc.refusal, size)
+			t.Errorf("BeforeSend returns %v: got %d bytes at the server, want any: %t", tc.refusal, size, tc.sent)
 		}
 		if checks != 1 {
 			t.Errorf("got %d calls of BeforeSend, want 1", checks)
--- a/internal/server/grant_checker_test.go
+++ b/internal/server/grant_checker_test.go
@@ -55,7 +55,7 @@
 			err := checker.check(grant, action)
 			var refused *refusedError
 			if errors.As(err, &refused) != (tc.want != "") {
-				t.Fatalf("%s %s: got error %v, want a refusal except in time", action, tc.name, err)
+				t.Fatalf("%s %s: got error %v, want a refusal with the reason %q, none if that is empty", action, tc.name, err, tc.want)
 			}
 			if tc.want == "" {
 				continue
--- a/internal/server/input_queue.go
+++ b/internal/server/input_queue.go
@@ -37,7 +37,7 @@
 const urgentQueueLength = 256
 
 // newInputQueue returns a queue with a place for one request of each connection. A shorter
-// queue rejects workers that do have a socket.
+// queue rejects requests of workers that have a connection.
 func newInputQueue(maxConnections int) *inputQueue {
 	return &inputQueue{
 		urgent:  make(chan queuedInput, urgentQueueLength),
--- a/internal/server/public_handler_test.go
+++ b/internal/server/public_handler_test.go
@@ -42,7 +42,7 @@
 		conn, got := sendRequest(t, set.InternalAddr, "POST "+path+" HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\n\r\nx")
 		_ = conn.Close()
 		if got != (httpReply{status: want}) {
-			t.Errorf("POST %s to the internal address: got %+v, want 404 for an unknown path and 400 for /peer, no body", path, got)
+			t.Errorf("POST %s to the internal address: got %+v, want %+v", path, got, httpReply{status: want})
 		}
 	}
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -112,8 +112,8 @@
 	bytesPerMB       = 1 << 20
 )
 
-// setRuntimeLimits sets the Go runtime's limits on threads and memory. The machine runs one
-// thread at a time, so more than one would gain nothing.
+// setRuntimeLimits sets the Go runtime's limits on threads and memory. The machine of a
+// controller runs one thread at a time, so more than one would gain nothing.
 func setRuntimeLimits(memoryMB float64) {
 	runtime.GOMAXPROCS(1)
 	debug.SetMemoryLimit(int64(memoryMB * memoryLimitShare * bytesPerMB))
--- a/internal/server/staleness_test.go
+++ b/internal/server/staleness_test.go
@@ -32,10 +32,10 @@
 		t.Run(tc.name+", a command", func(t *testing.T) {
 			reply, reached := sendCommandAfter(t, tc.after)
 			if reached == tc.stale {
-				t.Errorf("command decided %d us ago: got %t for reaching its worker, want the opposite", tc.after, reached)
+				t.Errorf("command decided %d us ago: got %t for reaching its worker, want %t", tc.after, reached, !tc.stale)
 			}
 			if reply.Unsent != tc.stale {
-				t.Errorf("command decided %d us ago: got Unsent %t, want the opposite", tc.after, reply.Unsent)
+				t.Errorf("command decided %d us ago: got Unsent %t, want %t", tc.after, reply.Unsent, tc.stale)
 			}
 		})
 	}
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -60,7 +60,7 @@
 	if c.down {
 		reply.Status = http.StatusServiceUnavailable
 		if call.Op == message.OpLaunch {
-			c.trackLaunch(sender, call.Launch, false)
+			c.recordLaunch(sender, call.Launch, false)
 		}
 		return reply
 	}
@@ -72,17 +72,17 @@
 		if reply.Launched = c.launch(call.Launch.Body()); len(reply.Launched) == 0 {
 			reply.Status = http.StatusServiceUnavailable
 		}
-		c.trackLaunch(sender, call.Launch, len(c.sim.workers) > machinesBefore)
+		c.recordLaunch(sender, call.Launch, len(c.sim.workers) > machinesBefore)
 	case message.OpDelete:
-		c.sim.trackGrantedOrder(sender, call.Delete.Grant(), "", c.delete(call.Delete.Body()))
+		c.sim.recordGrantedOrder(sender, call.Delete.Grant(), "", c.delete(call.Delete.Body()))
 	case message.OpListInstances:
 		reply.Instances.Instances = c.list(call.After)
 	}
 	return reply
 }
 
-// list returns the instances whose names sort after a name. Instances are listed only
-// listLag after their launch.
+// list returns the instances whose names sort after the given one. An instance is listed only
+// once listLag has passed since its launch.
 func (c *cloud) list(after string) []api.Instance {
 	var instances []api.Instance
 	for _, worker := range c.sim.workers {
@@ -101,10 +101,10 @@
 	return instances
 }
 
-// trackLaunch tracks a launch request on its arrival.
-func (c *cloud) trackLaunch(sender *node, launch leadership.Order[*api.LaunchRequest], tookEffect bool) {
+// recordLaunch records a launch request on its arrival.
+func (c *cloud) recordLaunch(sender *node, launch leadership.Order[*api.LaunchRequest], tookEffect bool) {
 	grant := launch.Grant()
-	c.sim.trackOrder(receivedOrder{
+	c.sim.recordOrder(receivedOrder{
 		sender: sender.name, role: grant.RoleName(), term: grant.Term(), action: leadership.ActionLaunch,
 		request: launch.Body().Name, tookEffect: tookEffect,
 	})
@@ -147,8 +147,8 @@
 	return c.launchedFor[request.Name]
 }
 
-// capacity returns how many more machines of the request's type, zone and kind the cloud can
-// launch, given the limit on their number.
+// capacity returns how many more machines of the request's type and zone the cloud can launch,
+// given the limit on their number. The limit applies to spot machines and to others separately.
 func (c *cloud) capacity(limit int, request *api.LaunchRequest) int {
 	for _, worker := range c.sim.workers {
 		if !worker.terminated && worker.machineType.Name == request.Type && worker.zone == request.Zone && worker.spot == request.Spot {
--- a/internal/simulation/effects.go
+++ b/internal/simulation/effects.go
@@ -22,8 +22,8 @@
 	cloudReplyDelay   = micros.Second / 20
 )
 
-// perform executes an effect of a controller's core.
-func (s *Simulation) perform(node *node, effect message.Effect) {
+// executeEffect executes an effect that a controller's core returned.
+func (s *Simulation) executeEffect(node *node, effect message.Effect) {
 	switch effect := effect.(type) {
 	case message.Answer:
 		s.answerRequest(node, effect)
@@ -79,7 +79,7 @@
 	}
 }
 
-// callStore sends a request to the key-value store. A transaction must pass the gate first.
+// callStore sends a request to the key-value store. It checks the grant of a transaction first.
 func (s *Simulation) callStore(node *node, call message.StoreCall) {
 	reply := s.deliverOnce(node)
 	timeout := storeTimeout + micros.FromMilliseconds(call.WaitMs)
@@ -124,7 +124,7 @@
 // ignoreStoreReply receives the replies that are lost.
 func ignoreStoreReply(*message.StoreReply) {}
 
-// callCloud sends a request to the cloud. A launch or deletion must pass the gate first.
+// callCloud sends a request to the cloud. It checks the grant of a launch or deletion first.
 func (s *Simulation) callCloud(node *node, call message.CloudCall) {
 	reply := s.deliverOnce(node)
 	s.after(cloudTimeout, func() { reply(&message.CloudReply{CallID: call.CallID}) })
@@ -155,7 +155,7 @@
 	})
 }
 
-// sendCommands sends direct commands to a worker. They must pass the gate first.
+// sendCommands sends direct commands to a worker. It checks their grant first.
 func (s *Simulation) sendCommands(node *node, commands message.SendCommands) {
 	reply := s.deliverOnce(node)
 	unanswered := message.CommandReply{
@@ -170,7 +170,7 @@
 }
 
 // deliverCommands delivers direct commands to a worker, and its answer to the node. It
-// reports them as unsent if the node already has the most commands in flight.
+// reports them as unsent if maxCommandsInFlight commands of the node are in flight.
 func (s *Simulation) deliverCommands(
 	node *node, commands message.SendCommands, unanswered message.CommandReply, reply func(message.Input),
 ) {
@@ -214,7 +214,7 @@
 	body := commands.Body.Body()
 	answer.Status, answer.Heartbeat = target.receiveCommands(body)
 	tookEffect := answer.Status == http.StatusOK && len(body.Commands) > 0
-	s.trackGrantedOrder(node, commands.Body.Grant(), commands.Machine, tookEffect)
+	s.recordGrantedOrder(node, commands.Body.Grant(), commands.Machine, tookEffect)
 	s.maybeRepeat(func() { target.whenRunning(func() { target.receiveCommands(body) }) })
 	return answer
 }
--- a/internal/simulation/events.go
+++ b/internal/simulation/events.go
@@ -6,7 +6,7 @@
 	"spurmoor/internal/micros"
 )
 
-// event is an action that is due at an instant. Events that are due at the same instant run
+// event is an action that is due at a simulated time. Events that are due at the same time run
 // in the order in which they were scheduled.
 type event struct {
 	at       micros.Micros
@@ -45,7 +45,7 @@
 	return last
 }
 
-// schedule schedules an action for an instant, or for now if the instant has passed.
+// schedule schedules an action to run at the given time, or now if that has passed.
 func (s *Simulation) schedule(at micros.Micros, action func()) {
 	s.eventSequence++
 	heap.Push(&s.events, event{max(at, s.now), s.eventSequence, action})
@@ -64,7 +64,7 @@
 	s.after(period, repeat)
 }
 
-// runUntil runs all events that are due until an instant, and advances simulated time to it.
+// runUntil runs all events that are due until the given time, and advances simulated time to it.
 func (s *Simulation) runUntil(until micros.Micros) {
 	for len(s.events) > 0 && s.events[0].at <= until {
 		next, ok := heap.Pop(&s.events).(event)
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -86,7 +86,7 @@
 // Names of the occurrences whose numbers scenario files bound.
 const (
 	occurredPacketLoss         = "packets lost and resent"
-	occurredGateRefusal        = "orders refused at the gate"
+	occurredOrderRefused       = "orders refused at the gate"
 	occurredLateLaunch         = "late copies of refused rentals"
 	occurredNeverBooted        = "machines that never come up"
 	occurredBusyMachineDeleted = "machines deleted at work"
@@ -125,7 +125,7 @@
 	heldPackets             []func()
 }
 
-// probabilisticFault affects a share of all messages or jobs of a kind until an instant.
+// probabilisticFault affects a share of all messages or jobs of one kind until a set time.
 type probabilisticFault struct {
 	share float64
 	until micros.Micros
--- a/internal/simulation/faults_messages.go
+++ b/internal/simulation/faults_messages.go
@@ -13,7 +13,8 @@
 	// A late write is executed 2 to 12 s late, after newer ones.
 	minWriteDelay    = 2 * micros.Second
 	writeDelaySpread = 10 * micros.Second
-	// The copy of a late heartbeat arrives within two lease terms.
+	// The copy of a late heartbeat arrives 2 s late, plus up to 1.8 lease terms. For leases of
+	// 10 s and longer that is within two lease terms.
 	minHeartbeatDelay          = 2 * micros.Second
 	heartbeatDelaySpreadLeases = 1.8
 	// heldHeartbeatDelay is the time from a failover until the heartbeats that were held for
@@ -47,8 +48,8 @@
 	return true
 }
 
-// copyLateHeartbeat delivers a copy of a heartbeat that a fault of late heartbeats affects:
-// within two lease terms, or in modeForNext when a partition has its next leader.
+// copyLateHeartbeat delivers a copy of a heartbeat if a fault of late heartbeats affects it:
+// after a random delay, or in modeForNext when a partition has its next leader.
 func (s *Simulation) copyLateHeartbeat(heartbeat *api.Heartbeat) {
 	if !s.faults.lateHeartbeats.applies(s) {
 		return
@@ -70,10 +71,10 @@
 	})
 }
 
-// trackLeaderRecord detects that a write to the store changes a partition's leader record. It
-// then delivers the heartbeats that were held for the next leader, so that they arrive before
-// the workers' first heartbeats to it.
-func (s *Simulation) trackLeaderRecord(key string, value []byte) {
+// recordLeaderChange records a write to the store if it changes a partition's leader record. It
+// then schedules the delivery of the heartbeats that were held for the next leader, so that they
+// arrive before the workers' first heartbeats to it.
+func (s *Simulation) recordLeaderChange(key string, value []byte) {
 	previous := s.leaderRecords[key]
 	if !strings.HasPrefix(key, records.PartitionPrefix) || previous == string(value) {
 		return
--- a/internal/simulation/faults_users.go
+++ b/internal/simulation/faults_users.go
@@ -18,8 +18,9 @@
 	invalidRequestPeriod = micros.Second / 2
 	// firstUnknownJob is higher than the numbers of all jobs of scenarios.
 	firstUnknownJob = 900000
-	// One in invalidRequestOneIn users, on average, sends invalid requests each time.
-	invalidRequestOneIn = 8
+	// Each time one in resubmissionOneIn users of accepted jobs, on average, repeats its
+	// submission with another body.
+	resubmissionOneIn = 8
 	// Properties of validJob.
 	validJobTasks = 2
 	validJobRunS  = 5
@@ -86,8 +87,8 @@
 	status   int
 }
 
-// invalidSubmissions ask for more than any machine has, lack a field, or have a field with a
-// wrong value or type.
+// invalidSubmissions ask for more than any machine has, lack a field, have a field with a wrong
+// value or type, or are no JSON object.
 var invalidSubmissions = []invalidSubmission{
 	{`"Vcpus":1`, `"Vcpus":5000`, http.StatusUnprocessableEntity},
 	{`"Dueno":"norte"`, `"Dueno":"nadie"`, http.StatusUnprocessableEntity},
@@ -101,8 +102,8 @@
 // validJob is the job whose submission invalidSubmissions change.
 var validJob = Job{Tasks: validJobTasks, RunS: validJobRunS}
 
-// sendInvalidRequests makes users periodically send requests that must be refused, until an
-// instant.
+// sendInvalidRequests makes users periodically send requests that must be refused, until the
+// given time.
 func (s *Simulation) sendInvalidRequests(until micros.Micros) {
 	unknownJob := firstUnknownJob
 	var repeat func()
@@ -119,8 +120,8 @@
 	repeat()
 }
 
-// submitInvalidJobs submits invalid jobs under a number that was never accepted. It also
-// queries and cancels the job with that number.
+// submitInvalidJobs submits invalid jobs under the ID of a job that was never accepted. It also
+// queries and cancels the job with that ID.
 func (s *Simulation) submitInvalidJobs(node *node, number int) {
 	sender := &user{sim: s, id: jobID(number)}
 	valid := string(submission(validJob.spec(number)))
@@ -148,7 +149,7 @@
 // body, and cancel the job if it has ended. Neither may change the job.
 func (s *Simulation) repeatWithOtherBodies(node *node) {
 	for _, owner := range s.users {
-		if !owner.accepted || s.rng.IntN(invalidRequestOneIn) > 0 {
+		if !owner.accepted || s.rng.IntN(resubmissionOneIn) > 0 {
 			continue
 		}
 		body := []byte(strings.Replace(string(owner.body), `"Vcpus":`, `"Vcpus":5000.`, 1))
--- a/internal/simulation/faults_violations.go
+++ b/internal/simulation/faults_violations.go
@@ -21,7 +21,7 @@
 	return &worker{sim: s, name: rogueMachine, machineType: machineType, zone: zone, incarnation: rogueIncarnation}
 }
 
-// owner returns the user of the job whose number the fault has in its Node.
+// owner returns the user of the job whose number is the fault's Node.
 func (s *Simulation) owner(fault injection) *user { return s.usersByID[jobID(fault.Node)] }
 
 // violateByWithheldAnswers withholds all further answers to the polls of a job's user.
--- a/internal/simulation/heartbeat.go
+++ b/internal/simulation/heartbeat.go
@@ -98,7 +98,7 @@
 	})
 }
 
-// workerHeartbeat returns a builder of the input for a worker's heartbeat.
+// workerHeartbeat returns a function that builds the input for a worker's heartbeat.
 func workerHeartbeat(heartbeat *api.Heartbeat) inputBuilder {
 	return func(requestID uint64) message.Input {
 		return message.WorkerHeartbeat{RequestID: requestID, Heartbeat: heartbeat}
@@ -134,8 +134,8 @@
 	c.worker.nextHeartbeatAt = max(c.worker.nextHeartbeatAt, retryAt)
 }
 
-// finish ends the wait for the answer unless it has ended before. The next heartbeat goes to
-// the node with an index, at the latest at an instant.
+// finish ends the wait for the answer unless it has ended before. The next heartbeat is sent to
+// the node with this index, no later than latestAt.
 func (c *heartbeatCall) finish(latestAt micros.Micros, nodeIndex int) {
 	if c.worker.pendingHeartbeat == c.number {
 		c.worker.pendingHeartbeat = 0
--- a/internal/simulation/invariants.go
+++ b/internal/simulation/invariants.go
@@ -96,8 +96,8 @@
 	c.report(broken, fmt.Sprintf(format, args...))
 }
 
-// cancelTimeout returns the time after the confirmation of a job's cancellation from which on
-// none of its tasks may run.
+// cancelTimeout returns how long a job's tasks may still run after its cancellation was
+// confirmed.
 func (c *invariantChecker) cancelTimeout() micros.Micros {
 	return micros.FromSeconds(c.sim.scenario.CancelS)
 }
@@ -128,5 +128,5 @@
 	return 0, false
 }
 
-// isTerminal reports whether a job in a state never changes its state again.
+// isTerminal reports whether a state is terminal: a job never leaves it.
 func isTerminal(state api.JobState) bool { return state == api.JobDone || state == api.JobCancelled }
--- a/internal/simulation/invariants_tasks.go
+++ b/internal/simulation/invariants_tasks.go
@@ -11,7 +11,8 @@
 // controller has confirmed its cancellation.
 const lateStartTolerance = 5 * micros.Second
 
-// taskStarted checks and counts a task that starts on a machine, when its image is there.
+// taskStarted checks and counts a task that starts on a machine. It is called once the task's
+// image is on the machine.
 func (c *invariantChecker) taskStarted(machine *worker, task *workerTask) {
 	c.startCount++
 	if _, ok := c.firstStart[task.job]; !ok {
@@ -50,8 +51,8 @@
 		(spec.Spot || !machine.spot)
 }
 
-// checkZonesAndQuota checks the zones of a job and the limit of its team after a task has been
-// counted.
+// checkZonesAndQuota checks the zones of a job's tasks and the limit of its team. It is called
+// after a task that starts in the zone has been counted.
 func (c *invariantChecker) checkZonesAndQuota(task *workerTask, spec api.Job, zone string) {
 	tasksInZone := c.tasksInZone[task.job]
 	if spec.OneZone && len(tasksInZone) > 1 {
@@ -70,8 +71,8 @@
 // have.
 func maxTasksPerZone(spec api.Job) int { return (spec.Tasks + 1) / len(zones) }
 
-// countTask updates the numbers of the team and the zone: by a delta of 1 for a task that
-// becomes active on its machine, of -1 for one that no longer is.
+// countTask updates the GPUs in use by the team and the job's number of tasks in the zone. The
+// delta is 1 for a task that becomes active on its machine, and -1 for one that no longer is.
 func (c *invariantChecker) countTask(task *workerTask, delta int) {
 	spec := c.sim.jobs[task.job].spec(0)
 	c.gpusInUse[spec.Team] += float64(delta) * spec.GPUs
@@ -86,7 +87,7 @@
 	}
 }
 
-// taskRemoved stops counting a task that is no longer on its machine.
+// taskRemoved stops counting a task that is no longer active on its machine.
 func (c *invariantChecker) taskRemoved(task *workerTask) {
 	attempts := c.activeAttempts[task.id]
 	for i, other := range attempts {
--- a/internal/simulation/loopback_jobs_test.go
+++ b/internal/simulation/loopback_jobs_test.go
@@ -8,8 +8,8 @@
 	"github.com/go-json-experiment/json"
 )
 
-// submit submits a job under a number, to one controller after the other until one accepts
-// it, and returns the job's id.
+// submit submits a job with the given number, to one controller after the other until one
+// accepts it, and returns the job's id.
 func (l *loopbackCluster) submit(number int, job Job) string {
 	l.t.Helper()
 	job.ID = number
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -55,7 +55,7 @@
 	heldPackets    []func()
 }
 
-// localTime returns the time that the node's clock shows at an instant.
+// localTime returns the time that the node's clock shows at the given simulated time.
 func (n *node) localTime(now micros.Micros) micros.Micros {
 	drift := micros.Micros(float64(now-n.driftStartedAt) * n.clock.DriftPPM / partsPerMillion)
 	return now + drift + micros.FromSeconds(n.clock.AheadS)
@@ -108,7 +108,7 @@
 	})
 }
 
-// step passes an input to a node's core and performs the effects. A paused node receives the
+// step passes an input to a node's core and executes the effects. A paused node receives the
 // input when it resumes, except for a tick, which is dropped.
 func (s *Simulation) step(node *node, input message.Input) {
 	if !node.up {
@@ -124,7 +124,7 @@
 		if s.observe != nil {
 			s.observe(s.now, node.name, effect)
 		}
-		s.perform(node, effect)
+		s.executeEffect(node, effect)
 	}
 }
 
@@ -142,7 +142,7 @@
 	}
 }
 
-// inputBuilder returns the input of a request with an ID.
+// inputBuilder returns the input for the request with the given ID.
 type inputBuilder func(requestID uint64) message.Input
 
 // request passes a request to a node. receive is called with the answer unless the node's
--- a/internal/simulation/orders.go
+++ b/internal/simulation/orders.go
@@ -34,11 +34,12 @@
 	tookEffect bool   // false: refused, or without a change
 }
 
-// trackOrder records an order, and checks that no order of a role takes effect under an older
-// term than one that took effect before: among all writes, and among the commands at each
-// worker. A deletion is harmless under any term, as its decision was committed before. So is a
-// launch that is recorded as open, as the partition's current leader gets its machines.
-func (s *Simulation) trackOrder(order receivedOrder) {
+// recordOrder records an order, and checks that no order of a role takes effect under an older
+// term than one that took effect before. Commands are compared with the commands at the same
+// worker, and writes and launches with each other. A deletion is harmless under any term, as its
+// decision was committed before. So is a launch that is recorded as open, as the partition's
+// current leader gets its machines. Without ExclusiveRoles, launches are not checked.
+func (s *Simulation) recordOrder(order receivedOrder) {
 	order.at = s.now
 	if order.action == leadership.ActionLaunch {
 		s.checkLaunchRecorded(order)
@@ -91,17 +92,18 @@
 	return record != nil && strings.Contains(string(record.data), quoted(order.request))
 }
 
-// trackGrantedOrder tracks an order with the role, term and action of its grant.
-func (s *Simulation) trackGrantedOrder(sender *node, grant leadership.Grant, machine string, tookEffect bool) {
-	s.trackOrder(receivedOrder{
+// recordGrantedOrder records an order with the role, term and action of its grant.
+func (s *Simulation) recordGrantedOrder(sender *node, grant leadership.Grant, machine string, tookEffect bool) {
+	s.recordOrder(receivedOrder{
 		sender: sender.name, role: grant.RoleName(), term: grant.Term(), action: grant.Action(),
 		machine: machine, tookEffect: tookEffect,
 	})
 }
 
 // sendOrder sends an order from a controller's process: after any wait for a connection, and
-// not while the process is paused. If the order's grant no longer permits it by then, refuse
-// is called instead of send, as at the gate of the program.
+// not while the process is paused. It calls refuse instead of send if the order's grant no
+// longer permits it by then, as in server.grantChecker, or if it is a command that was decided
+// more than commandMaxAge ago.
 func (s *Simulation) sendOrder(
 	node *node, grant leadership.Grant, action leadership.Action, send, refuse func(),
 ) {
@@ -119,7 +121,7 @@
 			send()
 			return
 		}
-		s.countOccurrence(occurredGateRefusal)
+		s.countOccurrence(occurredOrderRefused)
 		refuse()
 		s.step(node, message.OrderRefused{Role: grant.RoleName(), Action: action, Reason: reason})
 	}
@@ -138,7 +140,7 @@
 		return answer
 	}
 	if reason := order.Grant().Check(leadership.ActionCommand, node.localTime(s.now)); reason != "" {
-		s.countOccurrence(occurredGateRefusal)
+		s.countOccurrence(occurredOrderRefused)
 		return message.Answer{RequestID: answer.RequestID, Status: http.StatusServiceUnavailable}
 	}
 	answer.Body = order.Body()
--- a/internal/simulation/pauses_test.go
+++ b/internal/simulation/pauses_test.go
@@ -17,9 +17,9 @@
 	loopbackPauseCount  = flag.Int("loopback-freezes", 0, "measure so many pauses of a real process on loopback")
 )
 
-// TestFreezes measures, over simulated pauses of a leader at random moments, the time
-// until the next leader's first order. It also counts how the orders end that the paused
-// leader had decided. It is skipped without its flag:
+// TestFreezes pauses a simulated leader at random moments, and measures the time until the
+// next leader's first order. It also counts the orders that the paused leader had decided, by
+// whether they were refused or took effect. It is skipped without its flag:
 //
 //	go test ./internal/simulation -run TestFreezes -freezes 200 -v
 func TestFreezes(t *testing.T) {
@@ -63,16 +63,19 @@
 	return atS
 }
 
-// staleOrderCount counts the orders of replaced leaders by how they ended, over all runs.
+// staleOrderCount counts, over all runs, the orders of replaced leaders: those that the
+// sender's grant check refused, those that the receiver refused or that changed nothing, and
+// those that took effect. A deletion never counts as taking effect, since it is harmless under
+// any term.
 type staleOrderCount struct {
-	StoppedAtTheGate, RefusedOutside, CarriedOut, Freezes int
+	RefusedBySender, RefusedByReceiver, TookEffect, Pauses int
 }
 
 // add counts the stale orders of one run, and adds the time from the pause to the next
 // leader's first order to failoverTimes.
 func (c *staleOrderCount) add(sim *Simulation, pausedAt micros.Micros, failoverTimes *history.Distribution) {
-	c.Freezes++
-	c.StoppedAtTheGate += sim.occurrences[occurredGateRefusal]
+	c.Pauses++
+	c.RefusedBySender += sim.occurrences[occurredOrderRefused]
 	var termBefore leadership.Term
 	replacedAt := micros.Micros(0)
 	for _, order := range sim.orders {
@@ -86,9 +89,9 @@
 			replacedAt = order.at
 			failoverTimes.Add(replacedAt - pausedAt)
 		case order.term == termBefore && replacedAt > 0 && order.tookEffect && order.action != leadership.ActionDelete:
-			c.CarriedOut++
+			c.TookEffect++
 		case order.term == termBefore && replacedAt > 0:
-			c.RefusedOutside++
+			c.RefusedByReceiver++
 		}
 	}
 }
--- a/internal/simulation/production_records_test.go
+++ b/internal/simulation/production_records_test.go
@@ -18,7 +18,9 @@
 
 // The record types of the version in production (deploy/service.toml), copied from it; the
 // copies never change. That version ignores fields that it does not know, and drops them
-// when it writes job records, log entries and partition records back.
+// when it writes job records, log entries and partition records back. Of a job record it
+// does not know the dependencies. The record changes only when the job is marked as
+// cancelled, and a cancelled job no longer needs its dependencies.
 type (
 	productionPartition struct {
 		Node string `json:"n"`
@@ -178,14 +180,15 @@
 	}
 	if heartbeat.Node != "nodo-1" || !heartbeat.Healthy || heartbeat.SchemaVersion != 0 ||
 		len(heartbeat.IdleMachines) != 1 || len(heartbeat.MachineRequests) != 1 || heartbeat.MachineRequests[0].Tier != 7 {
-		t.Errorf("production's heartbeat: got %+v, want the values that production sent", heartbeat)
+		t.Errorf("production's heartbeat: got %+v, want it from nodo-1, healthy, with schema version 0, "+
+			"one idle machine and one machine request of tier 7", heartbeat)
 	}
 }
 
 // TestProductionReadsRecords has production's types read all records that this version writes
 // in runs with pipelines. It checks that what production reads means the same, and that
-// nothing is lost from the records that production writes back. Otherwise a downgrade, or an
-// upgrade of one process at a time, would lose data.
+// production loses nothing that is still needed from the records that it writes back.
+// Otherwise a downgrade, or an upgrade of one process at a time, would lose data.
 func TestProductionReadsRecords(t *testing.T) {
 	seen := map[string]int{}
 	for _, name := range []string{"pipelines", "pipelines_cancelled", "store_limits_lowered"} {
@@ -228,7 +231,8 @@
 
 // productionRecordType returns the kind of record under a key, and a value of production's
 // type for it; nil if production ignores the record. strict reports whether every field must
-// be known to production, because it writes the record back or uses it as its own.
+// be known to production, because it writes the record back or uses it as its own. Job records
+// are not strict, although production writes them back: it drops only their dependencies.
 func productionRecordType(key string) (kind string, record any, strict bool) {
 	switch {
 	case strings.HasPrefix(key, "live/p/"):
@@ -289,6 +293,7 @@
 		t.Fatal(err)
 	}
 	if read.V != 3 || read.Node != "nodo-2" || !read.StoreOK || len(read.Idle) != 1 || read.Asks[0].Tier != 4 {
-		t.Errorf("production reads this version's heartbeat as %+v, want the values that were encoded", read)
+		t.Errorf("production reads this version's heartbeat as %+v, want V 3, from nodo-2, StoreOK, "+
+			"one idle machine and one request of tier 4", read)
 	}
 }
--- a/internal/simulation/relay_test.go
+++ b/internal/simulation/relay_test.go
@@ -71,7 +71,7 @@
 	r.release = make(chan struct{})
 }
 
-// ordersMatching returns copies of the matching orders, in the sequence of their arrival.
+// ordersMatching returns copies of the orders that match, in the order of their arrival.
 func (r *relay) ordersMatching(matches func(order *relayedOrder) bool) []relayedOrder {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -137,7 +137,7 @@
 }
 
 // recordOutcome records when an order was delivered and whether it took effect. A launch or
-// deletion took effect if the count of launched or ended machines rose meanwhile.
+// deletion took effect if the count of launched or terminated machines rose meanwhile.
 func (r *relay) recordOutcome(order *relayedOrder, status int, before machineCounts) {
 	after := r.countMachines()
 	r.mu.Lock()
@@ -147,14 +147,15 @@
 	case leadership.ActionLaunch:
 		order.tookEffect = after.launched > before.launched
 	case leadership.ActionDelete:
-		order.tookEffect = after.gone > before.gone
+		order.tookEffect = after.terminated > before.terminated
 	default:
 		order.tookEffect = status == http.StatusOK
 	}
 }
 
-// machineCounts is how many machines were ever launched and how many of them have ended.
-type machineCounts struct{ launched, gone int }
+// machineCounts holds how many machines were ever launched, and how many of them were
+// terminated.
+type machineCounts struct{ launched, terminated int }
 
 func (r *relay) countMachines() machineCounts {
 	var count machineCounts
@@ -162,7 +163,7 @@
 		for _, worker := range r.cluster.sim.workers {
 			count.launched++
 			if worker.terminated {
-				count.gone++
+				count.terminated++
 			}
 		}
 	})
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -113,8 +113,8 @@
 	AlwaysFails bool         `toml:"bad"` // its tasks fail on every machine
 	// Dependencies are the numbers of jobs that must be done first.
 	Dependencies []int `toml:"needs"`
-	// PairedDependencies are too, but the k-th of Count jobs depends on the k-th job counted
-	// from each of these numbers.
+	// PairedDependencies are the first numbers of series of jobs that must be done first. The
+	// k-th of Count jobs depends on the k-th job of each series.
 	PairedDependencies []int `toml:"follows"`
 	// SubmitAfterDependencies delays the submission until the dependencies have ended.
 	SubmitAfterDependencies bool `toml:"late"`
--- a/internal/simulation/scenario_jobs.go
+++ b/internal/simulation/scenario_jobs.go
@@ -16,7 +16,7 @@
 	checkpointSaveS = 2
 )
 
-// spec returns the job with a number in the form in which its user submits it.
+// spec returns the job with the given number in the form in which its user submits it.
 func (j Job) spec(number int) api.Job {
 	spec := api.Job{
 		ID: jobID(number), Team: cmp.Or(j.Team, defaultTeam),
@@ -43,7 +43,7 @@
 	return spec
 }
 
-// dependencyIDs returns the IDs of the dependencies of the job with a number.
+// dependencyIDs returns the IDs of the dependencies of the job with the given number.
 func (j Job) dependencyIDs(number int) []string {
 	var ids []string
 	for _, dependency := range j.Dependencies {
--- a/internal/simulation/scenario_settings.go
+++ b/internal/simulation/scenario_settings.go
@@ -26,13 +26,13 @@
 // zones lists the zones of the cluster. The controllers are spread over them in turn.
 var zones = []string{"alta", "baja"}
 
-// nodeName returns the name of the controller with an index.
+// nodeName returns the name of the controller with this index.
 func nodeName(index int) string { return fmt.Sprintf("nodo-%d", index) }
 
-// zoneOfNode returns the zone of the controller with an index.
+// zoneOfNode returns the zone of the controller with this index.
 func zoneOfNode(index int) string { return zones[index%len(zones)] }
 
-// nodeAddr returns an address of the controller with an index.
+// nodeAddr returns the address of the controller with this index, for the given port.
 func nodeAddr(index, port int) string { return fmt.Sprintf("10.0.0.%d:%d", index+1, port) }
 
 // partitionOf returns the partition that the settings assign to a user's team, or 0 if the
@@ -45,7 +45,7 @@
 	return set.TeamPartition[owner.job.spec(0).Team]
 }
 
-// settingsFor returns the settings of the controller with an index. They include the
+// settingsFor returns the settings of the controller with this index. They include the
 // store's next limits if announced is set.
 func (s *Scenario) settingsFor(index int, announced bool) (*settings.Settings, error) {
 	platform := settings.Platform{
--- a/internal/simulation/scenarios_test.go
+++ b/internal/simulation/scenarios_test.go
@@ -19,7 +19,7 @@
 	t.Helper()
 	files, err := filepath.Glob("testdata/*.toml")
 	if err != nil || len(files) == 0 {
-		t.Fatalf("no scenario files found: %v", err)
+		t.Fatalf("got scenario files %q, error %v, want at least one file", files, err)
 	}
 	return files
 }
@@ -88,7 +88,7 @@
 			t.Parallel()
 			scenario := mustParse(t, withSeed(text, seed))
 			if scenario.Seed != uint64(seed) {
-				t.Fatalf("got seed %d, want the seed that names the subtest", scenario.Seed)
+				t.Fatalf("got seed %d, want %d", scenario.Seed, seed)
 			}
 			runScenario(t, scenario)
 		})
@@ -113,10 +113,10 @@
 		}
 	}
 	if scenario.LogContains != "" && !strings.Contains(log, scenario.LogContains) {
-		t.Errorf("the log does not contain %q", scenario.LogContains)
+		t.Errorf("got a log without %q, want one that contains it", scenario.LogContains)
 	}
 	if scenario.LogOmits != "" && strings.Contains(log, scenario.LogOmits) {
-		t.Errorf("the log contains %q, which it must not", scenario.LogOmits)
+		t.Errorf("got a log that contains %q, want one without it", scenario.LogOmits)
 	}
 	if scenario.ExpectedViolation != "" {
 		for _, violation := range violations {
@@ -124,7 +124,7 @@
 				return
 			}
 		}
-		t.Fatalf("want a violation of %s detected, got %q", scenario.ExpectedViolation, violations)
+		t.Fatalf("got violations %q, want one of %s", violations, scenario.ExpectedViolation)
 	}
 	if len(violations) > 0 {
 		t.Errorf("got violations, want none:\n  %s", strings.Join(violations, "\n  "))
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -73,7 +73,7 @@
 
 // transport carries the messages between workers and controllers over real sockets.
 type transport interface {
-	// sendHeartbeat sends a heartbeat to the node with an index and calls receive with the
+	// sendHeartbeat sends a heartbeat to the node with this index and calls receive with the
 	// answer.
 	sendHeartbeat(nodeIndex int, heartbeat *api.Heartbeat, receive func(message.Answer))
 	// listen starts to accept commands for a worker and returns the address to send them to.
@@ -161,8 +161,8 @@
 	s.Log = append(s.Log, line)
 }
 
-// jobID returns the ID of the job with a number.
+// jobID returns the ID of the job with this number.
 func jobID(number int) string { return fmt.Sprintf(jobIDFormat, number) }
 
-// taskID returns the ID of the task with an index of a job.
+// taskID returns the ID of a job's task with this index.
 func taskID(job string, index int) string { return fmt.Sprintf("%s/%d", job, index) }
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -135,7 +135,7 @@
 			}
 			continue
 		}
-		s.sim.trackLeaderRecord(write.Put, write.Value)
+		s.sim.recordLeaderChange(write.Put, write.Value)
 		s.keys[write.Put] = &storedValue{write.Value, s.revision, write.Lease}
 		s.history = append(s.history, api.Event{Put: write.Put, Value: write.Value, Version: s.revision})
 	}
@@ -168,7 +168,7 @@
 		}
 	case message.OpTransaction:
 		s.transact(call.Transaction.Body(), answer)
-		s.sim.trackGrantedOrder(sender, call.Transaction.Grant(), "", answer.Status == http.StatusOK)
+		s.sim.recordGrantedOrder(sender, call.Transaction.Grant(), "", answer.Status == http.StatusOK)
 	}
 	reply(answer)
 	s.notifyWatches()
@@ -197,7 +197,7 @@
 	answer.Item = api.KeyValue{Key: key, Value: value.data, Version: value.version}
 }
 
-// list replies with a page of the live keys that sort after a key.
+// list replies with a page of the live keys that sort after the given one.
 func (s *keyValueStore) list(after string, answer *message.StoreReply) {
 	answer.Page.Revision = s.revision
 	for _, key := range s.sortedKeys(records.LivePrefix) {
--- a/internal/simulation/user.go
+++ b/internal/simulation/user.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// addUser adds the user of the job with a number. The user submits the job at an instant, or
-// later when its dependencies permit it.
+// addUser adds the user of the job with this number. The user submits the job at the given time,
+// or later, once its dependencies permit it.
 func (s *Simulation) addUser(job Job, number int, at micros.Micros) {
 	spec := job.spec(number)
 	job.Kind = spec.Kind
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -14,7 +14,7 @@
 	workerFirstPort = 9000
 	// workerTick is the interval between a worker's checks of its lease and its next heartbeat.
 	workerTick = micros.Second / 10
-	// Machines boot in 0.6 to 1.5 times the boot time of the catalogue.
+	// Machines boot in 0.6 to 1.5 times the boot time of the catalog.
 	minBootFactor    = 0.6
 	bootFactorSpread = 0.9
 	// minHeartbeatGap is the shortest time from a heartbeat to one that is brought forward.
@@ -148,7 +148,7 @@
 	if w.terminated {
 		return
 	}
-	w.checkLease() // also while hung, as a hang doesn't outlast the lease: docs/questions.md
+	w.checkLease() // also while hung: the tasks of a hung machine end with its lease too, see docs/questions.md
 	if w.hung {
 		return
 	}
--- a/internal/simulation/worker_task.go
+++ b/internal/simulation/worker_task.go
@@ -39,7 +39,8 @@
 }
 
 // startTask starts an attempt of a task: it fetches the image, then runs. The attempt exits at
-// once if another one is on the machine, the machine has no room, or the job does not exist.
+// once if another one has not exited on the machine, the machine has no room, or the job does
+// not exist.
 func (w *worker) startTask(command api.Command) {
 	jobName, _, _ := strings.Cut(command.Task, "/")
 	task := &workerTask{
@@ -244,8 +245,8 @@
 	}
 }
 
-// detach removes the task from its machine and invalidates the actions scheduled for it. If the
-// task was still running, its gang loses a member.
+// detach makes the task inactive: the invariant checker no longer counts it, and the actions
+// scheduled for it are dropped. If the task was still running, its gang loses a member.
 func (t *workerTask) detach() {
 	lost := t.active && t.state == api.TaskRunning
 	t.generation++
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -19,7 +19,7 @@
 // serviceName is the key-value store's name in the log.
 const serviceName = "state service"
 
-// waitTimeout is how long a call may wait for its budgets before it counts as refused. It is
+// waitTimeout is how long a call may wait for its budgets; after that it is not sent. It is
 // also how long the call may then wait for a connection.
 const waitTimeout = 1500 * time.Millisecond
 
@@ -86,8 +86,9 @@
 	}
 }
 
-// Do sends a call and returns the reply. Its status is 0 if no reply came, and 429 if the
-// budgets did not allow the call.
+// Do sends a call and returns the reply. Its status is 0 if no reply came or it could not be
+// decoded, 429 if the budgets did not allow the call, and 410 if the reply to a watch was too
+// large.
 func (c *Client) Do(ctx context.Context, call message.StoreCall) *message.StoreReply {
 	reply := &message.StoreReply{CallID: call.CallID}
 	decodeReply := func(status int, body []byte) error { return decode(call.Op, status, body, reply) }
