--- a/internal/cluster/commit.go
+++ b/internal/cluster/commit.go
@@ -58,7 +58,7 @@
 // MachineBatch is a set of machines whose first records are committed together.
 type MachineBatch struct {
 	Records []records.Machine
-	// Adopt reports whether these are orphaned instances, which another controller may adopt or
+	// IsAdoption reports whether these are orphaned instances, which another controller may adopt or
 	// record as launched at the same time.
 	IsAdoption bool
 	// OnRecorded is called after the batch is committed. It is also called when the batch is
--- a/internal/cluster/commit_outcome.go
+++ b/internal/cluster/commit_outcome.go
@@ -110,8 +110,8 @@
 		return batch.IsAdoption
 	})
 	if partition.CommitInFlight.Malformed {
-		// The store admits smaller transactions than the settings say. A transaction of this
-		// size is not sent again.
+		// The store admits smaller transactions than the settings say. The next one is half
+		// as large, until maxSizeHalvings is reached: one of this size would be refused again.
 		partition.sizeHalvings = min(partition.sizeHalvings+1, maxSizeHalvings)
 	}
 	partition.CommitInFlight = nil
--- a/internal/cluster/entry_builder.go
+++ b/internal/cluster/entry_builder.go
@@ -53,7 +53,8 @@
 // last carryover left little space in its entry. The carryover of the oldest entry may exceed
 // the size limit of an entry, because the limit was higher when the entry was written or
 // because its runs have split. Part of it then goes to a new slot. After some such commits the
-// rest fits into an entry, and the slot is overwritten.
+// rest fits into an entry, and the slot is overwritten. Otherwise the log would come to a halt
+// at such an entry.
 func (b *entryBuilder) chooseSlot(reused int) (int, carryover) {
 	if b.useNewSlot || len(b.partition.Log)-reused < minLogSlots {
 		return b.newSlot(), carryover{}
--- a/internal/cluster/entry_carryover.go
+++ b/internal/cluster/entry_carryover.go
@@ -43,8 +43,8 @@
 	return record, deleted && tombstone == origin && state.logReferences[record.Name] > 1
 }
 
-// appendCarriedTasks appends the tasks of a run that no later entry holds. If later entries hold
-// some tasks of the run, the others may need several runs.
+// appendCarriedTasks appends the tasks of a run that no later entry holds. In the worst case
+// these are every second task of the run, and each of them needs a run of its own.
 func (b *entryBuilder) appendCarriedTasks(tasks []taskChange, old LogEntry, run records.TaskRun) []taskChange {
 	job := b.log.cluster.Jobs[run.Job]
 	if job == nil || job.Terminal || slices.Contains(b.commit.TerminalJobs, job) {
--- a/internal/cluster/failures.go
+++ b/internal/cluster/failures.go
@@ -126,8 +126,8 @@
 	clear(job.FailedMachines)
 }
 
-// healthyMachinesFailedOn returns the number of machines on which a job failed and which are
-// not quarantined.
+// healthyMachinesFailedOn returns the number of machines on which a job failed and which still
+// have a record and are not quarantined.
 func (l *TaskLifecycle) healthyMachinesFailedOn(job *Job) int {
 	count := 0
 	for name := range job.FailedMachines {
--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -67,7 +67,7 @@
 	TokenConfirmed    bool            // the worker reported with the current fencing token
 	ReportedTasks     []api.TaskStatus
 	CachedImages      []cachedImage // least recently used first; also written by the task lifecycle
-	InterruptionAt    micros.Micros // announced interruption of a spot instance; 0: none announced
+	InterruptionAt    micros.Micros // approximate time of a spot instance's announced interruption; 0: none announced
 
 	// Contact with the worker and the lease that this controller grants it. Written by core, and
 	// by State when the machine is new or comes from another leader.
--- a/internal/cluster/outcome_reading.go
+++ b/internal/cluster/outcome_reading.go
@@ -61,7 +61,8 @@
 }
 
 // handleDependencyRead handles the result of reading the terminal record of a dependency. If
-// the read failed and the outcome is still needed, the record is queued to be read again.
+// the record was not read, or there is none, and the outcome is still needed, the record is
+// queued to be read again.
 func (g *DependencyGraph) handleDependencyRead(id string, result LookupResult) {
 	if result == JobKnown || !g.isOutcomeUnknown(id) {
 		return
--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -103,8 +103,9 @@
 }
 
 // addMachine adds a machine whose first record was read. Its age counts from now, since the
-// launch time in the record was read from another controller's clock. If that clock is hours
-// off, a booting machine would be overdue at once. The cloud's list corrects the age later.
+// launch time in the record is by the clock of the controller that launched it, which is not
+// compared with ours. If that clock is hours off, a booting machine would be overdue at once.
+// The cloud's list corrects the age later.
 func (s *State) addMachine(record records.Machine) *Machine {
 	machine := &Machine{
 		Name:                   record.Name,
@@ -236,7 +237,8 @@
 }
 
 // delayedHeartbeatAllowance is how much later than usual a heartbeat may arrive: two
-// controllers that are cut off from the store may delay it by five seconds each.
+// controllers that are cut off may delay it by five seconds each, if its worker tries them
+// first.
 const delayedHeartbeatAllowance = 10 * micros.Second
 
 // HeartbeatsMissing reports whether a machine that has sent heartbeats has stopped sending
--- a/internal/coordination/answer_window.go
+++ b/internal/coordination/answer_window.go
@@ -24,7 +24,7 @@
 // confirmedAsOf returns the start of the answer window: the last time at which our lease
 // was known to be valid and the watch cache to be complete. A renewal alone must not move
 // it. A renewal can succeed while the watch still hangs after a refusal. Another
-// controller may confirm a cancellation in the meantime, and in an outage that follows the
+// controller may confirm a cancellation in the meantime. If an outage follows, that
 // cancellation would take effect later than cancel_s.
 func (l *StoreLease) confirmedAsOf() micros.Micros {
 	return min(l.Lease.RenewalSentAt, l.cache.CurrentAsOf)
--- a/internal/coordination/environment.go
+++ b/internal/coordination/environment.go
@@ -93,7 +93,7 @@
 }
 
 // Refuse sends an error response to an HTTP request. The client is told to retry after
-// retryAfterS seconds.
+// retryAfterS seconds, or is told no time if retryAfterS is 0.
 func (e *Environment) Refuse(requestID uint64, status int, reason string, retryAfterS int) {
 	e.Emit(message.Answer{
 		RequestID:   requestID,
--- a/internal/core/command_reply.go
+++ b/internal/core/command_reply.go
@@ -35,7 +35,8 @@
 		return
 	}
 	if reply.Status == message.StatusConflict {
-		// The commands named an outdated incarnation. They are sent again with the current one.
+		// The worker's current incarnation was not known here. The commands are sent again with
+		// it.
 		h.observeIncarnation(machine, heartbeat.Incarnation)
 		machine.NextCommandAt = h.Now
 		return
--- a/internal/planning/isolation.go
+++ b/internal/planning/isolation.go
@@ -34,9 +34,9 @@
 
 const (
 	// A machine, or all machines together, that was silent for this fraction of the
-	// heartbeat timeout counts as likely unreachable. Machines are scaled in only after
-	// the whole timeout, so there is time to find out whether it is this controller that
-	// is cut off.
+	// heartbeat timeout counts as likely unreachable. A silent machine is scaled in only
+	// after the whole timeout, so there is time to find out whether it is this controller
+	// that is cut off.
 	likelyUnreachableNumerator   = 2
 	likelyUnreachableDenominator = 3
 	// minMachinesForDetection is how many machines must be up for their silence to say
@@ -64,8 +64,8 @@
 }
 
 // resignIfIsolated resigns this controller's roles when no worker of any partition
-// reaches it although another controller is healthy: only this controller may be cut off.
-// machinesUp is how many of its machines have sent a heartbeat.
+// reaches it although another controller is healthy: this controller may be the only one
+// that is cut off. machinesUp is how many of its machines have sent a heartbeat.
 //
 // The silence of single machines is not enough to detect this. A controller that is cut
 // off goes on borrowing machines, each of which counts as heard from, until the leases of
--- a/internal/provisioning/list_findings.go
+++ b/internal/provisioning/list_findings.go
@@ -20,9 +20,11 @@
 	// findingDuration is how long a finding is sent to the other controllers. It spans
 	// several heartbeats, as one may be lost.
 	findingDuration = 5 * micros.Second
-	// orphanGraceS is added to the lag of the list in orphanTimeout, in seconds.
+	// orphanGraceS is how many seconds beyond listLagFactor times the lag of the list an
+	// instance may be listed without a record, see orphanTimeout.
 	orphanGraceS = 5
-	// unlistedGraceS is added to the lag of the list in unlistedTimeout, in seconds.
+	// unlistedGraceS is how many seconds beyond listLagFactor times its lag the list may
+	// take to show an instance again, see unlistedTimeout.
 	unlistedGraceS = 10
 	// listLagFactor is how many times the lag of the list both timeouts allow for.
 	listLagFactor = 2
@@ -30,8 +32,9 @@
 
 // ListFindings is what an instance sweeper found in the cloud's list that other controllers
 // are to act on: machines whose partitions they lead, and orphans. The findings are sent for
-// findingDuration. They may get lost: each controller decides by its own state, and missed
-// heartbeats of a machine are noticed without the list.
+// findingDuration. They may get lost, since missed heartbeats of a machine are noticed without
+// the list. Each receiver checks them against its own state: it scales in only machines of
+// partitions that it leads, and adopts only orphans without a record.
 type ListFindings struct {
 	Failed   []ListFinding
 	Unlisted []ListFinding
--- a/internal/provisioning/provisioner.go
+++ b/internal/provisioning/provisioner.go
@@ -157,8 +157,9 @@
 	request.recorded = true
 }
 
-// nextRequestName returns a name that no other request ever has: no two controllers lead
-// the partition under the same term.
+// nextRequestName returns a name that no other request ever has. The term in it is never
+// that of another controller, nor of an earlier process of this one, whose numbers also
+// began at 1.
 func (p *Provisioner) nextRequestName(partition *cluster.Partition) string {
 	p.lastRequestNumber++
 	return "p" + strconv.Itoa(partition.Index) +
--- a/internal/scheduler/demand.go
+++ b/internal/scheduler/demand.go
@@ -172,7 +172,8 @@
 func (d *demandPlanner) mayAssign(job *Job, machine *Machine) bool {
 	// A lent machine is reclaimed only for a job within its team's guarantee, or from a
 	// large borrower. Otherwise it returns when its tasks end. When all partitions are
-	// overloaded, unrestricted reclaiming only moves machines back and forth between them.
+	// overloaded, unrestricted reclaiming only moves machines, and the work on them, back
+	// and forth between them.
 	if machine.LentOut && !machine.BorrowerIsLarge && !d.withinGuarantee(job) {
 		return false
 	}
--- a/internal/scheduler/placement_test.go
+++ b/internal/scheduler/placement_test.go
@@ -8,9 +8,9 @@
 	"spurmoor/internal/settings"
 )
 
-// TestUsedClaimReleasesRoom guards against room that no job may use. A claim ends when the
-// first task of its job is bound, and other jobs of the same plan may then have the rest of
-// the machine. Before that, only the job with the claim may use the machine.
+// TestUsedClaimReleasesRoom guards against room that no job may use. A claim on a machine
+// ends when the first task of its job is bound to that machine, and other jobs of the same
+// plan may then have the rest of it. Before that, only the job with the claim may use it.
 func TestUsedClaimReleasesRoom(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
--- a/internal/server/grant_checker.go
+++ b/internal/server/grant_checker.go
@@ -9,11 +9,11 @@
 	"spurmoor/internal/micros"
 )
 
-// grantChecker checks the grant of an order against the clock, right before the order is
-// sent. No other code does. An order is a request that changes something outside this
-// process: a write to the store, a launch or delete of machines, a command to a worker. The
-// checker reports each refused order to the state machine, which counts it. A refused order
-// is never sent again under the same grant.
+// grantChecker is the only code that checks the grant of an order against the clock right
+// before the order is sent. An order is a request that changes something outside this
+// process and needs a grant: a write to the store, a launch or delete of machines, a command
+// to a worker. The checker reports each refused order to the state machine, which counts it.
+// A refused order is never sent again under the same grant.
 type grantChecker struct {
 	clock        timeSource
 	queue        *inputQueue
--- a/internal/server/input_queue.go
+++ b/internal/server/input_queue.go
@@ -25,7 +25,7 @@
 // inputQueue holds the inputs that the event loop has not received yet.
 type inputQueue struct {
 	// urgent is received before regular. With a single channel, the reply to a lease
-	// renewal waits behind up to a thousand heartbeats.
+	// renewal can wait behind a thousand heartbeats.
 	urgent  chan queuedInput
 	regular chan queuedInput
 	// closed is closed when the event loop has ended and receives no more inputs.
--- a/internal/server/worker_client.go
+++ b/internal/server/worker_client.go
@@ -28,8 +28,9 @@
 // workerClient sends commands to workers directly, between their heartbeats.
 type workerClient struct {
 	http *fasthttp.Client
-	// slots is a semaphore with one place for each command in flight. A worker that hangs
-	// occupies one place and does not block the commands to others.
+	// slots is a semaphore with one place for each command in flight. A command to a worker
+	// that hangs occupies its place until commandTimeout. While all places are occupied,
+	// further commands are not sent.
 	slots     chan struct{}
 	clock     timeSource
 	grants    *grantChecker
--- a/internal/settings/operators.go
+++ b/internal/settings/operators.go
@@ -17,7 +17,7 @@
 // name of the Go field.
 type Operators struct {
 	Parts          int     `toml:"parts"`            // number of partitions; 0: one per controller, at least two
-	CycleS         float64 `toml:"cycle_s"`          // maximum time between two scheduling cycles
+	CycleS         float64 `toml:"cycle_s"`          // maximum time between two scheduling cycles, unless many machines or jobs need longer
 	ReferenceWaitS float64 `toml:"reference_wait_s"` // wait at which the wait term of a job's score is ln 2
 	IdleReturnS    float64 `toml:"idle_return_s"`    // idle time after which a machine is returned
 	SilentS        float64 `toml:"silent_s"`         // time without heartbeats after which a machine counts as failed
@@ -26,7 +26,9 @@
 	QueueJobs      int     `toml:"queue_jobs"`       // maximum number of unfinished jobs; 0: as many as memory holds
 	LatePenalty    float64 `toml:"late_penalty"`     // subtracted from the score of a job that can meet none of its objectives
 	LargePenalty   float64 `toml:"large_penalty"`    // subtracted from the score of a large array while there is a backlog
-	PriceCeiling   float64 `toml:"price_ceiling"`    // highest price paid, as a multiple of that of the cheapest instance kind
+	// PriceCeiling is the maximum price per task for a job that has not waited yet, as a
+	// multiple of that of the cheapest instance kind that the job may use.
+	PriceCeiling float64 `toml:"price_ceiling"`
 	// IdlePriceCeiling is PriceCeiling for idle-time work.
 	IdlePriceCeiling float64 `toml:"idle_price_ceiling"`
 	CeilingGrowthS   float64 `toml:"ceiling_growth_s"` // wait after which both price ceilings have doubled
--- a/internal/simulation/determinism_test.go
+++ b/internal/simulation/determinism_test.go
@@ -12,7 +12,7 @@
 	t.Parallel()
 	scenarios := digestScenarios(t)
 	random := scenarios[len(scenarios)-digestSeedCount:]
-	for _, scenario := range random[20:30] { // seeds 1020 to 1029: seed 1026 is known to expose such a decision
+	for _, scenario := range random[20:30] { // seeds 1020 to 1029: the two logs of seed 1026 have differed before
 		var logs [2][]string
 		for i := range logs {
 			sim, _, err := Play(mustParse(t, scenario.text))
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -78,7 +78,7 @@
 
 const (
 	modeAtOnce  = "at_once"  // late writes are executed without delay, but not answered
-	modeForNext = "for_next" // late heartbeats arrive when the partition has another leader
+	modeForNext = "for_next" // late heartbeats arrive when a partition has another leader
 	// defaultShare is the share of messages or jobs that a fault affects if it names none.
 	defaultShare = 0.3
 )
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -28,8 +28,8 @@
 	// Shares of messages that are disturbed during the whole run.
 	LostReplies      float64 `toml:"lost"`    // replies of the store that never arrive
 	LateRequests     float64 `toml:"late"`    // transactions that are executed seconds late
-	HeartbeatCopies  float64 `toml:"copies"`  // heartbeats that arrive again within two lease terms
-	RepeatedRequests float64 `toml:"repeats"` // requests and commands that are executed again within two lease terms
+	HeartbeatCopies  float64 `toml:"copies"`  // heartbeats of which a copy arrives up to two lease terms and 1 s later
+	RepeatedRequests float64 `toml:"repeats"` // requests and commands that are executed again up to two lease terms and 0.5 s later
 
 	Teams        []Team        `toml:"team"`
 	MachineTypes []MachineType `toml:"type"`
@@ -46,8 +46,8 @@
 	// AtLeast and AtMost bound how often something occurs, by the name of the occurrence.
 	AtLeast map[string]int `toml:"least"`
 	AtMost  map[string]int `toml:"most"`
-	// MayLeaveUnserved turns off the check that at least half of the jobs of each group are
-	// served, for runs that are too short for it.
+	// MayLeaveUnserved turns off the checks that at least half of the jobs of each group are
+	// served and that the largest jobs start in time, for runs that are too short for them.
 	MayLeaveUnserved bool `toml:"unserved"`
 
 	// Limits on what the run uses; zero: no limit.
@@ -104,7 +104,7 @@
 	ImageGB     float64      `toml:"image_gb"`
 	CheckpointS float64      `toml:"checkpoint_s"`
 	DeadlineS   float64      `toml:"deadline_s"`
-	CancelAtS   float64      `toml:"cancel_at_s"` // after its submission; zero: never
+	CancelAtS   float64      `toml:"cancel_at_s"` // after its scheduled submission, even if dependencies delay that; zero: never
 	Spot        bool         `toml:"spot"`
 	OneZone     bool         `toml:"one_zone"`
 	Spread      bool         `toml:"spread"`
