--- a/internal/coordination/environment_test.go
+++ b/internal/coordination/environment_test.go
@@ -26,8 +26,8 @@
 	return env
 }
 
-// takeStoreCalls returns the emitted calls to the store and clears all effects.
-func takeStoreCalls(env *Environment) []message.StoreCall {
+// popStoreCalls returns the emitted calls to the store and clears all effects.
+func popStoreCalls(env *Environment) []message.StoreCall {
 	var calls []message.StoreCall
 	for _, effect := range env.Effects {
 		if call, ok := effect.(message.StoreCall); ok {
@@ -38,11 +38,11 @@
 	return calls
 }
 
-// takeStoreCall returns the only emitted call to the store and clears all effects. The test
+// popStoreCall returns the only emitted call to the store and clears all effects. The test
 // fails if there is not exactly one call.
-func takeStoreCall(t *testing.T, env *Environment) message.StoreCall {
+func popStoreCall(t *testing.T, env *Environment) message.StoreCall {
 	t.Helper()
-	calls := takeStoreCalls(env)
+	calls := popStoreCalls(env)
 	if len(calls) != 1 {
 		t.Fatalf("got %d calls to the store, want 1", len(calls))
 	}
--- a/internal/coordination/store_lease_test.go
+++ b/internal/coordination/store_lease_test.go
@@ -19,13 +19,13 @@
 	env.Now += micros.Second
 	lease.Renew()
 	sentAt := env.Now
-	call := takeStoreCall(t, env)
+	call := popStoreCall(t, env)
 	if call.Op != message.OpRenewLease || call.LeaseID != 5 {
 		t.Fatalf("got call %+v, want the renewal of lease 5", call)
 	}
 	env.Now += micros.Second
 	lease.Renew()
-	if calls := takeStoreCalls(env); len(calls) > 0 {
+	if calls := popStoreCalls(env); len(calls) > 0 {
 		t.Fatal("got a second renewal while one is in flight, want none")
 	}
 	replyTo(env, call, message.StoreReply{Status: message.StatusOK})
@@ -49,7 +49,7 @@
 		t.Fatalf("got reason %q for the leader's grant, want none", reason)
 	}
 	lease.Renew()
-	replyTo(env, takeStoreCall(t, env), message.StoreReply{Status: message.StatusNotFound})
+	replyTo(env, popStoreCall(t, env), message.StoreReply{Status: message.StatusNotFound})
 	if state.Leads() || lease.Valid() {
 		t.Errorf("got leading %t and a valid lease %t after the store ended the lease, want false twice", state.Leads(), lease.Valid())
 	}
@@ -57,7 +57,7 @@
 		t.Errorf("got reason %q for a grant of the lost role, want %q", reason, leadership.RoleEnded)
 	}
 	lease.Renew()
-	if call := takeStoreCall(t, env); call.Op != message.OpGrantLease || call.TTLMs != env.Settings.LeaseTTL().Milliseconds() {
+	if call := popStoreCall(t, env); call.Op != message.OpGrantLease || call.TTLMs != env.Settings.LeaseTTL().Milliseconds() {
 		t.Errorf("got call %+v, want the request for a new lease", call)
 	}
 }
--- a/internal/coordination/transactions_test.go
+++ b/internal/coordination/transactions_test.go
@@ -42,11 +42,11 @@
 	f.Resend()
 }
 
-// takeAttempt returns the only emitted call, which must carry the transaction, and clears all
+// popTransactionCall returns the only emitted call, which must carry the transaction, and clears all
 // effects.
-func (f *senderFixture) takeAttempt(t *testing.T) message.StoreCall {
+func (f *senderFixture) popTransactionCall(t *testing.T) message.StoreCall {
 	t.Helper()
-	call := takeStoreCall(t, f.Environment)
+	call := popStoreCall(t, f.Environment)
 	if call.Op != message.OpTransaction || call.Transaction.Body() != &f.transaction.Request {
 		t.Fatalf("got call %+v, want the same transaction", call)
 	}
@@ -68,14 +68,14 @@
 	t.Parallel()
 	fixture := submitOne(t, electionGrant)
 	for attempt, status := range []int{message.StatusNoReply, message.StatusServiceUnavailable, message.StatusTooManyRequests} {
-		call := fixture.takeAttempt(t)
+		call := fixture.popTransactionCall(t)
 		fixture.advanceTime(10 * micros.Second)
-		if calls := takeStoreCalls(fixture.Environment); len(calls) > 0 {
+		if calls := popStoreCalls(fixture.Environment); len(calls) > 0 {
 			t.Fatalf("attempt %d: got another call while it is in flight, want none", attempt)
 		}
 		replyTo(fixture.Environment, call, message.StoreReply{Status: status})
 		fixture.Resend()
-		if calls := takeStoreCalls(fixture.Environment); len(calls) > 0 {
+		if calls := popStoreCalls(fixture.Environment); len(calls) > 0 {
 			t.Fatalf("attempt %d: got another call at once, want none before the retry delay", attempt)
 		}
 		fixture.expectOutcome(t, 0, 0)
@@ -84,7 +84,7 @@
 	if fixture.allSettled() {
 		t.Fatal("got settled without an outcome, want unsettled")
 	}
-	replyTo(fixture.Environment, fixture.takeAttempt(t), message.StoreReply{
+	replyTo(fixture.Environment, fixture.popTransactionCall(t), message.StoreReply{
 		Status:      message.StatusOK,
 		Transaction: api.TransactionResult{Revision: 11},
 	})
@@ -93,7 +93,7 @@
 		t.Errorf("got committed at %d and settled %t, want 11 and true", fixture.committed[0], fixture.allSettled())
 	}
 	fixture.advanceTime(10 * micros.Second)
-	if calls := takeStoreCalls(fixture.Environment); len(calls) > 0 {
+	if calls := popStoreCalls(fixture.Environment); len(calls) > 0 {
 		t.Error("got another call after the outcome was known, want none")
 	}
 }
@@ -101,11 +101,11 @@
 // refuse delivers a refusal as the reply to an attempt and returns the read that settles it.
 func (f *senderFixture) refuse(t *testing.T, status int) message.StoreCall {
 	t.Helper()
-	replyTo(f.Environment, f.takeAttempt(t), message.StoreReply{Status: status})
+	replyTo(f.Environment, f.popTransactionCall(t), message.StoreReply{Status: status})
 	f.expectOutcome(t, 0, 0)
 	f.cache.watchInFlight = true // so that only reads are sent
 	f.cache.MaintainWatch()
-	read := takeStoreCall(t, f.Environment)
+	read := popStoreCall(t, f.Environment)
 	if read.Op != message.OpWatch || !read.Urgent {
 		t.Fatalf("got call %+v after a refusal, want a read", read)
 	}
@@ -146,7 +146,7 @@
 func TestRefusalOfACommittedTransaction(t *testing.T) {
 	t.Parallel()
 	fixture := submitOne(t, electionGrant)
-	replyTo(fixture.Environment, fixture.takeAttempt(t), message.StoreReply{Status: message.StatusNoReply})
+	replyTo(fixture.Environment, fixture.popTransactionCall(t), message.StoreReply{Status: message.StatusNoReply})
 	fixture.advanceTime(2 * maxRetryDelay)
 	fixture.cache.Sink = &settlingSink{transaction: fixture.transaction}
 	read := fixture.refuse(t, message.StatusConflict)
@@ -177,11 +177,11 @@
 	replyTo(fixture.Environment, fixture.refuse(t, message.StatusConflict), message.StoreReply{Status: message.StatusNoReply})
 	fixture.expectOutcome(t, 0, 0)
 	fixture.advanceTime(2 * settleRetryInterval)
-	if calls := takeStoreCalls(fixture.Environment); len(calls) > 0 {
+	if calls := popStoreCalls(fixture.Environment); len(calls) > 0 {
 		t.Fatalf("got calls %+v after a refusal and before the next read, want none", calls)
 	}
 	fixture.cache.MaintainWatch()
-	read := takeStoreCall(t, fixture.Environment)
+	read := popStoreCall(t, fixture.Environment)
 	if read.Op != message.OpWatch {
 		t.Fatalf("got call %+v, want a read", read)
 	}
@@ -196,12 +196,12 @@
 	var grant leadership.Grant
 	fixture := submitOne(t, func() leadership.Grant { return grant })
 	fixture.advanceTime(grantRetryInterval)
-	if calls := takeStoreCalls(fixture.Environment); len(calls) > 0 {
+	if calls := popStoreCalls(fixture.Environment); len(calls) > 0 {
 		t.Fatal("got a call without a grant, want none")
 	}
 	grant = electionGrant()
 	fixture.advanceTime(resendInterval)
-	fixture.takeAttempt(t)
+	fixture.popTransactionCall(t)
 }
 
 // TestRetryDelay guards against a retry delay that does not double with each attempt, or that
--- a/internal/coordination/watch_cache_test.go
+++ b/internal/coordination/watch_cache_test.go
@@ -27,22 +27,22 @@
 	env := newTestEnvironment(t)
 	cache, sink := newUnsyncedCache(env)
 	cache.MaintainWatch()
-	first := takeStoreCall(t, env)
+	first := popStoreCall(t, env)
 	replyTo(env, first, message.StoreReply{Status: message.StatusOK, Page: api.KeyValuePage{
 		Pairs: []api.KeyValue{{Key: "a", Version: 1}, {Key: "b", Version: 2}}, More: true, Revision: 5,
 	}})
-	second := takeStoreCall(t, env)
+	second := popStoreCall(t, env)
 	if second.Op != message.OpList || second.Key != "b" {
 		t.Fatalf("got call %+v, want the page after key b", second)
 	}
 	cache.MaintainWatch()
-	if calls := takeStoreCalls(env); len(calls) > 0 {
+	if calls := popStoreCalls(env); len(calls) > 0 {
 		t.Fatalf("got calls %+v while a list is in progress, want none", calls)
 	}
 	replyTo(env, second, message.StoreReply{Status: message.StatusOK, Page: api.KeyValuePage{
 		Pairs: []api.KeyValue{{Key: "c", Version: 4}}, Revision: 8,
 	}})
-	changes := takeStoreCall(t, env)
+	changes := popStoreCall(t, env)
 	if changes.Op != message.OpWatch || changes.Since != 5 {
 		t.Fatalf("got call %+v, want the changes since revision 5", changes)
 	}
@@ -69,15 +69,15 @@
 	cache, _ := newUnsyncedCache(env)
 	cache.MaintainWatch()
 	page := api.KeyValuePage{Pairs: []api.KeyValue{{Key: "a", Version: 1}}, More: true, Revision: 5}
-	replyTo(env, takeStoreCall(t, env), message.StoreReply{Status: message.StatusOK, Page: page})
-	replyTo(env, takeStoreCall(t, env), message.StoreReply{Status: message.StatusNoReply})
+	replyTo(env, popStoreCall(t, env), message.StoreReply{Status: message.StatusOK, Page: page})
+	replyTo(env, popStoreCall(t, env), message.StoreReply{Status: message.StatusNoReply})
 	cache.MaintainWatch()
-	if calls := takeStoreCalls(env); len(calls) > 0 {
+	if calls := popStoreCalls(env); len(calls) > 0 {
 		t.Fatal("got another call right after the failure, want none")
 	}
 	env.Now += 2 * watchRetryInterval
 	cache.MaintainWatch()
-	if call := takeStoreCall(t, env); call.Op != message.OpList || call.Key != "" || len(cache.listing.pairs) > 0 {
+	if call := popStoreCall(t, env); call.Op != message.OpList || call.Key != "" || len(cache.listing.pairs) > 0 {
 		t.Errorf("got call %+v with %d keys kept, want the first page and no keys", call, len(cache.listing.pairs))
 	}
 }
@@ -142,7 +142,7 @@
 			var first, second []bool
 			cache.ReadLatest(func(ok bool) { first = append(first, ok) })
 			cache.MaintainWatch()
-			read := takeStoreCall(t, env)
+			read := popStoreCall(t, env)
 			cache.ReadLatest(func(ok bool) { second = append(second, ok) })
 			env.Now += tc.after
 			replyTo(env, read, message.StoreReply{Status: tc.status})
@@ -154,7 +154,7 @@
 			}
 			env.Now += env.Settings.readInterval()
 			cache.MaintainWatch()
-			replyTo(env, takeStoreCall(t, env), message.StoreReply{Status: message.StatusOK})
+			replyTo(env, popStoreCall(t, env), message.StoreReply{Status: message.StatusOK})
 			if len(second) != 1 || !second[0] {
 				t.Errorf("got results %v for the second caller, want one true", second)
 			}
--- a/internal/core/record_applier.go
+++ b/internal/core/record_applier.go
@@ -79,7 +79,7 @@
 		{prefix: records.SchemaPrefix, applyPut: a.applySchema},
 		{prefix: records.JobPrefix, applyPut: a.applyJob, applyDelete: a.applyJobDeletion},
 		{prefix: records.LogPrefix, applyPut: a.applyLogSlot},
-		{prefix: records.RequestsPrefix, applyPut: a.provisioning.ApplyRequests},
+		{prefix: records.RequestsPrefix, applyPut: a.provisioning.ApplyRequestsRecord},
 		{prefix: records.FleetRolePrefix, applyPut: a.roles.ApplyFleetRolePut, applyDelete: a.roles.ApplyFleetRoleDelete},
 		{prefix: records.PartitionPrefix, applyPut: a.applyPartition, applyDelete: a.applyPartitionDeletion},
 	}
--- a/internal/provisioning/request_records.go
+++ b/internal/provisioning/request_records.go
@@ -121,10 +121,10 @@
 	return record
 }
 
-// ApplyRequests handles a partition's record of open requests, unless a newer one is
+// ApplyRequestsRecord handles a partition's record of open requests, unless a newer one is
 // known. keySuffix is the part of its key after the prefix. Of a record that cannot be
 // decoded, what precedes the error is kept, and the error is returned.
-func (p *Provisioner) ApplyRequests(keySuffix string, value []byte, version api.Revision) error {
+func (p *Provisioner) ApplyRequestsRecord(keySuffix string, value []byte, version api.Revision) error {
 	tracker := p.trackerForKey(keySuffix)
 	if tracker == nil || tracker.recordVersion >= version {
 		return nil
--- a/internal/simulation/determinism_test.go
+++ b/internal/simulation/determinism_test.go
@@ -15,7 +15,7 @@
 	for _, scenario := range random[20:30] { // seeds 1020 to 1029: the two logs of seed 1026 have differed before
 		var logs [2][]string
 		for i := range logs {
-			sim, _, err := Play(mustParse(t, scenario.text))
+			sim, _, err := Run(mustParse(t, scenario.text))
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/simulation/digest_test.go
+++ b/internal/simulation/digest_test.go
@@ -86,7 +86,7 @@
 	}
 	sum := sha256.New()
 	observe := func(at micros.Micros, node string, effect message.Effect) { hashEffect(sum, at, node, effect) }
-	if _, _, err := playObserved(scenario, observe); err != nil {
+	if _, _, err := runObserved(scenario, observe); err != nil {
 		t.Error(err)
 	}
 	return fmt.Sprintf("%x", sum.Sum(nil))
--- a/internal/simulation/invariants_answers.go
+++ b/internal/simulation/invariants_answers.go
@@ -53,14 +53,14 @@
 	}
 	c.cancelledAt[owner.id] = c.sim.now
 	leader := c.sim.leaderOf(c.sim.scenario.partitionOf(owner))
-	if leader != nil && leader.missesChanges() {
+	if leader != nil && leader.receivesNoChanges() {
 		c.sim.countOccurrence(occurredUnseenCancellation)
 	}
 	c.sim.after(c.cancelTimeout(), func() { c.checkNothingRuns(owner) })
 }
 
-// missesChanges reports whether a node receives no changes from the store.
-func (n *node) missesChanges() bool {
+// receivesNoChanges reports whether a node receives no changes from the store.
+func (n *node) receivesNoChanges() bool {
 	return n.refusedByStore || n.watchStalled || n.cutLinks[linkStore] || n.cutLinks[linkAll]
 }
 
--- a/internal/simulation/invariants_service.go
+++ b/internal/simulation/invariants_service.go
@@ -40,7 +40,7 @@
 // startable reports whether a job could start: its dependencies are done, none of its tasks is
 // on a machine, and there is room for it.
 func (c *invariantChecker) startable(owner *user) bool {
-	if !owner.mustBeServed() || owner.finalState != "" {
+	if !owner.requiresService() || owner.finalState != "" {
 		return false
 	}
 	notDone := func(dependency *user) bool { return dependency.finalState != api.JobDone }
@@ -119,7 +119,7 @@
 	largest := c.maxTasksByClass()
 	jobs, served := map[string]int{}, map[string]int{}
 	for _, owner := range c.sim.users {
-		if !owner.mustBeServed() {
+		if !owner.requiresService() {
 			continue
 		}
 		spec := owner.job.spec(0)
--- a/internal/simulation/pauses_test.go
+++ b/internal/simulation/pauses_test.go
@@ -32,7 +32,7 @@
 	for seed := range *simulatedPauseCount {
 		scenario := mustParse(t, text)
 		pausedAtS := schedulePause(scenario, seed)
-		sim, violations, err := Play(scenario)
+		sim, violations, err := Run(scenario)
 		if err != nil || len(violations) > 0 {
 			t.Errorf("seed %d: got error %v and violations %q, want none", seed, err, violations)
 			continue
--- a/internal/simulation/production_records_test.go
+++ b/internal/simulation/production_records_test.go
@@ -194,7 +194,7 @@
 	for _, name := range []string{"pipelines", "pipelines_cancelled", "store_limits_lowered"} {
 		scenario := mustParse(t, readFile(t, "testdata/"+name+".toml"))
 		scenario.DurationS = 60 // ends in the middle of the run
-		sim, _, err := Play(scenario)
+		sim, _, err := Run(scenario)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/simulation/scenarios_test.go
+++ b/internal/simulation/scenarios_test.go
@@ -101,7 +101,7 @@
 // there.
 func runScenario(t *testing.T, scenario *Scenario) {
 	t.Helper()
-	sim, violations, err := Play(scenario)
+	sim, violations, err := Run(scenario)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -110,12 +110,12 @@
 	return sim
 }
 
-// Play runs a scenario to its end and returns the simulation and the invariant violations,
+// Run runs a scenario to its end and returns the simulation and the invariant violations,
 // each as "invariant: details". It returns an error if a controller's settings are invalid.
-func Play(scenario *Scenario) (*Simulation, []string, error) { return playObserved(scenario, nil) }
+func Run(scenario *Scenario) (*Simulation, []string, error) { return runObserved(scenario, nil) }
 
-// playObserved is like Play, but also calls an observer with every effect of the cores.
-func playObserved(scenario *Scenario, observe effectObserver) (*Simulation, []string, error) {
+// runObserved is like Run, but also calls an observer with every effect of the cores.
+func runObserved(scenario *Scenario, observe effectObserver) (*Simulation, []string, error) {
 	sim := newSimulation(scenario, nil)
 	sim.observe = observe
 	for _, node := range sim.nodes {
--- a/internal/simulation/user.go
+++ b/internal/simulation/user.go
@@ -211,9 +211,9 @@
 	})
 }
 
-// mustBeServed reports whether the controllers must serve the job: it is accepted, its user has
+// requiresService reports whether the controllers must serve the job: it is accepted, its user has
 // not requested its cancellation, its tasks don't always fail, and no dependency is or may be
 // cancelled.
-func (u *user) mustBeServed() bool {
+func (u *user) requiresService() bool {
 	return u.accepted && !u.cancelRequested && !u.job.AlwaysFails && !u.dependencyCancelled()
 }
