--- a/cmd/spurmoor/roles.go
+++ b/cmd/spurmoor/roles.go
@@ -69,7 +69,7 @@
 	}
 	_, err := fmt.Fprintf(out, "answered by %s; the fleet's duties have one holder each: %t; "+
 		"rentals are recorded first: %t; refused under no duty: %s\n",
-		roles.Node, roles.Exclusive, roles.RecordsRequests, history.FormatCounts(roles.RefusedOrders, noRefusedOrders))
+		roles.Node, roles.Exclusive, roles.RecordsMachineRequests, history.FormatCounts(roles.RefusedOrders, noRefusedOrders))
 	return failed(err)
 }
 
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -1,20 +1,20 @@
-// Package api holds the JSON forms of PROTOCOL and their validation: what users,
-// workers, the cloud, the key-value store and operators send and get. The protocol's
-// words are mapped to the terms of the code here and nowhere else: the tags and the
-// values of the enumerations are the protocol's and never change.
+// Package api defines the JSON messages of the protocol (PROTOCOL) and validates them. Users,
+// workers, the cloud, the key-value store and operators exchange these messages with the
+// controllers. Only this package maps the protocol's names to the names used in the code.
+// The struct tags and the values of the enumerations are the protocol's and never change.
 //
-// Times in seconds have names that end in S, amounts in gigabytes in GB.
+// Names of times in seconds end in S, names of amounts in gigabytes in GB.
 package api
 
-// MaxBody is the largest request body taken, in bytes.
-const MaxBody = 64 << 10
+// MaxBodyBytes is the size of the largest request body that is accepted.
+const MaxBodyBytes = 64 << 10
 
-// Error is the body of a refusal.
+// Error is the body of an answer to a request that was refused or failed.
 type Error struct {
 	Error string `json:"error"`
 }
 
-// Readiness is the body of a health check's answer.
+// Readiness is the body of the answer to a health check.
 type Readiness struct {
 	Condition string `json:"condition"`
 }
--- a/internal/api/cloud.go
+++ b/internal/api/cloud.go
@@ -1,26 +1,26 @@
 package api
 
-// MachineType is one type of machine that the cloud offers.
+// MachineType is a type of machine that the cloud offers.
 type MachineType struct {
 	Name        string   `json:"Label"`
 	CPUs        float64  `json:"Vcpus"`
 	GPUs        float64  `json:"Accelerators"`
 	MemoryGB    float64  `json:"MemoryGb"`
-	CacheGB     float64  `json:"LocalGb"`     // room for images
-	FetchGBPerS float64  `json:"FetchGbPerS"` // how fast images are fetched
+	CacheGB     float64  `json:"LocalGb"`     // disk space for cached images
+	FetchGBPerS float64  `json:"FetchGbPerS"` // rate at which images are fetched
 	Price       float64  `json:"Price"`
 	SpotPrice   float64  `json:"MarketPrice"`
 	BootS       float64  `json:"BootS"`
 	Zones       []string `json:"Zonas"`
 }
 
-// Catalog lists the machine types.
+// Catalog lists the machine types that the cloud offers.
 type Catalog struct {
 	Types []MachineType `json:"Tipos"`
 }
 
-// LaunchRequest requests machines from the cloud. The cloud carries out a request of a
-// name once, however often it is sent.
+// LaunchRequest requests machines from the cloud. It is idempotent: the cloud executes
+// requests of the same name once, however often they are sent.
 type LaunchRequest struct {
 	Name  string `json:"Pedido"`
 	Type  string `json:"Tipo"`
@@ -29,7 +29,7 @@
 	Count int    `json:"HowMany"`
 }
 
-// InstanceNames lists machines by name.
+// InstanceNames lists machines by name: those that were launched, or that are to be deleted.
 type InstanceNames struct {
 	Machines []string `json:"Maquinas"`
 }
@@ -37,14 +37,14 @@
 // InstanceState is the state of a machine in the cloud's list.
 type InstanceState string
 
-// States of machines, with the protocol's words.
+// States of machines; the values are the protocol's.
 const (
 	InstanceBooting InstanceState = "starting"
 	InstanceRunning InstanceState = "running"
 	InstanceFailed  InstanceState = "failed"
 )
 
-// Instance is one machine in the cloud's list.
+// Instance is a machine in the cloud's list.
 type Instance struct {
 	ID      string        `json:"Id"`
 	Address string        `json:"Endpoint"`
@@ -58,5 +58,5 @@
 // InstancePage is a page of the cloud's list.
 type InstancePage struct {
 	Instances []Instance `json:"Maquinas"`
-	More      bool       `json:"Truncated"`
+	More      bool       `json:"Truncated"` // further pages follow
 }
--- a/internal/api/job.go
+++ b/internal/api/job.go
@@ -6,23 +6,22 @@
 	"github.com/go-json-experiment/json"
 )
 
-// JobKind is how a job's tasks belong together.
+// JobKind says how a job's tasks run together.
 type JobKind string
 
-// Kinds of jobs, with the protocol's words.
+// Kinds of jobs; the values are the protocol's.
 const (
-	Array   JobKind = "array"  // tasks that run one by one
-	Gang    JobKind = "group"  // tasks that run all at once
-	Service JobKind = "daemon" // tasks that run until the job is cancelled
+	KindArray   JobKind = "array"  // tasks that run independently of each other
+	KindGang    JobKind = "group"  // tasks that must all run at the same time
+	KindService JobKind = "daemon" // tasks that run until the job is cancelled
 )
 
-// valid tells whether there is such a kind.
-func (k JobKind) valid() bool { return k == Array || k == Gang || k == Service }
+func (k JobKind) valid() bool { return k == KindArray || k == KindGang || k == KindService }
 
 // JobState is a job's state as users see it.
 type JobState string
 
-// States of jobs, with the protocol's words.
+// States of jobs; the values are the protocol's.
 const (
 	JobPending   JobState = "pending"
 	JobRunning   JobState = "running"
@@ -30,10 +29,10 @@
 	JobCancelled JobState = "withdrawn"
 )
 
-// Priority is how important a job is to its owner.
+// Priority is the importance that a user gives to a job.
 type Priority string
 
-// Priorities, lowest first.
+// Priorities, lowest first; the values are the protocol's.
 const (
 	PriorityBestEffort Priority = "best_effort"
 	PriorityStandard   Priority = "standard"
@@ -41,7 +40,7 @@
 	PriorityProduction Priority = "production"
 )
 
-// Tiers of the priorities.
+// Tiers of the priorities, on a scale from 1 to 10.
 const (
 	tierBestEffort = 1
 	tierStandard   = 4
@@ -49,7 +48,7 @@
 	tierProduction = 10
 )
 
-// tiers are the tiers of the priorities that there are.
+// tiers has an entry for each valid priority.
 var tiers = map[Priority]int{
 	PriorityBestEffort: tierBestEffort,
 	PriorityStandard:   tierStandard,
@@ -57,10 +56,10 @@
 	PriorityProduction: tierProduction,
 }
 
-// Tier is the priority's tier, from 1 to 10; 0: there is no such priority.
+// Tier returns the priority's tier, from 1 to 10, or 0 if the priority is not valid.
 func (p Priority) Tier() int { return tiers[p] }
 
-// Job is a submitted job. It is recorded in the key-value store in this form too.
+// Job is a submitted job. The key-value store holds it in the same JSON.
 type Job struct {
 	ID                  string   `json:"Id"`
 	Class               string   `json:"Clase"`
@@ -68,43 +67,44 @@
 	Kind                JobKind  `json:"Forma"`
 	Priority            Priority `json:"Prelacion"`
 	Tasks               int      `json:"Tareas"`
-	CPUs                float64  `json:"Vcpus"` // of each task, as are GPUs and memory
+	CPUs                float64  `json:"Vcpus"` // for each task, like GPUs and MemoryGB
 	GPUs                float64  `json:"Accelerators"`
 	MemoryGB            float64  `json:"MemoryGb"`
 	Image               string   `json:"Imagen"`
 	ImageGB             float64  `json:"SizeGb"`
-	Types               []string `json:"Tipos,omitzero"` // nil: any; in JSON absent, never []
+	Types               []string `json:"Tipos,omitzero"` // machine types; nil: any, which JSON leaves out; empty: none
 	Zone                string   `json:"Zona"`           // "": any
-	OneZone             bool     `json:"Together"`
-	Spread              bool     `json:"Apart"`
-	Spot                bool     `json:"Prestadas"`
+	OneZone             bool     `json:"Together"`       // all tasks run in the same zone
+	Spread              bool     `json:"Apart"`          // the tasks are spread evenly over the zones
+	Spot                bool     `json:"Prestadas"`      // tasks may run on spot instances
 	EstimateS           float64  `json:"EstimadoS"`
 	CheckpointIntervalS float64  `json:"RespaldoS"`
 	CheckpointSaveS     float64  `json:"GuardadoS"`
 	DeadlineS           float64  `json:"PlazoS"`          // 0: none
-	Dependencies        []string `json:"Espera,omitzero"` // jobs that must be done first, each named once
+	Dependencies        []string `json:"Espera,omitzero"` // ids of jobs that must be done first, without duplicates
 }
 
-var idForm = regexp.MustCompile(`^wk-[0-9]{1,18}$`)
+var jobIDPattern = regexp.MustCompile(`^wk-[0-9]{1,18}$`)
 
-// ValidID tells whether id has the form of a job's id.
-func ValidID(id string) bool { return idForm.MatchString(id) }
+// ValidJobID reports whether id has the format of a job id.
+func ValidJobID(id string) bool { return jobIDPattern.MatchString(id) }
 
-// JobID reads only the id out of a body; "" where there is no valid one.
-func JobID(body []byte) string {
+// ParseJobID returns the job id of a submission that ParseJob may reject, or "" if the body
+// has no valid id.
+func ParseJobID(body []byte) string {
 	var submitted struct {
 		ID string `json:"Id"`
 	}
-	if json.Unmarshal(body, &submitted) != nil || !ValidID(submitted.ID) {
+	if json.Unmarshal(body, &submitted) != nil || !ValidJobID(submitted.ID) {
 		return ""
 	}
 	return submitted.ID
 }
 
-// JobStatus answers users' questions about a job.
+// JobStatus is the answer to users' requests about a job.
 type JobStatus struct {
 	ID      string   `json:"Id"`
 	State   JobState `json:"Estado"`
-	Done    *int     `json:"done,omitempty"`    // tasks that are done
-	Running *int     `json:"running,omitempty"` // tasks that run
+	Done    *int     `json:"done,omitempty"`    // number of tasks that are done; nil: left out
+	Running *int     `json:"running,omitempty"` // number of running tasks; nil: left out
 }
--- a/internal/api/job_validation.go
+++ b/internal/api/job_validation.go
@@ -9,18 +9,18 @@
 	"github.com/go-json-experiment/json/jsontext"
 )
 
-// Bounds of a submission's fields; the reasons of FieldError name them too.
+// Limits on a submission's fields. The reasons in FieldError repeat them as text.
 const (
 	maxTasks     = 100_000
 	maxTypes     = 100
 	maxTextBytes = 200
-	maxAmount    = 1e9
+	maxAmount    = 1e9 // in the unit of the field
 )
 
-// What is wrong with a body as a whole.
+// Errors for a body as a whole.
 var (
 	errBodyTooLarge = errors.New("body over 64 KiB")
-	errNoObject     = errors.New("not a JSON object")
+	errNotObject    = errors.New("not a JSON object")
 )
 
 // Reasons that several fields share.
@@ -30,16 +30,18 @@
 	reasonAmount    = "must be between 0 and 1e9"
 )
 
-// FieldError is a field of a submission that is missing or not valid.
+// FieldError reports a field of a submission that is missing or not valid. Users see its
+// text.
 type FieldError struct {
-	Field  string // its name in JSON
-	Value  any    // what was sent; nil where the field is missing
-	Reason string // what is wrong with it
+	Field  string // the field's name in JSON
+	Value  any    // the value that was sent; nil if the field is missing
+	Reason string
 }
 
 func (e *FieldError) Error() string { return fmt.Sprintf("field %s: %s", e.Field, e.Reason) }
 
-// submission is a job as users send it: pointers tell fields that are missing or null.
+// submission is a job as users send it. Its pointers are nil for fields that are missing or
+// null.
 type submission struct {
 	ID                  *string   `json:"Id"`
 	Class               *string   `json:"Clase"`
@@ -64,15 +66,15 @@
 	Dependencies        []string  `json:"Espera"`
 }
 
-// ParseJob reads and checks a submission. A field that is missing or not valid is a
-// *FieldError, the first one in the order of the fields. Fields that are not known are
-// passed over.
+// ParseJob decodes and validates a submission. For fields that are missing or not valid it
+// returns a *FieldError about the first of them, in the order of the struct's fields. It
+// ignores unknown fields.
 func ParseJob(body []byte) (*Job, error) {
-	if len(body) > MaxBody {
+	if len(body) > MaxBodyBytes {
 		return nil, errBodyTooLarge
 	}
 	if jsontext.Value(body).Kind() != jsontext.KindBeginObject {
-		return nil, errNoObject
+		return nil, errNotObject
 	}
 	var submitted submission
 	if err := json.Unmarshal(body, &submitted); err != nil {
@@ -89,11 +91,11 @@
 	return job, nil
 }
 
-// fieldChecker keeps the first error of the fields that it checks. Its methods give a
-// field's value, where it is valid.
+// fieldChecker keeps the first error among the fields that it checks. Its methods for single
+// fields return the field's value if it is valid; otherwise only err counts.
 type fieldChecker struct{ err error }
 
-// identity checks who sends what kind of job.
+// identity checks the fields that say whose job it is and of what kind.
 func (c *fieldChecker) identity(submitted *submission, job *Job) {
 	job.ID = c.id("Id", submitted.ID)
 	job.Class = c.text("Clase", submitted.Class)
@@ -103,7 +105,7 @@
 	job.Tasks = c.tasks("Tareas", submitted.Tasks)
 }
 
-// requirements checks what a task takes and where it may run.
+// requirements checks the fields that say which resources a task needs and where it may run.
 func (c *fieldChecker) requirements(submitted *submission, job *Job) {
 	job.CPUs = c.amount("Vcpus", submitted.CPUs)
 	job.GPUs = c.amount("Accelerators", submitted.GPUs)
@@ -119,7 +121,7 @@
 	job.Spot = c.flag("Prestadas", submitted.Spot)
 }
 
-// times checks run time, checkpoints and deadline.
+// times checks the estimated run time, the times of checkpoints and the deadline.
 func (c *fieldChecker) times(submitted *submission, job *Job) {
 	job.EstimateS = c.amount("EstimadoS", submitted.EstimateS)
 	job.CheckpointIntervalS = c.amount("RespaldoS", submitted.CheckpointIntervalS)
@@ -129,14 +131,14 @@
 	}
 }
 
-// fail notes that a field is not valid, unless one before it was not.
+// fail sets the error, unless an earlier field has set it.
 func (c *fieldChecker) fail(field string, value any, reason string) {
 	if c.err == nil {
 		c.err = &FieldError{Field: field, Value: value, Reason: reason}
 	}
 }
 
-// text gives a field of text.
+// text returns a text field.
 func (c *fieldChecker) text(field string, value *string) string {
 	switch {
 	case value == nil:
@@ -149,16 +151,15 @@
 	return ""
 }
 
-// id gives a job's id.
+// id returns a job id.
 func (c *fieldChecker) id(field string, value *string) string {
 	id := c.text(field, value)
-	if !ValidID(id) {
+	if !ValidJobID(id) {
 		c.fail(field, id, "must look like wk-000412")
 	}
 	return id
 }
 
-// kind gives a job's kind.
 func (c *fieldChecker) kind(field string, value *string) JobKind {
 	kind := JobKind(c.text(field, value))
 	if !kind.valid() {
@@ -167,7 +168,6 @@
 	return kind
 }
 
-// priority gives a job's priority.
 func (c *fieldChecker) priority(field string, value *string) Priority {
 	priority := Priority(c.text(field, value))
 	if priority.Tier() == 0 {
@@ -176,7 +176,7 @@
 	return priority
 }
 
-// tasks gives the number of a job's tasks.
+// tasks returns the number of a job's tasks.
 func (c *fieldChecker) tasks(field string, value *int) int {
 	switch {
 	case value == nil:
@@ -189,12 +189,12 @@
 	return 0
 }
 
-// amount gives an amount of something, or a time in seconds.
+// amount returns an amount or a time in seconds.
 func (c *fieldChecker) amount(field string, value *float64) float64 {
 	switch {
 	case value == nil:
 		c.fail(field, nil, reasonMissing)
-	case !(*value >= 0) || math.IsInf(*value, 0) || *value > maxAmount: // NaN is not >= 0
+	case !(*value >= 0) || math.IsInf(*value, 0) || *value > maxAmount: // also rejects NaN
 		c.fail(field, *value, reasonAmount)
 	default:
 		return *value
@@ -202,7 +202,7 @@
 	return 0
 }
 
-// flag gives a field that is true or false.
+// flag returns a Boolean field.
 func (c *fieldChecker) flag(field string, value *bool) bool {
 	if value == nil {
 		c.fail(field, nil, reasonMissing)
@@ -211,7 +211,7 @@
 	return *value
 }
 
-// types gives the machine types that a job may use; nil: any.
+// types returns the machine types that a job may use; nil means any.
 func (c *fieldChecker) types(field string, value *[]string) []string {
 	switch {
 	case value == nil:
@@ -224,12 +224,12 @@
 	return *value
 }
 
-// dependencies gives the jobs that this one waits for; each counts once.
+// dependencies returns the ids of the jobs that a job waits for, without duplicates.
 func (c *fieldChecker) dependencies(field string, ids []string) []string {
 	var dependencies []string
 	seen := map[string]bool{}
 	for _, id := range ids {
-		if !ValidID(id) {
+		if !ValidJobID(id) {
 			c.fail(field, id, fmt.Sprintf("%.40q does not look like wk-000412", id))
 		}
 		if !seen[id] {
--- a/internal/api/store.go
+++ b/internal/api/store.go
@@ -2,53 +2,54 @@
 
 import "github.com/go-json-experiment/json/jsontext"
 
-// Revision numbers the states of the store: it rises with each change. The version of a
-// key is the revision of its last change; 0: there is no such key.
+// Revision numbers the states of the key-value store and increases with each change. The
+// version of a key is the revision of its last change, or 0 if the key does not exist.
 type Revision uint64
 
-// KeyValue is a key of the key-value store.
+// KeyValue is a key of the key-value store with its value.
 type KeyValue struct {
 	Key     string         `json:"K"`
 	Value   jsontext.Value `json:"Data"`
-	Version Revision       `json:"Edicion"` // rises with each change of the key
+	Version Revision       `json:"Edicion"`
 }
 
-// KeyValuePage is a page of keys.
+// KeyValuePage is a page of a list of keys.
 type KeyValuePage struct {
 	Pairs    []KeyValue `json:"Pairs"`
-	More     bool       `json:"Truncated"`
-	Revision Revision   `json:"Revision"` // of the whole store
+	More     bool       `json:"Truncated"` // further pages follow
+	Revision Revision   `json:"Revision"`  // of the whole store
 }
 
-// Compare is a condition of a transaction: the key has this version; 0: there is no such
-// key.
+// Compare is a condition of a transaction: the key has this version. With version 0 the key
+// must not exist.
 type Compare struct {
 	Key     string   `json:"K"`
 	Version Revision `json:"Edicion"`
 }
 
-// Write is a put or a delete in a transaction.
+// Write is a put or a delete in a transaction. Either Put or Delete is set.
 type Write struct {
-	Put    string         `json:"Write,omitempty"` // the key that is set to Value
+	Put    string         `json:"Write,omitempty"` // the key to set to Value
 	Value  jsontext.Value `json:"Data,omitempty"`
-	Lease  uint64         `json:"Arriendo,omitzero"` // the key goes when this lease expires; 0: it stays
-	Delete string         `json:"Drop,omitempty"`    // the key that is deleted
+	Lease  uint64         `json:"Arriendo,omitzero"` // the key is deleted when this lease expires; 0: it has no lease
+	Delete string         `json:"Drop,omitempty"`    // the key to delete
 }
 
-// Transaction is a compare-and-swap: all writes are made, if all compares hold.
+// Transaction is a compare-and-swap on several keys. The store makes all writes if all
+// compares hold, and none otherwise.
 type Transaction struct {
 	Compares []Compare `json:"Guards"`
 	Writes   []Write   `json:"Writes,omitempty"`
 }
 
-// TransactionResult answers a transaction.
+// TransactionResult is the answer to a transaction.
 type TransactionResult struct {
 	Revision   Revision `json:"Revision"`
-	FailedKeys []string `json:"failed"` // whose compares did not hold
+	FailedKeys []string `json:"failed"` // keys whose compares did not hold
 	Error      string   `json:"error"`
 }
 
-// Event is one change in a watch's log.
+// Event is one change of a key that a watch returns. Either Put or Delete names the key.
 type Event struct {
 	Put     string         `json:"Write"`
 	Value   jsontext.Value `json:"Data"`
@@ -56,7 +57,7 @@
 	Version Revision       `json:"Edicion"`
 }
 
-// WatchResponse answers a watch: what changed up to the revision.
+// WatchResponse is the answer to a watch: the changes up to and including the revision.
 type WatchResponse struct {
 	Revision Revision `json:"Revision"`
 	Events   []Event  `json:"Log"`
@@ -64,10 +65,10 @@
 
 // LeaseRequest requests a lease.
 type LeaseRequest struct {
-	TTLMs int64 `json:"TtlMs"` // milliseconds
+	TTLMs int64 `json:"TtlMs"` // time to live in milliseconds
 }
 
-// LeaseResponse answers with the lease.
+// LeaseResponse is the answer to a LeaseRequest.
 type LeaseResponse struct {
 	Lease uint64 `json:"Arriendo"`
 }
--- a/internal/api/worker.go
+++ b/internal/api/worker.go
@@ -10,43 +10,43 @@
 // TaskState is a task's state in a worker's heartbeat.
 type TaskState string
 
-// States of tasks, with the protocol's words.
+// States of tasks; the values are the protocol's.
 const (
-	TaskFetching      TaskState = "pulling" // its image
-	TaskWaiting       TaskState = "waiting" // for the rest of its gang
+	TaskFetching      TaskState = "pulling" // fetches its image
+	TaskWaiting       TaskState = "waiting" // waits for the rest of its gang
 	TaskRunning       TaskState = "running"
-	TaskCheckpointing TaskState = "flushing"
+	TaskCheckpointing TaskState = "flushing" // saves a checkpoint before it stops
 	TaskExited        TaskState = "ended"
 )
 
-// ExitReason is why a task ended.
+// ExitReason says why a task ended, or why its worker did not start it.
 type ExitReason string
 
-// Reasons of a task's exit, with the protocol's words.
+// Exit reasons; the values are the protocol's.
 const (
-	ExitDone      ExitReason = "done"
-	ExitStopped   ExitReason = "halted"
-	ExitMatesGone ExitReason = "mates_gone" // the rest of its gang ended
-	ExitAlone     ExitReason = "alone"      // the rest of its gang did not come
-	ExitFailed    ExitReason = "error"
-	ExitNoRoom    ExitReason = "no_room"
-	ExitBusy      ExitReason = "busy"
-	ExitNoSuch    ExitReason = "no_such"
+	ExitDone           ExitReason = "done"
+	ExitStopped        ExitReason = "halted"
+	ExitGangEnded      ExitReason = "mates_gone" // the rest of its gang ended
+	ExitGangIncomplete ExitReason = "alone"      // the rest of its gang did not start in time
+	ExitFailed         ExitReason = "error"
+	ExitNoRoom         ExitReason = "no_room" // not started: the machine lacks free resources
+	ExitBusy           ExitReason = "busy"    // not started: another attempt has not ended there
+	ExitUnknownTask    ExitReason = "no_such" // not started: the worker does not find the task
 )
 
-// Attempt numbers the times that a task was placed, from 1. A worker acts on a command
-// only for the attempt that it names.
+// Attempt numbers the placements of a task, from 1. A worker applies a command only to the
+// attempt that the command names.
 type Attempt uint64
 
-// FencingToken tells a worker whether who commands it still leads: it obeys none lower
-// than the highest that it has seen.
+// FencingToken protects a worker from commands of a former leader. The worker rejects
+// commands with a token lower than the highest that it has seen.
 type FencingToken uint64
 
-// Incarnation numbers a worker's processes on one machine: a later one knows nothing of
-// the tasks of those before. 0 is none.
+// Incarnation numbers the worker processes on one machine. A process knows nothing of the
+// tasks of earlier incarnations. 0 means none.
 type Incarnation uint64
 
-// TaskStatus is one task in a worker's heartbeat.
+// TaskStatus is the status of one task in a worker's heartbeat.
 type TaskStatus struct {
 	Task             string     `json:"Tarea"`
 	Attempt          Attempt    `json:"Intento"`
@@ -55,61 +55,62 @@
 	CheckpointStored bool       `json:"Stored,omitempty"`
 }
 
-// Heartbeat is a worker's heartbeat, with the status of its tasks.
+// Heartbeat is a worker's periodic report, with the status of its tasks.
 type Heartbeat struct {
 	Machine     string      `json:"Maquina"`
 	Address     string      `json:"Endpoint"`
 	Type        string      `json:"Tipo"`
 	Zone        string      `json:"Zona"`
 	Spot        bool        `json:"Prestadas"`
-	Incarnation Incarnation `json:"Jornada"` // of the worker's process; 0 is none
-	Sequence    uint64      `json:"Folio"`   // of the heartbeat within the incarnation
-	// FencingToken is the highest that the worker has seen.
+	Incarnation Incarnation `json:"Jornada"` // never 0 in a valid heartbeat
+	Sequence    uint64      `json:"Folio"`   // number of the heartbeat within the incarnation
+	// FencingToken is the highest token that the worker has seen.
 	FencingToken FencingToken `json:"Baston"`
-	// InterruptionNoticeS is the time until a spot instance is interrupted; nil: no notice.
+	// InterruptionNoticeS is the time until the cloud interrupts the spot instance; nil: the
+	// cloud has given no notice.
 	InterruptionNoticeS *float64     `json:"AvisoS"`
 	Tasks               []TaskStatus `json:"Tareas"`
 }
 
-// maxMachineNameBytes is how long a machine's name may be.
 const maxMachineNameBytes = 150
 
-// errNoSender is a heartbeat that does not name the machine, or the process on it, that
-// sent it.
-var errNoSender = errors.New("report: machine or session is missing")
+// errMissingSender reports a heartbeat without a valid machine name or without an
+// incarnation. Workers see its text.
+var errMissingSender = errors.New("report: machine or session is missing")
 
-// ParseHeartbeat reads and checks a worker's heartbeat.
+// ParseHeartbeat decodes a worker's heartbeat and checks that it names its sender: a machine
+// and an incarnation.
 func ParseHeartbeat(body []byte) (*Heartbeat, error) {
 	heartbeat := &Heartbeat{}
 	if err := json.Unmarshal(body, heartbeat); err != nil {
 		return nil, fmt.Errorf("report: %w", err)
 	}
 	if heartbeat.Machine == "" || len(heartbeat.Machine) > maxMachineNameBytes || heartbeat.Incarnation == 0 {
-		return nil, errNoSender
+		return nil, errMissingSender
 	}
 	return heartbeat, nil
 }
 
-// CommandOp is what a command has a worker do.
+// CommandOp is the operation that a command requests from a worker.
 type CommandOp string
 
-// Operations of commands, with the protocol's words.
+// Operations of commands; the values are the protocol's.
 const (
 	CommandStart  CommandOp = "run"
 	CommandStop   CommandOp = "halt"
-	CommandForget CommandOp = "forget"
+	CommandForget CommandOp = "forget" // drops a task that has ended from the heartbeats
 )
 
-// Command is one command to a worker, about one attempt of a task.
+// Command is a command to a worker about one attempt of a task.
 type Command struct {
 	Op      CommandOp `json:"Accion"`
 	Task    string    `json:"Tarea"`
 	Attempt Attempt   `json:"Intento"`
-	GraceS  *float64  `json:"GraciaS,omitempty"` // of a stop: time to save a checkpoint
+	GraceS  *float64  `json:"GraciaS,omitempty"` // for CommandStop: time to save a checkpoint
 }
 
-// HeartbeatResponse answers a heartbeat; it renews the lease on which the worker's tasks
-// run.
+// HeartbeatResponse is the answer to a heartbeat. It renews the lease without which the
+// worker's tasks may not run.
 type HeartbeatResponse struct {
 	FencingToken FencingToken `json:"Baston"`
 	Commands     []Command    `json:"Ordenes"`
@@ -122,7 +123,7 @@
 	Commands     []Command    `json:"Ordenes"`
 }
 
-// Redirect sends a worker to another controller.
+// Redirect tells a worker to send its heartbeats to another controller.
 type Redirect struct {
-	To string `json:"ReportaA,omitempty"` // "": the worker is to try the others
+	To string `json:"ReportaA,omitempty"` // "": the worker must try the other controllers
 }
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -1,4 +1,4 @@
-// Package cloud is the client of the cloud's interface, within its budget of requests.
+// Package cloud is the client of the cloud's API. It keeps to the API's rate limit.
 package cloud
 
 import (
@@ -19,50 +19,53 @@
 	"spurmoor/internal/settings"
 )
 
-// serviceName names the cloud in the log.
+// serviceName is the cloud's name in the log.
 const serviceName = "cloud"
 
-// replyTimeout is the time for a reply, and for the budget before it.
+// replyTimeout limits the time until the reply. It is also how long a request may wait for
+// its budget before it is sent.
 const replyTimeout = 5 * time.Second
 
-// The connections' limits. readTimeout is longer than replyTimeout, which so governs.
+// Limits on connections. readTimeout is longer than replyTimeout, so replyTimeout is the one
+// that takes effect.
 const (
 	readTimeout  = 15 * time.Second
 	writeTimeout = 3 * time.Second
 	idleTimeout  = 60 * time.Second
-	// maxReply bounds a reply in bytes: it is held in memory whole.
-	maxReply = 4 << 20
+	// maxReplyBytes limits the size of a reply, since a reply is held in memory as a whole.
+	maxReplyBytes = 4 << 20
 )
 
-// Controllers are rarely busy all at once, so each may use half of the cloud's budget, and
-// saves up what it does not use for burstSeconds. A 429 is retried.
+// The controllers share the cloud's rate limit. They are rarely all busy at once, so each may
+// use half of it, and a 429 is retried. A controller's unused requests accumulate for
+// burstSeconds.
 const (
-	controllersPerBudget = 2
-	burstSeconds         = 2
-	minBurst             = 2
+	assumedBusyControllers = 2
+	burstSeconds           = 2
+	minBurst               = 2
 )
 
-// pageSize is how many machines are listed at a time.
+// pageSize is the largest number of machines on a page of a list.
 const pageSize = 500
 
-// Client sends the state machine's calls to the cloud.
+// Client sends the state machine's calls to the cloud. It is safe for concurrent use.
 type Client struct {
-	http *jsonhttp.Client
-	gate leadership.Gate
+	http       *jsonhttp.Client
+	checkGrant leadership.Gate
 }
 
-// New makes a client. gate is asked before each launch and delete leaves; onMalformed is
-// called with every reply that can't be read.
-func New(set *settings.Settings, gate leadership.Gate, onMalformed func(service string, err error)) *Client {
-	requestsPerSecond := set.Deployment.Cloud.RPS / controllersPerBudget
+// New returns a client. checkGrant is called right before each launch and delete is sent, and
+// onMalformed for each reply that can't be decoded.
+func New(set *settings.Settings, checkGrant leadership.Gate, onMalformed func(service string, err error)) *Client {
+	requestsPerSecond := set.Deployment.Cloud.RPS / assumedBusyControllers
 	burst := max(minBurst, int(burstSeconds*requestsPerSecond))
 	return &Client{
-		gate: gate,
+		checkGrant: checkGrant,
 		http: &jsonhttp.Client{
-			Service:      serviceName,
-			RequestLimit: rate.NewLimiter(rate.Limit(requestsPerSecond), burst),
-			BudgetWait:   replyTimeout,
-			OnMalformed:  onMalformed,
+			Service:       serviceName,
+			RequestLimit:  rate.NewLimiter(rate.Limit(requestsPerSecond), burst),
+			BudgetTimeout: replyTimeout,
+			OnMalformed:   onMalformed,
 			Host: &fasthttp.HostClient{
 				Addr:                      set.Endpoints.Cloud,
 				MaxConns:                  set.Sockets.Cloud,
@@ -70,18 +73,18 @@
 				WriteTimeout:              writeTimeout,
 				MaxIdleConnDuration:       idleTimeout,
 				MaxIdemponentCallAttempts: 1,
-				MaxResponseBodySize:       maxReply,
+				MaxResponseBodySize:       maxReplyBytes,
 			},
 		},
 	}
 }
 
-// Do carries out a call and returns its reply, whose status is 0 where none came and 429
-// where the budget did not allow the call.
+// Do sends a call and returns the reply. Its status is 0 if no reply came, and 429 if the
+// budget did not allow the call.
 func (c *Client) Do(ctx context.Context, call message.CloudCall) *message.CloudReply {
 	reply := &message.CloudReply{CallID: call.CallID}
-	read := func(status int, body []byte) error { return decode(call.Op, status, body, reply) }
-	err := c.http.Do(ctx, c.request(call), read)
+	decodeReply := func(status int, body []byte) error { return decode(call.Op, status, body, reply) }
+	err := c.http.Do(ctx, c.request(call), decodeReply)
 	var notSent *jsonhttp.NotSentError
 	reply.Unsent = errors.As(err, &notSent)
 	if errors.Is(err, jsonhttp.ErrBudgetExhausted) {
@@ -90,7 +93,7 @@
 	return reply
 }
 
-// request gives the HTTP request of a call.
+// request returns the HTTP request for a call.
 func (c *Client) request(call message.CloudCall) jsonhttp.Request {
 	request := jsonhttp.Request{Timeout: replyTimeout}
 	switch call.Op {
@@ -99,11 +102,11 @@
 	case message.OpLaunch:
 		request.URI = "/machines"
 		request.Body = call.Launch.Body()
-		request.BeforeSend = func() error { return c.gate(call.Launch.Grant(), leadership.Launch) }
+		request.BeforeSend = func() error { return c.checkGrant(call.Launch.Grant(), leadership.Launch) }
 	case message.OpDelete:
 		request.URI = "/machines/delete"
 		request.Body = api.InstanceNames{Machines: call.Delete.Body()}
-		request.BeforeSend = func() error { return c.gate(call.Delete.Grant(), leadership.Delete) }
+		request.BeforeSend = func() error { return c.checkGrant(call.Delete.Grant(), leadership.Delete) }
 	case message.OpListInstances:
 		query := url.Values{"Most": {strconv.Itoa(pageSize)}}
 		if call.After != "" {
@@ -114,8 +117,8 @@
 	return request
 }
 
-// decode reads an HTTP reply. The status is set last: a reply that can't be read counts as
-// none, so that the outcome of the call stays unknown.
+// decode decodes an HTTP reply. It sets the status last: a reply that can't be decoded counts
+// as no reply, so that the outcome of the call stays unknown.
 func decode(operation message.CloudOp, status int, body []byte, reply *message.CloudReply) error {
 	var launched api.InstanceNames
 	if target := decodeTarget(operation, reply, &launched); status == fasthttp.StatusOK && target != nil {
@@ -128,7 +131,8 @@
 	return nil
 }
 
-// decodeTarget is what the body of a call's reply is read into; nil: it is not looked at.
+// decodeTarget returns what the body of a reply is decoded into. Nil means that the body is
+// ignored.
 func decodeTarget(operation message.CloudOp, reply *message.CloudReply, launched *api.InstanceNames) any {
 	switch operation {
 	case message.OpReadCatalog:
--- a/internal/cluster/dependency_check.go
+++ b/internal/cluster/dependency_check.go
@@ -80,7 +80,7 @@
 // they are never done.
 func (c *dependencyCheck) accept() {
 	for _, id := range c.spec.Dependencies {
-		if job := c.graph.cluster.Jobs[id]; job != nil && job.Spec.Kind == api.Service {
+		if job := c.graph.cluster.Jobs[id]; job != nil && job.Spec.Kind == api.KindService {
 			c.answer(message.StatusUnprocessableEntity, id+" is a service: it is never done")
 			return
 		}
--- a/internal/cluster/failures.go
+++ b/internal/cluster/failures.go
@@ -167,7 +167,7 @@
 // two cycles, and the tasks placed by the first would occupy machines while they wait for the
 // second.
 func (l *TaskLifecycle) MaxTasksPerCycle(job *Job) int {
-	if job.Spec.Kind != api.Array {
+	if job.Spec.Kind != api.KindArray {
 		return job.Spec.Tasks
 	}
 	return max(minTasksPerCycle, len(l.cluster.Machines)/machinesPerTask)
@@ -179,7 +179,7 @@
 // again and again (67 in one case), and machines are launched for it.
 func (l *TaskLifecycle) PlaceableLimit(job *Job) int {
 	switch {
-	case job.Spec.Kind != api.Array:
+	case job.Spec.Kind != api.KindArray:
 		return job.Spec.Tasks
 	case job.Suspect && job.PlacedTasks == 0:
 		return 1
--- a/internal/cluster/gang.go
+++ b/internal/cluster/gang.go
@@ -9,7 +9,7 @@
 // it. If it lost tasks, the waiting ones keep their machines and replacements with the same
 // attempt number complete the gang.
 func (j *Job) IsReassembling() bool {
-	if j.Spec.Kind != api.Gang || j.DoneTasks > 0 || j.PlacedTasks == 0 || j.Cancelled || j.needsNewAttempt {
+	if j.Spec.Kind != api.KindGang || j.DoneTasks > 0 || j.PlacedTasks == 0 || j.Cancelled || j.needsNewAttempt {
 		return false
 	}
 	for _, task := range j.knownTasks() {
@@ -32,7 +32,7 @@
 // isBroken reports whether a gang lost a task while it ran. The remaining tasks must stop
 // before the gang starts again.
 func (j *Job) isBroken() bool {
-	if j.Spec.Kind != api.Gang || j.StartUncommitted || j.IsReassembling() {
+	if j.Spec.Kind != api.KindGang || j.StartUncommitted || j.IsReassembling() {
 		return false
 	}
 	return j.DoneTasks == 0 && j.PlacedTasks > 0 && j.PlacedTasks < j.Spec.Tasks
--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -131,7 +131,7 @@
 		tasks := j.Chunks[chunk]
 		end := min(j.Spec.Tasks, (chunk+1)*TasksPerChunk)
 		for index := chunk * TasksPerChunk; index < end; index++ {
-			if len(list) >= limit && j.Spec.Kind != api.Gang {
+			if len(list) >= limit && j.Spec.Kind != api.KindGang {
 				return list
 			}
 			if tasks == nil || tasks[index%TasksPerChunk].mayBePlaced(now) {
@@ -142,7 +142,7 @@
 	// All tasks of a gang start together. There are two exceptions: a gang that is
 	// reassembling, and a gang of which a task is done. In the latter all tasks are done, so
 	// tasks whose lost machines could not report it only have to be run again.
-	if j.Spec.Kind == api.Gang && len(list)+j.DoneTasks < j.Spec.Tasks && !j.IsReassembling() {
+	if j.Spec.Kind == api.KindGang && len(list)+j.DoneTasks < j.Spec.Tasks && !j.IsReassembling() {
 		return nil
 	}
 	return list
@@ -174,7 +174,7 @@
 	if j.Cancelled {
 		return j.PlacedTasks == 0
 	}
-	return j.Spec.Kind != api.Service && j.DoneTasks == j.Spec.Tasks
+	return j.Spec.Kind != api.KindService && j.DoneTasks == j.Spec.Tasks
 }
 
 // Status returns the status of an unfinished job as users see it.
--- a/internal/cluster/task_lifecycle.go
+++ b/internal/cluster/task_lifecycle.go
@@ -62,7 +62,7 @@
 	if machine.Record.MarkedForDeletion || machine.InterruptionAt != 0 {
 		return false
 	}
-	return job.Spec.Kind != api.Gang || job.isPlacedWhole()
+	return job.Spec.Kind != api.KindGang || job.isPlacedWhole()
 }
 
 // HandleExit handles a worker's report that a task has exited.
@@ -81,7 +81,7 @@
 	switch report.ExitReason {
 	case api.ExitFailed:
 		l.RecordFailure(job, machine, report.Task)
-	case api.ExitNoRoom, api.ExitBusy, api.ExitNoSuch:
+	case api.ExitNoRoom, api.ExitBusy, api.ExitUnknownTask:
 		job.Task(index).notBefore = l.Now + refusedStartDelay
 		l.LogInfo(
 			"task start refused", logkey.Task, report.Task, logkey.Machine, machine.Name,
@@ -117,7 +117,7 @@
 	l.LogInfo(
 		"task stop requested", logkey.Job, job.ID, logkey.Machine, task.Machine, logkey.Reason, reason,
 	)
-	if job.Spec.Kind == api.Gang {
+	if job.Spec.Kind == api.KindGang {
 		l.requestGangStop(job, task.GraceS)
 	}
 	l.cluster.requestCommand(task.Machine)
--- a/internal/coordination/role_status.go
+++ b/internal/coordination/role_status.go
@@ -11,10 +11,10 @@
 // HandleListRoles answers the request for the state of all roles.
 func (m *RoleManager) HandleListRoles(request message.ListRoles) {
 	list := api.Roles{
-		Node:            m.Settings.Node,
-		Exclusive:       m.Exclusive,
-		RecordsRequests: m.schema.RecordsRequests(),
-		RefusedOrders:   m.refusedOrdersWithoutRole(),
+		Node:                   m.Settings.Node,
+		Exclusive:              m.Exclusive,
+		RecordsMachineRequests: m.schema.RecordsRequests(),
+		RefusedOrders:          m.refusedOrdersWithoutRole(),
 	}
 	for _, state := range m.Roles {
 		list.Roles = append(list.Roles, m.roleStatus(state))
--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -118,7 +118,7 @@
 // more than its team's limit. For an array that is one task, for other jobs all tasks.
 func (a *admissionControl) exceedsTeamLimit(spec *api.Job, task scheduler.Resources) bool {
 	concurrentTasks := int64(1)
-	if spec.Kind != api.Array {
+	if spec.Kind != api.KindArray {
 		concurrentTasks = int64(spec.Tasks)
 	}
 	for _, team := range a.Settings.Deployment.Teams {
--- a/internal/core/explanation.go
+++ b/internal/core/explanation.go
@@ -119,7 +119,7 @@
 // setExpectedEnd sets when a job is expected to be done and whether it meets its deadline.
 func (x *jobExplainer) setExpectedEnd(explanation *api.Explanation, job *cluster.Job) {
 	end := x.expectedJobEnd(job, map[string]micros.Micros{})
-	if end > x.Now && job.Spec.Kind != api.Service {
+	if end > x.Now && job.Spec.Kind != api.KindService {
 		explanation.ExpectedInS = (end - x.Now).Seconds()
 		explanation.EarliestS = explanation.ExpectedInS * earliestEndFactor
 		explanation.LatestS = explanation.ExpectedInS * latestEndFactor
@@ -160,7 +160,7 @@
 	}
 	planned := x.scheduling.ExpectedEnds[job.ID]
 	switch {
-	case job.Spec.Kind == api.Service:
+	case job.Spec.Kind == api.KindService:
 		return 0 // a service runs until it is cancelled
 	case planned > x.Now:
 		return planned
--- a/internal/core/job_lookup.go
+++ b/internal/core/job_lookup.go
@@ -56,7 +56,7 @@
 		done(cluster.JobKnown, terminalStatus(id, record))
 		return
 	}
-	if !api.ValidID(id) {
+	if !api.ValidJobID(id) {
 		done(cluster.JobNeverAccepted, api.JobStatus{})
 		return
 	}
--- a/internal/core/submission.go
+++ b/internal/core/submission.go
@@ -45,7 +45,7 @@
 func (h *submissionHandler) handleSubmit(request message.Submit) {
 	spec, err := api.ParseJob(request.Body)
 	if err != nil {
-		h.answerDuplicateOrRefuse(request.RequestID, api.JobID(request.Body), refusalMalformed(err))
+		h.answerDuplicateOrRefuse(request.RequestID, api.ParseJobID(request.Body), refusalMalformed(err))
 		return
 	}
 	if !h.cache.Synced {
--- a/internal/jsonhttp/doc.go
+++ b/internal/jsonhttp/doc.go
@@ -1,3 +1,3 @@
-// Package jsonhttp makes HTTP requests with JSON bodies within a budget, for the clients
-// of the key-value store and the cloud.
+// Package jsonhttp sends HTTP requests with JSON bodies within a rate limit (the budget). The
+// clients of the key-value store and the cloud use it.
 package jsonhttp
--- a/internal/jsonhttp/request.go
+++ b/internal/jsonhttp/request.go
@@ -10,40 +10,41 @@
 	"golang.org/x/time/rate"
 )
 
-// ContentType is the content type of every request and reply with a body.
+// ContentType is the content type of all requests and replies that have a body.
 const ContentType = "application/json"
 
-// Request is a request: GET, or POST where it has a body.
+// Request is an HTTP request. Its method is POST if it has a body, and GET otherwise.
 type Request struct {
 	URI     string
-	Body    any
-	Timeout time.Duration // from the wait for a connection to the end of the reply
-	// BeforeSend is called once the request has its connection, right before its bytes
-	// leave; an error keeps it from leaving. Nil: it may always leave. It is only used
-	// with a body.
+	Body    any           // encoded as JSON; nil: no body
+	Timeout time.Duration // includes the wait for a connection and reading the reply
+	// BeforeSend is called once the request has a connection, right before its first byte
+	// is sent. If it returns an error, nothing is sent. Nil permits every request. It is
+	// called only for a request with a body.
 	BeforeSend func() error
-	// Urgent requests never wait for their budget, and use Client.UrgentHost. Urgent and
-	// Costs are for a Client; the function Do passes them over.
+	// Urgent requests never wait for their budget, and use Client.UrgentHost. Only Client
+	// uses Urgent and Costs; the function Do ignores them.
 	Urgent bool
-	// Costs are the budgets that the request takes from beside Client.RequestLimit; an
-	// urgent one takes nothing from them.
+	// Costs are taken from other budgets in addition to Client.RequestLimit. An urgent
+	// request takes nothing from them.
 	Costs []Cost
 }
 
-// Cost is what a request takes from a budget. Even of no tokens it waits while the budget
-// is overdrawn.
+// Cost is the number of tokens that a request takes from a budget. A request whose cost is 0
+// tokens still waits while the budget is overdrawn.
 type Cost struct {
 	Budget *rate.Limiter
 	Tokens int
 }
 
-// ReadFunc takes a reply's status and body, and returns a MalformedError where it can't
-// read them. It must not keep the body.
-type ReadFunc func(status int, body []byte) error
+// DecodeFunc decodes a reply. It returns a MalformedError if it can't, and must not keep the
+// body.
+type DecodeFunc func(status int, body []byte) error
 
-// Do makes a request and hands the reply to read, whose error it returns as it is. Its
-// own errors are UnansweredError where no reply came, and one of encoding the body.
-func Do(host *fasthttp.HostClient, request Request, read ReadFunc) error {
+// Do sends a request, passes the reply to decode and returns the error of decode unchanged.
+// It returns an UnansweredError if no reply came, and another error if the request's body
+// can't be encoded.
+func Do(host *fasthttp.HostClient, request Request, decode DecodeFunc) error {
 	httpRequest, httpResponse := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(httpRequest)
 	defer fasthttp.ReleaseResponse(httpResponse)
@@ -58,10 +59,10 @@
 	if err := host.DoTimeout(httpRequest, httpResponse, request.Timeout); err != nil {
 		return &UnansweredError{Cause: err}
 	}
-	return read(httpResponse.StatusCode(), httpResponse.Body())
+	return decode(httpResponse.StatusCode(), httpResponse.Body())
 }
 
-// setBody makes a POST of a request, with its body in JSON.
+// setBody makes httpRequest a POST request with the JSON of request.Body.
 func setBody(httpRequest *fasthttp.Request, request Request) error {
 	body, err := json.Marshal(request.Body)
 	if err != nil {
@@ -77,14 +78,14 @@
 	return nil
 }
 
-// checkedBody is a request body that is checked once before it is read.
+// checkedBody is a request body that calls beforeSend on its first Read.
 type checkedBody struct {
 	beforeSend func() error // nil once it was called
 	body       *bytes.Reader
 }
 
-// Read is io.Reader's. On its first call the request's headers are still buffered, so
-// an error then keeps the whole request from leaving.
+// Read implements io.Reader. On its first call the request's headers are still buffered, so
+// an error at that point keeps the headers from being sent too.
 func (b *checkedBody) Read(buffer []byte) (int, error) {
 	if b.beforeSend != nil {
 		check := b.beforeSend
@@ -96,8 +97,10 @@
 	return b.body.Read(buffer) //nolint:wrapcheck // an io.Reader must give io.EOF itself
 }
 
-// SetCheckedBody gives a request a body that leaves only if beforeSend allows it then;
-// its error comes back as a NotSentError. A request with such a body is never sent twice.
+// SetCheckedBody sets a request's body and has beforeSend called once the request has a
+// connection, right before its first byte is sent. If beforeSend returns an error, nothing is
+// sent, and the HTTP client returns that error as a NotSentError. The HTTP client never
+// retries a request with such a body.
 func SetCheckedBody(httpRequest *fasthttp.Request, body []byte, beforeSend func() error) {
 	httpRequest.SetBodyStream(&checkedBody{beforeSend, bytes.NewReader(body)}, len(body))
 }
--- a/internal/planning/machine_requests.go
+++ b/internal/planning/machine_requests.go
@@ -100,5 +100,5 @@
 	if tier < request.Tier {
 		return true
 	}
-	return tier < request.InheritedTier && job.Spec.Kind == api.Array && !l.view.startedRecently(task)
+	return tier < request.InheritedTier && job.Spec.Kind == api.KindArray && !l.view.startedRecently(task)
 }
--- a/internal/planning/plan_execution.go
+++ b/internal/planning/plan_execution.go
@@ -30,7 +30,7 @@
 // unless replacements complete a gang that has not begun to run.
 func (c *SchedulingCycle) newTaskQueue(job *cluster.Job) *taskQueue {
 	queue := &taskQueue{job: job, pending: job.Placeable(c.Now, c.tasks.MaxTasksPerCycle(job))}
-	if job.Spec.Kind == api.Gang {
+	if job.Spec.Kind == api.KindGang {
 		queue.gangAttempt = job.LastAttempt()
 		if !job.IsReassembling() {
 			queue.gangAttempt++
@@ -44,7 +44,7 @@
 func (q *taskQueue) next() (index int, attempt api.Attempt) {
 	index = q.pending[0]
 	q.pending = q.pending[1:]
-	if q.job.Spec.Kind == api.Gang {
+	if q.job.Spec.Kind == api.KindGang {
 		return index, q.gangAttempt
 	}
 	if task := q.job.Task(index); task != nil {
--- a/internal/planning/reservation.go
+++ b/internal/planning/reservation.go
@@ -133,7 +133,7 @@
 // needsReservation reports whether a job is a gang that could run and has waited for
 // 1/reserveAfterDivisor of the time within which it should have begun.
 func (r *ReservationPlanner) needsReservation(job *cluster.Job) bool {
-	if job.Spec.Kind != api.Gang || !mayRun(job) || job.HasStarted() {
+	if job.Spec.Kind != api.KindGang || !mayRun(job) || job.HasStarted() {
 		return false
 	}
 	if r.tasks.IsDeprioritized(job) || r.Now < job.NotBefore || r.cluster.Partitions[job.Partition].Term == 0 {
--- a/internal/planning/snapshot.go
+++ b/internal/planning/snapshot.go
@@ -101,7 +101,7 @@
 // isRestarting reports whether a gang still has tasks of a failed attempt. It starts
 // again only when all of them are gone.
 func isRestarting(job *cluster.Job) bool {
-	return job.Spec.Kind == api.Gang && job.PlacedTasks > 0 && !job.IsReassembling()
+	return job.Spec.Kind == api.KindGang && job.PlacedTasks > 0 && !job.IsReassembling()
 }
 
 // sumPrices adds up the machine prices of each partition. Condemned machines and those of
--- a/internal/planning/spare_machine.go
+++ b/internal/planning/spare_machine.go
@@ -69,7 +69,7 @@
 // needsSpare reports whether a job has waited long enough to get a spare machine, and a
 // single machine would help it.
 func (c *SchedulingCycle) needsSpare(job *cluster.Job) bool {
-	oneMachineHelps := job.Spec.Kind == api.Array || job.Spec.Tasks == 1
+	oneMachineHelps := job.Spec.Kind == api.KindArray || job.Spec.Tasks == 1
 	if !oneMachineHelps || job.HasStarted() || c.tasks.IsDeprioritized(job) {
 		return false
 	}
--- a/internal/scheduler/advance_reservation.go
+++ b/internal/scheduler/advance_reservation.go
@@ -101,7 +101,7 @@
 		switch {
 		case allocation.Job != nil && allocation.Job.Tier < job.ownTier():
 			at = max(at, min(allocation.ExpectedEnd, now+PreemptionTime))
-		case allocation.Job != nil && allocation.Job.Spec.Kind == api.Service:
+		case allocation.Job != nil && allocation.Job.Spec.Kind == api.KindService:
 			return never
 		default:
 			at = max(at, allocation.ExpectedEnd)
--- a/internal/scheduler/demand.go
+++ b/internal/scheduler/demand.go
@@ -75,7 +75,7 @@
 		job.launchZone = d.chooseLaunchZone(job)
 	}
 	tasks := job.blockedTasks
-	if job.Spec.Kind == api.Array { // a gang or service needs room for all its tasks
+	if job.Spec.Kind == api.KindArray { // a gang or service needs room for all its tasks
 		tasks = min(tasks, d.limit(maxTasksPerArray))
 	}
 	option := d.cheapestLaunch(job, tasks)
@@ -184,7 +184,7 @@
 		return false
 	}
 	// A gang must not wait for room that its own tasks occupy.
-	return job.Spec.Kind != api.Gang || machine.Free.Fits(job.Request) || !runsTaskOf(machine, job)
+	return job.Spec.Kind != api.KindGang || machine.Free.Fits(job.Request) || !runsTaskOf(machine, job)
 }
 
 // runsTaskOf reports whether a task of the job is already on the machine. Tasks that this
--- a/internal/scheduler/machine.go
+++ b/internal/scheduler/machine.go
@@ -118,7 +118,7 @@
 	}
 	m.sortAllocations()
 	for _, allocation := range m.Allocations {
-		if allocation.Job != nil && allocation.Job.Spec.Kind == api.Service {
+		if allocation.Job != nil && allocation.Job.Spec.Kind == api.KindService {
 			continue
 		}
 		free = free.AddScaled(allocation.Request, 1)
--- a/internal/scheduler/machine_sort_key.go
+++ b/internal/scheduler/machine_sort_key.go
@@ -22,7 +22,7 @@
 
 func newMachineSortKey(job *Job, machine *Machine) machineSortKey {
 	var key machineSortKey
-	if job.Spec.Kind == api.Service {
+	if job.Spec.Kind == api.KindService {
 		key.zoneTasks = int64(job.TasksPerZone[machine.Zone])
 	}
 	if !machine.HasImage(job.Spec.Image) {
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -27,7 +27,7 @@
 // Otherwise an array with a low rank could fail to start within BeginWithinS.
 func (p *placer) placeOverdueArrays() {
 	for _, job := range p.Jobs {
-		if job.Spec.Kind != api.Array || !p.isOverdue(job) {
+		if job.Spec.Kind != api.KindArray || !p.isOverdue(job) {
 			continue
 		}
 		if min(job.PendingTasks, p.tasksWithinLimit(job)) > 0 {
@@ -46,12 +46,12 @@
 		if job.PendingTasks == 0 {
 			continue
 		}
-		if job.Spec.Kind == api.Array && !isFirstArray {
+		if job.Spec.Kind == api.KindArray && !isFirstArray {
 			p.placeWhereCached(job)
 			otherArrays = append(otherArrays, job)
 			continue
 		}
-		isFirstArray = isFirstArray && job.Spec.Kind != api.Array
+		isFirstArray = isFirstArray && job.Spec.Kind != api.KindArray
 		p.placeOrBlock(job)
 	}
 	for _, job := range otherArrays {
@@ -85,18 +85,18 @@
 // beyond the team's limit are not among them.
 func (p *placer) placeJob(job *Job) int {
 	tasks := min(job.PendingTasks, p.tasksWithinLimit(job))
-	if tasks == 0 || job.Spec.Kind == api.Gang && tasks < job.PendingTasks {
+	if tasks == 0 || job.Spec.Kind == api.KindGang && tasks < job.PendingTasks {
 		p.blockByQuota(job)
 		return 0
 	}
 	switch job.Spec.Kind {
-	case api.Gang:
+	case api.KindGang:
 		if p.placeGang(job) {
 			return 0
 		}
 		p.plan.BlockedReasons[job.ID] = reasonNoRoomForGang
 		return job.PendingTasks
-	case api.Array:
+	case api.KindArray:
 		tasks = p.packArray(job, tasks)
 	default:
 		tasks = p.placeOneByOne(job, tasks)
@@ -113,7 +113,7 @@
 func (p *placer) blockByQuota(job *Job) {
 	p.plan.BlockedReasons[job.ID] = reasonTeamLimit
 	quota := p.Quotas[job.Spec.Team]
-	if quota == nil || job.Spec.Kind != api.Gang || job.Deprioritized {
+	if quota == nil || job.Spec.Kind != api.KindGang || job.Deprioritized {
 		return
 	}
 	if quota.reservedForGangs == (Resources{}) {
@@ -194,7 +194,7 @@
 	if !ok || reserved.job == job {
 		return true
 	}
-	return job.Spec.Kind != api.Service && job.expectedEnd(machine, p.Now) <= reserved.readyAt
+	return job.Spec.Kind != api.KindService && job.expectedEnd(machine, p.Now) <= reserved.readyAt
 }
 
 // bindTask binds the next task of the job to the machine.
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -91,7 +91,7 @@
 // this rule, gangs that a pipeline depends on preempt other gangs of their own class over
 // and over, one of them ten times.
 func inheritedTierMayPreempt(job *Job, victim Allocation) bool {
-	return victim.Job.Tier < job.Tier && victim.Job.Spec.Kind == api.Array && !victim.StartedRecently
+	return victim.Job.Tier < job.Tier && victim.Job.Spec.Kind == api.KindArray && !victim.StartedRecently
 }
 
 // mayPreemptAny reports whether the protocol could permit preempting any task for the job.
--- a/internal/scheduler/ranking.go
+++ b/internal/scheduler/ranking.go
@@ -124,7 +124,7 @@
 func (r *ranker) measureAverageDrainS() float64 {
 	sumS, arrays := 0.0, 0.0
 	for _, job := range r.Jobs {
-		if job.Spec.Kind == api.Array && job.PendingTasks > 0 {
+		if job.Spec.Kind == api.KindArray && job.PendingTasks > 0 {
 			sumS += r.drainTimeS(job)
 			arrays++
 		}
@@ -145,7 +145,7 @@
 		weights.ZoneFit*r.zoneFit(job) + weights.Readiness*r.readiness(job) + weights.Backlog*r.backlog
 	score -= r.Operators.LatePenalty * r.missedObjectiveShare(job)
 	score -= r.Operators.LargePenalty * r.backlog * r.largePenaltyFactor(job)
-	if job.Spec.Kind != api.Array && r.isOverdue(job) {
+	if job.Spec.Kind != api.KindArray && r.isOverdue(job) {
 		score += overdueBonus
 	}
 	if job.Deprioritized {
@@ -216,7 +216,7 @@
 // jobs wait than fit, serving them in order of arrival makes all of them late. With the
 // smallest first, most are in time.
 func (r *ranker) largePenaltyFactor(job *Job) float64 {
-	if job.Spec.Kind != api.Array || r.averageDrainS <= 0 {
+	if job.Spec.Kind != api.KindArray || r.averageDrainS <= 0 {
 		return 0
 	}
 	fade := (r.Now - job.EligibleAt).Seconds() / (penaltyFadeMultiple * r.Operators.BeginWithinS)
--- a/internal/scheduler/reservation.go
+++ b/internal/scheduler/reservation.go
@@ -21,7 +21,7 @@
 		return false
 	}
 	isTopBlocked := len(p.blocked) == 0
-	return isTopBlocked || job.Spec.Kind == api.Gang && p.gangsReserving < p.limit(maxReservingGangs)
+	return isTopBlocked || job.Spec.Kind == api.KindGang && p.gangsReserving < p.limit(maxReservingGangs)
 }
 
 // reserveFor reserves the machines that are the first to have room for the blocked job.
@@ -31,7 +31,7 @@
 		reservedInAdvance := machine.Reservation != nil && machine.Reservation.Job == job
 		return !machine.Borrowable && !machine.HeldByOtherPartition && (!reserved || reservedInAdvance)
 	})
-	if job.Spec.Kind == api.Gang {
+	if job.Spec.Kind == api.KindGang {
 		p.gangsReserving++
 	}
 	for _, reserved := range machines {
--- a/internal/scheduler/victims.go
+++ b/internal/scheduler/victims.go
@@ -30,7 +30,7 @@
 // gang, or for one task of another job. It returns nil if there are not enough.
 func (p *preemptor) cheapestVictimSets(job *Job) []victimSet {
 	tasks := 1
-	if job.Spec.Kind == api.Gang {
+	if job.Spec.Kind == api.KindGang {
 		tasks = job.PendingTasks
 	}
 	byZone := map[string][]victimSet{}
--- a/internal/server/effects.go
+++ b/internal/server/effects.go
@@ -10,9 +10,9 @@
 	"spurmoor/internal/store"
 )
 
-// effectExecutor carries out the effects that the state machine asks for. Requests run in
-// goroutines of their own, whose replies come back through the queue. Nothing waits for
-// them when the process stops, see awaitStop.
+// effectExecutor executes the effects that the state machine returns. Each request runs in a
+// goroutine of its own, which adds the reply to the queue. Nothing waits for these goroutines
+// when the process stops, see awaitStop.
 type effectExecutor struct {
 	log     *slog.Logger
 	queue   *inputQueue
@@ -20,18 +20,19 @@
 	cloud   *cloud.Client
 	workers *workerClient
 	peers   *peerClient
-	// pendingRequests are the requests that the state machine has not answered yet, by
-	// their ID. Only the event loop uses it.
+	// pendingRequests maps the ID of each request that is not answered yet to the channel
+	// on which its handler waits. Only the event loop uses it.
 	pendingRequests map[uint64]chan<- decision
 	// stopped is closed when the state machine has resigned all its roles.
 	stopped chan struct{}
 }
 
-// execute carries out an effect that was decided at the given time, or starts to.
+// execute executes an effect that was decided at the given time. It starts a request without
+// waiting for the reply.
 func (e *effectExecutor) execute(ctx context.Context, effect message.Effect, decidedAt micros.Micros) {
 	switch effect := effect.(type) {
 	case message.Answer:
-		e.answer(effect, decidedAt)
+		e.deliverAnswer(effect, decidedAt)
 	case message.StoreCall:
 		go func() { e.queue.enqueueUrgent(e.store.Do(ctx, effect)) }()
 	case message.CloudCall:
@@ -47,8 +48,9 @@
 	}
 }
 
-// answer hands an answer to the handler that waits for it.
-func (e *effectExecutor) answer(answer message.Answer, decidedAt micros.Micros) {
+// deliverAnswer sends an answer to the handler that waits for it. It ignores an answer
+// whose request is unknown or already answered.
+func (e *effectExecutor) deliverAnswer(answer message.Answer, decidedAt micros.Micros) {
 	answerTo := e.pendingRequests[answer.RequestID]
 	if answerTo == nil {
 		return
--- a/internal/server/input_queue.go
+++ b/internal/server/input_queue.go
@@ -8,62 +8,65 @@
 	"spurmoor/internal/micros"
 )
 
-// input is an input to the state machine, or a request that awaits its answer.
-type input struct {
-	event     message.Input
-	requestID uint64          // 0 for an input without an answer
-	answerTo  chan<- decision // nil for an input without an answer
+// queuedInput is an input to the state machine. If it is a request, a handler waits on
+// answerTo for its answer.
+type queuedInput struct {
+	input     message.Input
+	requestID uint64          // 0: the input is no request
+	answerTo  chan<- decision // nil: the input is no request
 }
 
-// decision is the state machine's answer to a request, and when it was given.
+// decision is the state machine's answer to a request, with the time at which it was decided.
 type decision struct {
 	answer    message.Answer
 	decidedAt micros.Micros
 }
 
-// inputQueue holds the inputs that the event loop has not taken yet.
+// inputQueue holds the inputs that the event loop has not received yet.
 type inputQueue struct {
-	// urgent is taken before regular: a lease's renewal once waited behind a thousand
-	// heartbeats.
-	urgent  chan input
-	regular chan input
-	// closed is closed when the event loop has ended: nobody takes inputs any more.
+	// urgent is received before regular. With a single channel, the reply to a lease
+	// renewal waits behind up to a thousand heartbeats.
+	urgent  chan queuedInput
+	regular chan queuedInput
+	// closed is closed when the event loop has ended and receives no more inputs.
 	closed chan struct{}
 }
 
-// urgentQueueLength is well above the number of connections to the store, each of which
-// gives one reply at a time, so that a reply hardly ever waits for room.
+// urgentQueueLength is well above the number of connections to the key-value store. Each of
+// them has one reply at a time, so a reply hardly ever waits for a place in the queue.
 const urgentQueueLength = 256
 
-// newInputQueue makes a queue with room for a request of each connection: a shorter one
-// once turned workers away that there were sockets for.
+// newInputQueue returns a queue with a place for one request of each connection. A shorter
+// queue rejects workers that do have a socket.
 func newInputQueue(maxConnections int) *inputQueue {
 	return &inputQueue{
-		urgent:  make(chan input, urgentQueueLength),
-		regular: make(chan input, maxConnections),
+		urgent:  make(chan queuedInput, urgentQueueLength),
+		regular: make(chan queuedInput, maxConnections),
 		closed:  make(chan struct{}),
 	}
 }
 
-// enqueue adds an input; it waits while the queue is full.
-func (q *inputQueue) enqueue(event message.Input) {
+// enqueue adds an input. It blocks while the queue is full, and drops the input once the
+// event loop has ended.
+func (q *inputQueue) enqueue(input message.Input) {
 	select {
-	case q.regular <- input{event: event}:
+	case q.regular <- queuedInput{input: input}:
 	case <-q.closed:
 	}
 }
 
-// enqueueUrgent adds an input that others wait for.
-func (q *inputQueue) enqueueUrgent(event message.Input) {
+// enqueueUrgent adds an input that the event loop receives before the regular ones. It
+// blocks and drops like enqueue.
+func (q *inputQueue) enqueueUrgent(input message.Input) {
 	select {
-	case q.urgent <- input{event: event}:
+	case q.urgent <- queuedInput{input: input}:
 	case <-q.closed:
 	}
 }
 
-// next waits for the next input, which is a Tick when nothing else comes before the tick;
-// ok is false once ctx has ended.
-func (q *inputQueue) next(ctx context.Context, ticks <-chan time.Time) (next input, ok bool) {
+// next waits for an input and returns it: an urgent one if there is any, else a regular one
+// or, when ticks delivers, a Tick. ok is false if ctx ended instead.
+func (q *inputQueue) next(ctx context.Context, ticks <-chan time.Time) (next queuedInput, ok bool) {
 	select {
 	case next = <-q.urgent:
 		return next, true
@@ -71,9 +74,9 @@
 	}
 	select {
 	case <-ctx.Done():
-		return input{}, false
+		return queuedInput{}, false
 	case <-ticks:
-		return input{event: message.Tick{}}, true
+		return queuedInput{input: message.Tick{}}, true
 	case next = <-q.urgent:
 		return next, true
 	case next = <-q.regular:
--- a/internal/server/internal_handler.go
+++ b/internal/server/internal_handler.go
@@ -7,14 +7,14 @@
 	"spurmoor/internal/peer"
 )
 
-// internalHandler takes the heartbeats of the other controllers.
+// internalHandler receives the heartbeats of the other controllers.
 type internalHandler struct {
 	queue     *inputQueue
 	malformed *malformedCounter
 }
 
-// handle takes a heartbeat. It drops one that the queue has no room for: the next comes
-// within a second.
+// handle adds a heartbeat to the queue. It drops the heartbeat if the queue is full, since
+// the next one comes within a second.
 func (h *internalHandler) handle(ctx *fasthttp.RequestCtx) {
 	if string(ctx.Path()) != peerPath {
 		ctx.SetStatusCode(fasthttp.StatusNotFound)
@@ -27,7 +27,7 @@
 		return
 	}
 	select {
-	case h.queue.regular <- input{event: message.PeerHeartbeat{Heartbeat: heartbeat}}:
+	case h.queue.regular <- queuedInput{input: message.PeerHeartbeat{Heartbeat: heartbeat}}:
 	default:
 	}
 	ctx.SetStatusCode(fasthttp.StatusNoContent)
--- a/internal/server/peer_client.go
+++ b/internal/server/peer_client.go
@@ -12,8 +12,8 @@
 	"spurmoor/internal/settings"
 )
 
-// Limits of a heartbeat to another controller. peerTimeout is for all of it, and shorter
-// than what its connection may take to read.
+// Limits on a heartbeat to another controller. peerTimeout covers the whole exchange and is
+// shorter than peerReadTimeout, so it is the one that takes effect.
 const (
 	peerTimeout      = 2 * time.Second
 	peerReadTimeout  = 3 * time.Second
@@ -21,27 +21,27 @@
 	peerIdleTimeout  = 30 * time.Second
 )
 
-// peerPath is where a controller takes the heartbeats of the others.
+// peerPath is the HTTP path on which a controller accepts the heartbeats of the others.
 const peerPath = "/peer"
 
 // peerClient sends heartbeats to the other controllers.
 type peerClient struct {
 	log   *slog.Logger
-	peers []*peerConnection
+	peers []*peerSender
 }
 
-// peerConnection sends heartbeats to one other controller.
-type peerConnection struct {
+// peerSender sends heartbeats to one other controller.
+type peerSender struct {
 	log     *slog.Logger
 	http    *fasthttp.HostClient
-	sending atomic.Bool // one heartbeat is in flight
+	sending atomic.Bool // a heartbeat is in flight
 }
 
-// newPeerClient makes a client of the controllers that the settings name.
+// newPeerClient returns a client for the other controllers that the settings name.
 func newPeerClient(set *settings.Settings, log *slog.Logger) *peerClient {
 	client := &peerClient{log: log}
 	for _, other := range set.Peers {
-		client.peers = append(client.peers, &peerConnection{
+		client.peers = append(client.peers, &peerSender{
 			log: log,
 			http: &fasthttp.HostClient{
 				Addr:                      other.Addr,
@@ -56,34 +56,34 @@
 	return client
 }
 
-// broadcast sends a heartbeat to every other controller but those to which the last one is
-// still in flight. It does not wait for the replies.
+// broadcast sends a heartbeat to every other controller. It skips those to which the last
+// heartbeat is still in flight, and does not wait for replies.
 func (c *peerClient) broadcast(heartbeat *peer.Heartbeat) {
 	body, err := peer.Encode(heartbeat)
 	if err != nil {
-		c.log.Error("peer message", logkey.Error, err)
+		c.log.Error("encoding a heartbeat to peers failed", logkey.Error, err)
 		return
 	}
-	for _, connection := range c.peers {
-		if connection.sending.Swap(true) {
+	for _, sender := range c.peers {
+		if sender.sending.Swap(true) {
 			continue
 		}
 		go func() {
-			defer connection.sending.Store(false)
-			connection.post(body)
+			defer sender.sending.Store(false)
+			sender.post(body)
 		}()
 	}
 }
 
-// post sends an encoded heartbeat and waits for the reply.
-func (c *peerConnection) post(body []byte) {
+// post sends an encoded heartbeat and waits for the reply, which it ignores.
+func (s *peerSender) post(body []byte) {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
 	defer fasthttp.ReleaseResponse(response)
-	request.SetRequestURI("http://" + c.http.Addr + peerPath)
+	request.SetRequestURI("http://" + s.http.Addr + peerPath)
 	request.Header.SetMethod(fasthttp.MethodPost)
 	request.SetBody(body)
-	if err := c.http.DoTimeout(request, response, peerTimeout); err != nil {
-		c.log.Debug("peer does not answer", logkey.Peer, c.http.Addr, logkey.Error, err)
+	if err := s.http.DoTimeout(request, response, peerTimeout); err != nil {
+		s.log.Debug("peer does not answer", logkey.Peer, s.http.Addr, logkey.Error, err)
 	}
 }
--- a/internal/server/public_handler.go
+++ b/internal/server/public_handler.go
@@ -14,39 +14,39 @@
 	"spurmoor/internal/settings"
 )
 
-// publicHandler answers users, workers and health checks.
+// publicHandler handles the HTTP requests of users, workers and health checks.
 type publicHandler struct {
 	settings  *settings.Settings
 	log       *slog.Logger
 	queue     *inputQueue
 	clock     timeSource
-	gate      *orderGate
+	grants    *grantChecker
 	malformed *malformedCounter
-	// openConnections counts the public connections that are open now.
+	// openConnections returns the number of public connections that are open. Run sets it.
 	openConnections func() int32
 	lastRequestID   atomic.Uint64
-	// loggedCrowding is set once there were too many connections to keep them all.
-	loggedCrowding atomic.Bool
+	// loggedConnectionShortage is set with the first warning, so that it is logged once.
+	loggedConnectionShortage atomic.Bool
 }
 
-// newEvent makes the state machine's input of a request with an ID.
-type newEvent func(requestID uint64) message.Input
+// inputFunc returns the state machine's input for a request with the given ID.
+type inputFunc func(requestID uint64) message.Input
 
-// handle answers a request.
+// handle routes a request by its path and answers it.
 func (h *publicHandler) handle(ctx *fasthttp.RequestCtx) {
 	path := string(ctx.Path())
 	switch path {
 	case "/ready":
-		h.serve(ctx, fasthttp.MethodGet, h.queue.urgent, func(requestID uint64) message.Input {
+		h.forwardMethod(ctx, fasthttp.MethodGet, h.queue.urgent, func(requestID uint64) message.Input {
 			return message.CheckReadiness{RequestID: requestID}
 		})
 	case "/duties":
-		h.serve(ctx, fasthttp.MethodGet, h.queue.regular, func(requestID uint64) message.Input {
+		h.forwardMethod(ctx, fasthttp.MethodGet, h.queue.regular, func(requestID uint64) message.Input {
 			return message.ListRoles{RequestID: requestID}
 		})
 	case "/work":
-		h.serve(ctx, fasthttp.MethodPost, h.queue.regular, func(requestID uint64) message.Input {
-			// fasthttp reuses the body once the request is answered.
+		h.forwardMethod(ctx, fasthttp.MethodPost, h.queue.regular, func(requestID uint64) message.Input {
+			// fasthttp reuses the body's memory once the request is answered.
 			body := append([]byte(nil), ctx.PostBody()...)
 			return message.Submit{RequestID: requestID, Body: body}
 		})
@@ -57,38 +57,38 @@
 	}
 }
 
-// handleJob answers what is asked of one job.
+// handleJob handles the requests about one job.
 func (h *publicHandler) handleJob(ctx *fasthttp.RequestCtx, path string) {
 	if id, found := strings.CutPrefix(path, "/why/"); found {
-		h.serve(ctx, fasthttp.MethodGet, h.queue.regular, func(requestID uint64) message.Input {
+		h.forwardMethod(ctx, fasthttp.MethodGet, h.queue.regular, func(requestID uint64) message.Input {
 			return message.Explain{RequestID: requestID, ID: id}
 		})
 		return
 	}
 	rest, found := strings.CutPrefix(path, "/work/")
 	if !found {
-		respondNoSuchPath(ctx)
+		respondNotFound(ctx)
 		return
 	}
 	id, cancel := strings.CutSuffix(rest, "/cancel")
 	switch {
 	case cancel:
-		h.serve(ctx, fasthttp.MethodPost, h.queue.regular, func(requestID uint64) message.Input {
+		h.forwardMethod(ctx, fasthttp.MethodPost, h.queue.regular, func(requestID uint64) message.Input {
 			return message.Cancel{RequestID: requestID, ID: id}
 		})
 	case strings.Contains(id, "/"):
-		respondNoSuchPath(ctx)
+		respondNotFound(ctx)
 	default:
-		h.serve(ctx, fasthttp.MethodGet, h.queue.regular, func(requestID uint64) message.Input {
+		h.forwardMethod(ctx, fasthttp.MethodGet, h.queue.regular, func(requestID uint64) message.Input {
 			return message.GetStatus{RequestID: requestID, ID: id}
 		})
 	}
 }
 
-// handleHeartbeat answers a worker's heartbeat.
+// handleHeartbeat handles a worker's heartbeat.
 func (h *publicHandler) handleHeartbeat(ctx *fasthttp.RequestCtx) {
 	if !ctx.IsPost() {
-		respondWrongMethod(ctx, fasthttp.MethodPost)
+		respondMethodNotAllowed(ctx, fasthttp.MethodPost)
 		return
 	}
 	heartbeat, err := api.ParseHeartbeat(ctx.PostBody())
@@ -97,45 +97,45 @@
 		respond(ctx, message.Answer{Status: fasthttp.StatusBadRequest, Body: api.Error{Error: err.Error()}})
 		return
 	}
-	h.closeIfCrowded(ctx)
-	h.ask(ctx, h.queue.regular, func(requestID uint64) message.Input {
+	h.closeAboveKeepAliveLimit(ctx)
+	h.forward(ctx, h.queue.regular, func(requestID uint64) message.Input {
 		return message.WorkerHeartbeat{RequestID: requestID, Heartbeat: heartbeat}
 	})
 }
 
-// closeIfCrowded has a worker's connection closed once it is answered, if there are too
-// many: a worker connects again within seconds; users must find room, and so must more
-// workers than there are sockets.
-func (h *publicHandler) closeIfCrowded(ctx *fasthttp.RequestCtx) {
+// closeAboveKeepAliveLimit closes a worker's connection after its answer if more connections
+// than KeepAliveLimit are open. Without this, workers could occupy all sockets, and neither
+// users nor further workers could connect. The worker connects again within seconds.
+func (h *publicHandler) closeAboveKeepAliveLimit(ctx *fasthttp.RequestCtx) {
 	if int(h.openConnections()) <= h.settings.Sockets.KeepAliveLimit {
 		return
 	}
 	ctx.SetConnectionClose()
-	if h.loggedCrowding.Swap(true) {
+	if h.loggedConnectionShortage.Swap(true) {
 		return
 	}
-	h.log.Warn("sockets are short: workers' connections last for one heartbeat",
+	h.log.Warn("too many open connections: workers' connections are closed after each heartbeat",
 		logkey.OpenConnections, h.openConnections(),
 		logkey.MaxConnections, h.settings.Deployment.Process.MaxConnections)
 }
 
-// serve asks the state machine, if the method is the right one.
-func (h *publicHandler) serve(ctx *fasthttp.RequestCtx, method string, queue chan<- input, newEvent newEvent) {
+// forwardMethod forwards a request with the given method, and rejects any other.
+func (h *publicHandler) forwardMethod(ctx *fasthttp.RequestCtx, method string, queue chan<- queuedInput, newInput inputFunc) {
 	if string(ctx.Method()) != method {
-		respondWrongMethod(ctx, method)
+		respondMethodNotAllowed(ctx, method)
 		return
 	}
-	h.ask(ctx, queue, newEvent)
+	h.forward(ctx, queue, newInput)
 }
 
-// ask hands a request to the state machine through one of the queue's channels, and waits
-// for its answer. Where the channel is full it turns the client away.
-func (h *publicHandler) ask(ctx *fasthttp.RequestCtx, queue chan<- input, newEvent newEvent) {
+// forward passes a request to the state machine through one of the queue's channels, waits
+// for the answer and writes it. If the channel is full, it rejects the request with 429.
+func (h *publicHandler) forward(ctx *fasthttp.RequestCtx, queue chan<- queuedInput, newInput inputFunc) {
 	requestID := h.lastRequestID.Add(1)
 	answer := make(chan decision, 1)
 	select {
-	case queue <- input{event: newEvent(requestID), requestID: requestID, answerTo: answer}:
-		respond(ctx, h.currentAnswer(<-answer))
+	case queue <- queuedInput{input: newInput(requestID), requestID: requestID, answerTo: answer}:
+		respond(ctx, h.answerOrUnavailable(<-answer))
 	default:
 		respond(ctx, message.Answer{
 			Status:      fasthttp.StatusTooManyRequests,
@@ -145,21 +145,22 @@
 	}
 }
 
-// currentAnswer gives what may still be answered of what the state machine decided: nothing
-// that it decided too long ago, and commands only under a grant that holds.
-func (h *publicHandler) currentAnswer(decided decision) message.Answer {
+// answerOrUnavailable returns the answer that the state machine decided on, or a 503 if the
+// decision is stale or the grant for the commands in it is no longer valid.
+func (h *publicHandler) answerOrUnavailable(decided decision) message.Answer {
 	if isStale(decided.decidedAt, h.clock.Now()) {
-		return unavailable(errStaleDecision)
+		return unavailableAnswer(errStaleDecision)
 	}
 	answer := decided.answer
 	order, ok := answer.Body.(leadership.Order[api.HeartbeatResponse])
 	if !ok {
 		return answer
 	}
-	// A worker drops an answer that comes late, so a clock that may miss a suspension
-	// until the next tick will do for the hundreds of answers a second.
-	if err := h.gate.admitAt(h.clock.Now(), order.Grant(), leadership.Command); err != nil {
-		return unavailable(err)
+	// There are hundreds of such answers a second, so the check uses Now, which may miss
+	// a suspension of the host until the next tick. That is safe here: a worker drops an
+	// answer that comes late.
+	if err := h.grants.checkAt(h.clock.Now(), order.Grant(), leadership.Command); err != nil {
+		return unavailableAnswer(err)
 	}
 	answer.Body = order.Body()
 	return answer
--- a/internal/server/respond.go
+++ b/internal/server/respond.go
@@ -11,13 +11,13 @@
 	"spurmoor/internal/message"
 )
 
-// Seconds after which a client may try again.
+// Values of the Retry-After header, in seconds.
 const (
 	overloadRetryAfterS    = 2 // the queue is full
-	unavailableRetryAfterS = 1 // the controller was paused, or its grant ended
+	unavailableRetryAfterS = 1 // the decision is stale, or its grant is no longer valid
 )
 
-// respond writes an answer.
+// respond writes an answer as JSON.
 func respond(ctx *fasthttp.RequestCtx, answer message.Answer) {
 	body, err := json.Marshal(answer.Body)
 	if err != nil {
@@ -32,8 +32,8 @@
 	ctx.SetBody(body)
 }
 
-// unavailable is the answer to a request that this controller can't answer now.
-func unavailable(reason error) message.Answer {
+// unavailableAnswer returns a 503 answer with the reason as its text.
+func unavailableAnswer(reason error) message.Answer {
 	return message.Answer{
 		Status:      fasthttp.StatusServiceUnavailable,
 		Body:        api.Error{Error: reason.Error()},
@@ -41,13 +41,13 @@
 	}
 }
 
-// respondWrongMethod answers a request whose path takes another method.
-func respondWrongMethod(ctx *fasthttp.RequestCtx, allowed string) {
+// respondMethodNotAllowed answers 405 and names the allowed method.
+func respondMethodNotAllowed(ctx *fasthttp.RequestCtx, allowed string) {
 	ctx.Response.Header.Set(fasthttp.HeaderAllow, allowed)
 	respond(ctx, message.Answer{Status: fasthttp.StatusMethodNotAllowed, Body: api.Error{Error: "wrong method"}})
 }
 
-// respondNoSuchPath answers a request whose path is unknown.
-func respondNoSuchPath(ctx *fasthttp.RequestCtx) {
+// respondNotFound answers 404 to a request for an unknown path.
+func respondNotFound(ctx *fasthttp.RequestCtx) {
 	respond(ctx, message.Answer{Status: fasthttp.StatusNotFound, Body: api.Error{Error: "no such path"}})
 }
--- a/internal/server/run.go
+++ b/internal/server/run.go
@@ -16,23 +16,23 @@
 	"spurmoor/internal/records"
 )
 
-// Run serves until ctx ends or a listener fails. Once ctx ends the controller first gives
-// up its roles.
+// Run serves until ctx ends or a listener fails. When ctx ends, the controller resigns its
+// roles before Run returns. Run must be called once only.
 func (s *Server) Run(ctx context.Context) error {
 	for _, warning := range s.settings.Warnings() {
 		s.log.Warn("settings", logkey.Warning, warning)
 	}
-	// The servers and the loop go on while the controller gives up its roles.
+	// The servers and the event loop continue while the controller resigns its roles.
 	serving, stopServing := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopServing()
 	public := newHTTPServer(s.public.handle, s.settings.Sockets.Public)
 	s.public.openConnections = public.GetOpenConnectionsCount
 	internal := newHTTPServer(s.internal.handle, s.settings.Sockets.Internal)
 	group, serving := errgroup.WithContext(serving)
-	if err := serve(serving, group, s.settings.PublicAddr, public); err != nil {
+	if err := listenAndServe(serving, group, s.settings.PublicAddr, public); err != nil {
 		return err
 	}
-	if err := serve(serving, group, s.settings.InternalAddr, internal); err != nil {
+	if err := listenAndServe(serving, group, s.settings.InternalAddr, internal); err != nil {
 		return err
 	}
 	group.Go(func() error { return s.loop.run(serving) })
@@ -45,7 +45,6 @@
 	return group.Wait() //nolint:wrapcheck // the functions of the group have wrapped it
 }
 
-// logStarted logs what runs here.
 func (s *Server) logStarted() {
 	s.log.Info("controller started",
 		logkey.Node, s.settings.Node,
@@ -55,20 +54,20 @@
 		logkey.PublicAddr, s.settings.PublicAddr)
 }
 
-// The listeners' limits on a connection. An idle one is kept from one heartbeat to the next,
-// which are seconds apart.
+// Limits on a listener's connections. serverIdleTimeout keeps a worker's connection open
+// between its heartbeats, which are seconds apart.
 const (
 	serverReadTimeout  = 10 * time.Second
 	serverWriteTimeout = 5 * time.Second
 	serverIdleTimeout  = 90 * time.Second
 )
 
-// newHTTPServer makes a server for at most maxConnections at a time.
+// newHTTPServer returns a server that accepts at most maxConnections at a time.
 func newHTTPServer(handler fasthttp.RequestHandler, maxConnections int) *fasthttp.Server {
 	return &fasthttp.Server{
 		Handler:               handler,
 		Concurrency:           maxConnections,
-		MaxRequestBodySize:    api.MaxBody,
+		MaxRequestBodySize:    api.MaxBodyBytes,
 		ReadTimeout:           serverReadTimeout,
 		WriteTimeout:          serverWriteTimeout,
 		IdleTimeout:           serverIdleTimeout,
@@ -79,8 +78,9 @@
 	}
 }
 
-// serve opens a listener and serves it until ctx ends.
-func serve(ctx context.Context, group *errgroup.Group, addr string, httpServer *fasthttp.Server) error {
+// listenAndServe opens a listener and then serves it in goroutines of the group until ctx
+// ends. It returns once the listener is open, or with the error of opening it.
+func listenAndServe(ctx context.Context, group *errgroup.Group, addr string, httpServer *fasthttp.Server) error {
 	var config net.ListenConfig
 	listener, err := config.Listen(ctx, "tcp4", addr)
 	if err != nil {
@@ -99,13 +99,14 @@
 	return nil
 }
 
-// silentLogger drops what fasthttp would print of clients' broken connections.
+// silentLogger discards the lines that fasthttp would print for broken client connections.
 type silentLogger struct{}
 
-// Printf prints nothing.
+// Printf implements fasthttp.Logger.
 func (silentLogger) Printf(string, ...any) {}
 
-// respondMalformed answers a request that fasthttp could not read.
+// respondMalformed answers a request that fasthttp could not parse, and closes its
+// connection.
 func respondMalformed(ctx *fasthttp.RequestCtx, err error) {
 	text := "malformed request"
 	if errors.Is(err, fasthttp.ErrBodyTooLarge) {
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -1,5 +1,6 @@
-// Package server runs the controller's state machine: an event loop that feeds it inputs
-// and carries out its effects, with the HTTP servers and clients around it.
+// Package server runs the controller's state machine. Its event loop passes inputs to the
+// state machine and executes the effects that it returns; HTTP servers and clients connect
+// the loop to users, workers, the key-value store, the cloud and the other controllers.
 package server
 
 import (
@@ -21,7 +22,8 @@
 	"spurmoor/internal/store"
 )
 
-// Server is a running controller.
+// Server is one controller process: the state machine, its event loop and its HTTP servers.
+// It serves nothing before Run.
 type Server struct {
 	settings *settings.Settings
 	log      *slog.Logger
@@ -31,40 +33,42 @@
 	internal *internalHandler
 }
 
-// timeSource is what the server needs of clock.Steady.
+// timeSource is the part of clock.Steady that the server uses. It is safe for concurrent use.
 type timeSource interface {
-	// Now gives the time, less any suspension of the host since Refresh was called last.
+	// Now returns the time. It misses a suspension of the host since the last Refresh.
 	Now() micros.Micros
-	// Refresh looks for suspensions and gives the time with all of them.
+	// Refresh detects suspensions of the host and returns the time with all of them
+	// counted. It costs a system call.
 	Refresh() micros.Micros
 }
 
-// New makes a controller's server and fits the process to its limits. orders, if it is
-// not nil, records every order that comes to the gate.
-func New(set *settings.Settings, log *slog.Logger, orders *history.Writer) (*Server, error) {
-	steady := clock.New()
-	if !steady.CountsSuspension() {
-		log.Warn("this system has no clock that counts a suspension of the host")
+// New returns a server for one controller and sets the Go runtime's limits for the whole
+// process. If orderHistory is not nil, it records every order whose grant is checked,
+// permitted or not. New fails only if the system returns no random numbers.
+func New(set *settings.Settings, log *slog.Logger, orderHistory *history.Writer) (*Server, error) {
+	monotonicClock := clock.New()
+	if !monotonicClock.CountsSuspension() {
+		log.Warn("no system clock counts the time while the host is suspended")
 	}
-	return newServer(set, log, orders, steady)
+	return newServer(set, log, orderHistory, monotonicClock)
 }
 
-// newServer makes a server with the given clock.
-func newServer(set *settings.Settings, log *slog.Logger, orders *history.Writer, steady timeSource) (*Server, error) {
+// newServer is New with the given clock.
+func newServer(set *settings.Settings, log *slog.Logger, orderHistory *history.Writer, monotonicClock timeSource) (*Server, error) {
 	incarnation, random, err := newIncarnation()
 	if err != nil {
 		return nil, err
 	}
-	limitProcess(set.Deployment.Process.MemMB)
+	setRuntimeLimits(set.Deployment.Process.MemMB)
 	malformed := &malformedCounter{log: log}
 	queue := newInputQueue(set.Deployment.Process.MaxConnections)
-	gate := &orderGate{clock: steady, queue: queue, orders: orders}
+	grants := &grantChecker{clock: monotonicClock, queue: queue, orderHistory: orderHistory}
 	effects := &effectExecutor{
 		log:             log,
 		queue:           queue,
-		store:           store.New(set, gate.admit, malformed.report),
-		cloud:           cloud.New(set, gate.admit, malformed.report),
-		workers:         newWorkerClient(set.Sockets.DirectCommands, steady, gate, malformed),
+		store:           store.New(set, grants.check, malformed.report),
+		cloud:           cloud.New(set, grants.check, malformed.report),
+		workers:         newWorkerClient(set.Sockets.DirectCommands, monotonicClock, grants, malformed),
 		peers:           newPeerClient(set, log),
 		pendingRequests: map[uint64]chan<- decision{},
 		stopped:         make(chan struct{}),
@@ -73,22 +77,23 @@
 		settings: set,
 		log:      log,
 		queue:    queue,
-		loop:     &eventLoop{core: core.New(set, incarnation, random), clock: steady, queue: queue, effects: effects},
-		public:   &publicHandler{settings: set, log: log, queue: queue, clock: steady, gate: gate, malformed: malformed},
+		loop:     &eventLoop{core: core.New(set, incarnation, random), clock: monotonicClock, queue: queue, effects: effects},
+		public:   &publicHandler{settings: set, log: log, queue: queue, clock: monotonicClock, grants: grants, malformed: malformed},
 		internal: &internalHandler{queue: queue, malformed: malformed},
 	}, nil
 }
 
-// Sizes of the random seed: half of it gives the incarnation, all of it the generator.
+// Sizes of the random seed. The first half gives the incarnation; both halves together seed
+// the state machine's random generator.
 const (
 	seedBytes     = 16
 	seedHalfBytes = seedBytes / 2
-	// incarnationShift leaves 52 bits, which JSON's numbers hold exactly.
+	// incarnationShift leaves 52 bits, which a JSON number represents exactly.
 	incarnationShift = 12
 )
 
-// newIncarnation draws the number that tells this run of the controller from all others,
-// and seeds the state machine's random generator.
+// newIncarnation returns a random number that distinguishes this run of the controller from
+// all others, and a random generator for the state machine.
 func newIncarnation() (leadership.Incarnation, *rand.Rand, error) {
 	var seed [seedBytes]byte
 	if _, err := crand.Read(seed[:]); err != nil {
@@ -100,14 +105,16 @@
 }
 
 const (
-	// heapShare is the share of the process's memory limit beyond which the garbage
-	// collector works harder: a process that goes over the limit itself is killed.
-	heapShare  = 0.7
-	bytesPerMB = 1 << 20
+	// memoryLimitShare is the share of the process's memory limit that the Go runtime gets
+	// as its soft limit, near which it collects garbage more often. The rest is a reserve:
+	// a process that exceeds its own limit is killed.
+	memoryLimitShare = 0.7
+	bytesPerMB       = 1 << 20
 )
 
-// limitProcess fits the Go runtime to the machine, on which one thread runs at a time.
-func limitProcess(memoryMB float64) {
+// setRuntimeLimits sets the Go runtime's limits on threads and memory. The machine runs one
+// thread at a time, so more than one would gain nothing.
+func setRuntimeLimits(memoryMB float64) {
 	runtime.GOMAXPROCS(1)
-	debug.SetMemoryLimit(int64(memoryMB * heapShare * bytesPerMB))
+	debug.SetMemoryLimit(int64(memoryMB * memoryLimitShare * bytesPerMB))
 }
--- a/internal/server/staleness.go
+++ b/internal/server/staleness.go
@@ -6,14 +6,14 @@
 	"spurmoor/internal/micros"
 )
 
-// staleAfter is how long after the state machine decided it an answer or a command may
-// leave the process: one that was paused in between knows nothing of what other
-// controllers did meanwhile.
+// staleAfter is how long after a decision of the state machine the answer or command may
+// still be sent. If the process was paused for longer in between, other controllers may have
+// acted meanwhile, and the decision does not know of it.
 const staleAfter = micros.Second
 
-// errStaleDecision says that something was decided too long ago to leave. Users see the
-// text.
+// errStaleDecision reports that an answer or command was decided too long ago to be sent.
+// Users see its text.
 var errStaleDecision = errors.New("this controller stood still")
 
-// isStale tells whether what was decided then must not leave any more.
+// isStale reports whether a decision is too old to be sent.
 func isStale(decidedAt, now micros.Micros) bool { return now > decidedAt+staleAfter }
--- a/internal/server/worker_client.go
+++ b/internal/server/worker_client.go
@@ -14,34 +14,34 @@
 	"spurmoor/internal/micros"
 )
 
-// Limits of a direct command to a worker. commandTimeout is for all of it, and shorter than
-// what its connection may take to read.
+// Limits on a direct command to a worker. commandTimeout covers the whole exchange and is
+// shorter than workerReadTimeout, so it is the one that takes effect.
 const (
 	commandTimeout          = 3 * time.Second
 	workerReadTimeout       = 4 * time.Second
 	workerWriteTimeout      = 2 * time.Second
 	workerIdleTimeout       = time.Second
 	maxConnectionsPerWorker = 2
-	maxWorkerReply          = 1 << 20 // bytes; it is held in memory whole
+	maxWorkerReplyBytes     = 1 << 20 // a reply is held in memory as a whole
 )
 
 // workerClient sends commands to workers directly, between their heartbeats.
 type workerClient struct {
 	http *fasthttp.Client
-	// slots has room for one entry for each command in flight: a worker that hangs takes
-	// one of them.
+	// slots is a semaphore with one place for each command in flight. A worker that hangs
+	// occupies one place and does not block the commands to others.
 	slots     chan struct{}
 	clock     timeSource
-	gate      *orderGate
+	grants    *grantChecker
 	malformed *malformedCounter
 }
 
-// newWorkerClient makes a client that has at most maxInFlight commands in flight.
-func newWorkerClient(maxInFlight int, steady timeSource, gate *orderGate, malformed *malformedCounter) *workerClient {
+// newWorkerClient returns a client that has at most maxInFlight commands in flight.
+func newWorkerClient(maxInFlight int, clock timeSource, grants *grantChecker, malformed *malformedCounter) *workerClient {
 	return &workerClient{
 		slots:     make(chan struct{}, maxInFlight),
-		clock:     steady,
-		gate:      gate,
+		clock:     clock,
+		grants:    grants,
 		malformed: malformed,
 		http: &fasthttp.Client{
 			MaxConnsPerHost:           maxConnectionsPerWorker,
@@ -49,13 +49,13 @@
 			WriteTimeout:              workerWriteTimeout,
 			MaxIdleConnDuration:       workerIdleTimeout,
 			MaxIdemponentCallAttempts: 1,
-			MaxResponseBodySize:       maxWorkerReply,
+			MaxResponseBodySize:       maxWorkerReplyBytes,
 		},
 	}
 }
 
-// send sends commands that were decided at the given time, and returns the worker's reply,
-// whose status is 0 where none came.
+// send sends commands that were decided at the given time, and returns the worker's reply.
+// Its status is 0 if none came. It is marked Unsent if nothing was sent.
 func (c *workerClient) send(command message.SendCommands, decidedAt micros.Micros) message.CommandReply {
 	reply := message.CommandReply{
 		Machine:      command.Machine,
@@ -66,19 +66,20 @@
 	case c.slots <- struct{}{}:
 		defer func() { <-c.slots }()
 	default:
-		// Unsent, and not unanswered: that once cost the machine a new fencing token.
+		// Mark it Unsent: a start without a reply has an unknown outcome, which costs the
+		// machine a new fencing token.
 		reply.Unsent = true
 		return reply
 	}
 	if isStale(decidedAt, c.clock.Now()) {
-		reply.Unsent = true // no connection for what would not leave
+		reply.Unsent = true // checkBeforeSend would refuse it anyway: don't open a connection
 		return reply
 	}
 	c.post(command, decidedAt, &reply)
 	return reply
 }
 
-// post makes the request of a command and fills its reply in.
+// post sends the HTTP request for the commands and fills in the reply.
 func (c *workerClient) post(command message.SendCommands, decidedAt micros.Micros, reply *message.CommandReply) {
 	body, err := json.Marshal(command.Body.Body())
 	if err != nil {
@@ -90,9 +91,9 @@
 	request.SetRequestURI("http://" + command.Addr + "/commands")
 	request.Header.SetMethod(fasthttp.MethodPost)
 	request.Header.SetContentType(jsonhttp.ContentType)
-	jsonhttp.SetCheckedBody(request, body, func() error { return c.mayLeave(command, decidedAt) })
-	// Kept open they would take the sockets of the workers' heartbeats: one to each
-	// machine within the seconds after a failover.
+	jsonhttp.SetCheckedBody(request, body, func() error { return c.checkBeforeSend(command, decidedAt) })
+	// After a failover one connection to each machine is opened within seconds. Kept
+	// open, they would take the sockets that the workers' heartbeats need.
 	request.SetConnectionClose()
 	if err := c.http.DoTimeout(request, response, commandTimeout); err != nil {
 		var notSent *jsonhttp.NotSentError
@@ -107,10 +108,11 @@
 	reply.Status, reply.Heartbeat = response.StatusCode(), heartbeat
 }
 
-// mayLeave tells whether a command may leave now that it has its connection.
-func (c *workerClient) mayLeave(command message.SendCommands, decidedAt micros.Micros) error {
+// checkBeforeSend returns an error if the commands must not be sent any more. It is called
+// once the connection is open, since the process may have been paused while it connected.
+func (c *workerClient) checkBeforeSend(command message.SendCommands, decidedAt micros.Micros) error {
 	if isStale(decidedAt, c.clock.Now()) {
 		return errStaleDecision
 	}
-	return c.gate.admit(command.Body.Grant(), leadership.Command)
+	return c.grants.check(command.Body.Grant(), leadership.Command)
 }
--- a/internal/store/decode.go
+++ b/internal/store/decode.go
@@ -11,12 +11,12 @@
 	"spurmoor/internal/message"
 )
 
-// errMissingNumber says that a transaction was answered without its revision, or the grant
-// of a lease without the lease's number.
-var errMissingNumber = errors.New("an answer of 200 without its number")
+// errMissingRevisionOrLease reports that the reply to a transaction has no revision, or the
+// reply to a lease grant no lease number.
+var errMissingRevisionOrLease = errors.New("reply with status 200 lacks its revision or lease")
 
-// decode reads an HTTP reply. The status is set last: a reply that can't be read counts as
-// none, so that the outcome of the call stays unknown.
+// decode decodes an HTTP reply. It sets the status last: a reply that can't be decoded counts
+// as no reply, so that the outcome of the call stays unknown.
 func decode(operation message.StoreOp, status int, body []byte, reply *message.StoreReply) error {
 	var lease api.LeaseResponse
 	if target := decodeTarget(operation, status, reply, &lease); target != nil {
@@ -25,16 +25,16 @@
 		}
 	}
 	reply.LeaseID = lease.Lease
-	if status == fasthttp.StatusOK && lacksNumber(operation, reply) {
-		return &jsonhttp.MalformedError{Cause: errMissingNumber}
+	if status == fasthttp.StatusOK && lacksRevisionOrLease(operation, reply) {
+		return &jsonhttp.MalformedError{Cause: errMissingRevisionOrLease}
 	}
 	reply.Status = status
 	return nil
 }
 
-// lacksNumber tells whether the reply to a call that was carried out lacks the number that
-// the store must have given: an empty body would pass for success otherwise.
-func lacksNumber(operation message.StoreOp, reply *message.StoreReply) bool {
+// lacksRevisionOrLease reports whether the reply to a successful call lacks the number that
+// the store must return. Without this check an empty body would count as success.
+func lacksRevisionOrLease(operation message.StoreOp, reply *message.StoreReply) bool {
 	switch operation {
 	case message.OpTransaction:
 		return reply.Transaction.Revision == 0
@@ -45,7 +45,8 @@
 	}
 }
 
-// decodeTarget is what the body of a call's reply is read into; nil: it is not looked at.
+// decodeTarget returns what the body of a reply is decoded into. Nil means that the body is
+// ignored.
 func decodeTarget(operation message.StoreOp, status int, reply *message.StoreReply, lease *api.LeaseResponse) any {
 	refused := status == fasthttp.StatusConflict || status == fasthttp.StatusBadRequest
 	if operation == message.OpTransaction && refused {
--- a/internal/store/request.go
+++ b/internal/store/request.go
@@ -12,18 +12,19 @@
 	"spurmoor/internal/records"
 )
 
-// Time for a reply: a renewal that takes longer is sent again while the lease holds.
+// Limits on the time until the reply. A lease renewal has the shorter one, so that it can be
+// sent again before the lease expires.
 const (
 	replyTimeout   = 2500 * time.Millisecond
 	renewalTimeout = 1500 * time.Millisecond
 )
 
-// pageSize is how many keys are listed at a time.
+// pageSize is the largest number of keys on a page of a list.
 const pageSize = 500
 
 const decimal = 10
 
-// request gives the HTTP request of a call.
+// request returns the HTTP request for a call.
 func (c *Client) request(call message.StoreCall) jsonhttp.Request {
 	request := jsonhttp.Request{Timeout: replyTimeout, Urgent: call.Urgent}
 	switch call.Op {
@@ -36,7 +37,7 @@
 		request.URI = "/txn"
 		request.Body = transaction
 		request.Costs = []jsonhttp.Cost{{Budget: c.writeLimit, Tokens: len(transaction.Writes)}}
-		request.BeforeSend = func() error { return c.gate(call.Transaction.Grant(), leadership.Write) }
+		request.BeforeSend = func() error { return c.checkGrant(call.Transaction.Grant(), leadership.Write) }
 	case message.OpGrantLease:
 		request.URI = "/holds"
 		request.Body = api.LeaseRequest{TTLMs: call.TTLMs}
@@ -51,7 +52,7 @@
 	return request
 }
 
-// listQuery asks for the page of live keys after the call's key.
+// listQuery returns the query for the page of live keys after the call's key.
 func listQuery(call message.StoreCall) url.Values {
 	query := url.Values{"Under": {records.LivePrefix}, "Most": {strconv.Itoa(pageSize)}}
 	if call.Key != "" {
@@ -60,7 +61,7 @@
 	return query
 }
 
-// watchQuery asks for the changes of live keys after the call's revision.
+// watchQuery returns the query for the changes of live keys after the call's revision.
 func watchQuery(call message.StoreCall) url.Values {
 	return url.Values{
 		"Under":   {records.LivePrefix},
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,5 +1,5 @@
-// Package store is the client of the key-value store: it turns the state machine's calls
-// into HTTP requests, within the budgets of the settings.
+// Package store is the client of the key-value store. It sends the state machine's calls as
+// HTTP requests, within the rate limits of the settings.
 package store
 
 import (
@@ -16,80 +16,82 @@
 	"spurmoor/internal/settings"
 )
 
-// serviceName names the key-value store in the log.
+// serviceName is the key-value store's name in the log.
 const serviceName = "state service"
 
-// budgetWait is how long a call may wait for its budget before it counts as refused, and
-// for a connection after that.
-const budgetWait = 1500 * time.Millisecond
+// waitTimeout is how long a call may wait for its budgets before it counts as refused. It is
+// also how long the call may then wait for a connection.
+const waitTimeout = 1500 * time.Millisecond
 
-// The connections' limits.
+// Limits on connections.
 const (
-	// readTimeout has room for a watch, which the store leaves unanswered while nothing
+	// readTimeout is long enough for a watch, which the store does not answer while nothing
 	// changes.
 	readTimeout  = 70 * time.Second
 	writeTimeout = 3 * time.Second
 	idleTimeout  = 30 * time.Second
-	// maxReply bounds a reply in bytes: it is held in memory whole.
-	maxReply = 8 << 20
+	// maxReplyBytes limits the size of a reply, since a reply is held in memory as a whole.
+	maxReplyBytes = 8 << 20
 )
 
-// Each controller may use half of the store's requests and 0.8 of its writes: they are
-// rarely busy all at once, and a 429 is retried. The state machine spends less on what can
-// wait.
+// Shares of the store's rate limits that each controller may use. Together they may exceed the
+// limits, since the controllers are rarely all busy at once and a 429 is retried. The state
+// machine uses a smaller share for calls that can wait.
 const (
 	requestShare = 0.5
 	writeShare   = 0.8
 )
 
-// Client sends the state machine's calls to the key-value store.
+// Client sends the state machine's calls to the key-value store. It is safe for concurrent
+// use.
 type Client struct {
-	http *jsonhttp.Client
-	gate leadership.Gate
-	// writeLimit is the budget of transactions, one token for each write.
+	http       *jsonhttp.Client
+	checkGrant leadership.Gate
+	// writeLimit is the budget for transactions. Each write costs one token.
 	writeLimit *rate.Limiter
 }
 
-// New makes a client. gate is asked before each transaction leaves; onMalformed is called
-// with every reply that can't be read.
-func New(set *settings.Settings, gate leadership.Gate, onMalformed func(service string, err error)) *Client {
+// New returns a client. checkGrant is called right before each transaction is sent, and
+// onMalformed for each reply that can't be decoded.
+func New(set *settings.Settings, checkGrant leadership.Gate, onMalformed func(service string, err error)) *Client {
 	limits := set.Deployment.Store
 	requestsPerSecond, writesPerSecond := limits.RPS*requestShare, limits.WriteRPS*writeShare
 	return &Client{
-		gate: gate,
-		// The largest transaction must fit into the burst, or it would never leave.
+		checkGrant: checkGrant,
+		// The burst must cover the largest transaction, or it could never be sent.
 		writeLimit: rate.NewLimiter(rate.Limit(writesPerSecond), max(limits.MaxTransactionOps, int(writesPerSecond))),
 		http: &jsonhttp.Client{
 			Service: serviceName,
-			Host:    newHost(set.Endpoints.State, set.Sockets.Store),
-			// Of its own: a lease renewal never waits for a connection.
-			UrgentHost:   newHost(set.Endpoints.State, set.Sockets.Lease),
-			RequestLimit: rate.NewLimiter(rate.Limit(requestsPerSecond), max(1, int(requestsPerSecond))),
-			BudgetWait:   budgetWait,
-			OnMalformed:  onMalformed,
+			Host:    newHostClient(set.Endpoints.State, set.Sockets.Store),
+			// A separate host client has its own connections, so a lease renewal never
+			// waits for one that other calls use.
+			UrgentHost:    newHostClient(set.Endpoints.State, set.Sockets.Lease),
+			RequestLimit:  rate.NewLimiter(rate.Limit(requestsPerSecond), max(1, int(requestsPerSecond))),
+			BudgetTimeout: waitTimeout,
+			OnMalformed:   onMalformed,
 		},
 	}
 }
 
-func newHost(addr string, maxConnections int) *fasthttp.HostClient {
+func newHostClient(addr string, maxConnections int) *fasthttp.HostClient {
 	return &fasthttp.HostClient{
 		Addr:                      addr,
 		MaxConns:                  maxConnections,
-		MaxConnWaitTimeout:        budgetWait,
+		MaxConnWaitTimeout:        waitTimeout,
 		ReadTimeout:               readTimeout,
 		WriteTimeout:              writeTimeout,
 		MaxIdleConnDuration:       idleTimeout,
 		MaxIdemponentCallAttempts: 1,
-		MaxResponseBodySize:       maxReply,
+		MaxResponseBodySize:       maxReplyBytes,
 	}
 }
 
-// Do carries out a call and returns its reply, whose status is 0 where none came and 429
-// where the budget did not allow the call.
+// Do sends a call and returns the reply. Its status is 0 if no reply came, and 429 if the
+// budgets did not allow the call.
 func (c *Client) Do(ctx context.Context, call message.StoreCall) *message.StoreReply {
 	reply := &message.StoreReply{CallID: call.CallID}
-	read := func(status int, body []byte) error { return decode(call.Op, status, body, reply) }
-	err := c.http.Do(ctx, c.request(call), read)
+	decodeReply := func(status int, body []byte) error { return decode(call.Op, status, body, reply) }
+	err := c.http.Do(ctx, c.request(call), decodeReply)
 	var notSent *jsonhttp.NotSentError
 	reply.Unsent = errors.As(err, &notSent)
 	switch {
@@ -98,7 +100,8 @@
 	case errors.Is(err, fasthttp.ErrBodyTooLarge):
 		c.http.ReportMalformed(err)
 		if call.Op == message.OpWatch {
-			// Asked again it would be larger still: Gone has everything listed by pages.
+			// The same watch would get an even larger reply next time. Gone makes the
+			// state machine list all keys again, page by page.
 			reply.Status = fasthttp.StatusGone
 		}
 	}
