--- a/cmd/spurmoor/cancel.go
+++ b/cmd/spurmoor/cancel.go
@@ -5,7 +5,7 @@
 	"github.com/valyala/fasthttp"
 )
 
-// cancelCommand gives the command that cancels a job.
+// cancelCommand returns the command that cancels a job.
 func cancelCommand(service *client) *cobra.Command {
 	return &cobra.Command{
 		Use:   "cancel ID",
--- a/cmd/spurmoor/check.go
+++ b/cmd/spurmoor/check.go
@@ -9,7 +9,7 @@
 	"spurmoor/internal/settings"
 )
 
-// checkCommand gives the command that checks the settings files.
+// checkCommand returns the command that checks the settings files.
 func checkCommand(files *settingsFiles) *cobra.Command {
 	return &cobra.Command{
 		Use:   "check",
@@ -25,19 +25,19 @@
 	}
 }
 
-// printCheck prints each team's partition, and what a controller would warn of at its
-// start.
+// printCheck prints each team's partition, and the warnings that a controller would log at
+// its start.
 func printCheck(out io.Writer, loaded *settings.Settings) error {
 	for _, team := range loaded.Deployment.Teams {
 		_, err := fmt.Fprintf(out, "%s: partition %d of %d\n",
 			team.Name, loaded.TeamPartition[team.Name], loaded.Operators.Parts)
 		if err != nil {
-			return failed(err)
+			return asFailure(err)
 		}
 	}
 	for _, warning := range loaded.Warnings() {
 		if _, err := fmt.Fprintf(out, "warning: %s\n", warning); err != nil {
-			return failed(err)
+			return asFailure(err)
 		}
 	}
 	return nil
--- a/cmd/spurmoor/client.go
+++ b/cmd/spurmoor/client.go
@@ -9,13 +9,13 @@
 	"github.com/valyala/fasthttp"
 )
 
-// client calls a running service.
+// client calls a running controller.
 type client struct{ addr string }
 
-// answerWait is how long the service may take.
-const answerWait = 5 * time.Second
+// requestTimeout is how long a controller may take to answer.
+const requestTimeout = 5 * time.Second
 
-// clientCommands are the commands that talk to a running service.
+// clientCommands returns the commands that call a running controller.
 func clientCommands() []*cobra.Command {
 	service := &client{}
 	commands := []*cobra.Command{
@@ -27,17 +27,19 @@
 	return commands
 }
 
-// printResponse makes a request and prints the response's body; a refusal is an error.
+// printResponse sends a request and prints the response's body. It returns an error if the
+// controller refuses the request.
 func (c *client) printResponse(cmd *cobra.Command, method, path string, body []byte) error {
 	text, err := c.request(method, path, body)
 	if err != nil {
 		return err
 	}
 	_, err = fmt.Fprintln(cmd.OutOrStdout(), text)
-	return failed(err)
+	return asFailure(err)
 }
 
-// request makes a request and gives the response's body; a refusal is an exitError.
+// request sends a request and returns the response's body. If the controller refuses the
+// request, the error is an exitError with exitRefused.
 func (c *client) request(method, path string, body []byte) (string, error) {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	request.SetRequestURI("http://" + c.addr + path)
@@ -46,7 +48,7 @@
 		request.Header.SetContentType("application/json")
 		request.SetBody(body)
 	}
-	if err := fasthttp.DoTimeout(request, response, answerWait); err != nil {
+	if err := fasthttp.DoTimeout(request, response, requestTimeout); err != nil {
 		return "", fmt.Errorf("%s does not answer: %w", c.addr, err)
 	}
 	text := strings.TrimSpace(string(response.Body()))
@@ -54,22 +56,22 @@
 		return text, nil
 	}
 	refusal := &refusalError{
-		status:     response.StatusCode(),
-		text:       text,
+		statusCode: response.StatusCode(),
+		body:       text,
 		retryAfter: string(response.Header.Peek(fasthttp.HeaderRetryAfter)),
 	}
 	return "", exitError{exitRefused, refusal}
 }
 
-// refusalError is a response that refuses the request.
+// refusalError reports a response whose status refuses the request.
 type refusalError struct {
-	status     int
-	text       string // the response's body
-	retryAfter string // seconds; empty: the response has none
+	statusCode int
+	body       string // of the response
+	retryAfter string // in seconds; empty if the response has none
 }
 
 func (e *refusalError) Error() string {
-	text := fmt.Sprintf("status %d: %s", e.status, e.text)
+	text := fmt.Sprintf("status %d: %s", e.statusCode, e.body)
 	if e.retryAfter != "" {
 		text += fmt.Sprintf(" (come back in %s s)", e.retryAfter)
 	}
--- a/cmd/spurmoor/main.go
+++ b/cmd/spurmoor/main.go
@@ -1,7 +1,7 @@
 // Command spurmoor is a cluster scheduler's controller and its command line.
 //
 // Without a subcommand it runs a controller. The subcommands submit, status, cancel and
-// duties are clients of a running one; check, history and version need none.
+// duties are clients of a running controller; check, history and version need none.
 package main
 
 import (
@@ -12,12 +12,12 @@
 
 // Exit codes.
 const (
-	exitFailed   = 1 // the command failed
-	exitSettings = 2 // settings or flags are not valid
-	exitRefused  = 3 // the service refused the request
+	exitFailure         = 1 // the command failed
+	exitInvalidSettings = 2 // settings or flags are not valid
+	exitRefused         = 3 // the service refused the request
 )
 
-// exitError carries the exit code of a failed command. Its text is that of the error.
+// exitError adds a command's exit code to an error and keeps the error's text.
 type exitError struct {
 	code int
 	err  error
@@ -26,12 +26,13 @@
 func (e exitError) Error() string { return e.err.Error() }
 func (e exitError) Unwrap() error { return e.err }
 
-// failed is for an error whose text needs no context; nil stays nil.
-func failed(err error) error {
+// asFailure returns an error with exitFailure and an unchanged text, for errors that need
+// no context. A nil error stays nil.
+func asFailure(err error) error {
 	if err == nil {
 		return nil
 	}
-	return exitError{exitFailed, err}
+	return exitError{exitFailure, err}
 }
 
 func main() {
@@ -43,11 +44,11 @@
 	os.Exit(exitCode(err))
 }
 
-// exitCode is the code to exit with because of an error.
+// exitCode returns the exit code for an error: that of an exitError, or else exitFailure.
 func exitCode(err error) int {
 	var exit exitError
 	if errors.As(err, &exit) {
 		return exit.code
 	}
-	return exitFailed
+	return exitFailure
 }
--- a/cmd/spurmoor/roles.go
+++ b/cmd/spurmoor/roles.go
@@ -14,7 +14,7 @@
 	"spurmoor/internal/history"
 )
 
-// rolesCommand gives the command that shows the roles' leaders.
+// rolesCommand returns the command that shows the roles and their leaders.
 func rolesCommand(service *client) *cobra.Command {
 	var asJSON bool
 	cmd := &cobra.Command{
@@ -25,7 +25,7 @@
 			if asJSON {
 				return service.printResponse(cmd, fasthttp.MethodGet, "/duties", nil)
 			}
-			roles, err := service.roles()
+			roles, err := service.fetchRoles()
 			if err != nil {
 				return err
 			}
@@ -36,8 +36,8 @@
 	return cmd
 }
 
-// roles gets the roles as the controller knows them.
-func (c *client) roles() (*api.Roles, error) {
+// fetchRoles requests the roles as the controller knows them.
+func (c *client) fetchRoles() (*api.Roles, error) {
 	text, err := c.request(fasthttp.MethodGet, "/duties", nil)
 	if err != nil {
 		return nil, err
@@ -49,38 +49,40 @@
 	return roles, nil
 }
 
-// columnGap is how many spaces there are between two columns.
-const columnGap = 2
+// columnPadding is the number of spaces between two columns.
+const columnPadding = 2
 
-// printRoles prints a line for each role, and one for what they have in common.
+// printRoles prints a table with a line for each role. A last line shows which controller
+// answered, whether fleet roles are exclusive and requests recorded, and the orders that
+// were refused under no role.
 func printRoles(out io.Writer, roles *api.Roles) error {
-	table := tabwriter.NewWriter(out, 0, 0, columnGap, ' ', 0)
+	table := tabwriter.NewWriter(out, 0, 0, columnPadding, ' ', 0)
 	lines := []string{"DUTY\tHOLDER\tTERM\tSINCE\tREMAINING\tORDERS REFUSED HERE"}
 	for _, role := range roles.Roles {
-		lines = append(lines, roleLine(role))
+		lines = append(lines, formatRole(role))
 	}
 	for _, line := range lines {
 		if _, err := fmt.Fprintln(table, line); err != nil {
-			return failed(err)
+			return asFailure(err)
 		}
 	}
 	if err := table.Flush(); err != nil {
-		return failed(err)
+		return asFailure(err)
 	}
 	_, err := fmt.Fprintf(out, "answered by %s; the fleet's duties have one holder each: %t; "+
 		"rentals are recorded first: %t; refused under no duty: %s\n",
 		roles.Node, roles.Exclusive, roles.RecordsMachineRequests, history.FormatCounts(roles.RefusedOrders, noRefusedOrders))
-	return failed(err)
+	return asFailure(err)
 }
 
-// noRefusedOrders stands where no order was refused.
+// noRefusedOrders is shown if no order was refused.
 const noRefusedOrders = "none"
 
-// unknown stands for what the controller that answers does not know.
+// unknown is shown for what the answering controller does not know.
 const unknown = "-"
 
-// roleLine gives one role's columns.
-func roleLine(role api.RoleStatus) string {
+// formatRole returns a role's line of the table.
+func formatRole(role api.RoleStatus) string {
 	leader, term, since, remaining := unknown, unknown, unknown, unknown
 	if role.Leader != "" {
 		leader = role.Leader
--- a/cmd/spurmoor/root.go
+++ b/cmd/spurmoor/root.go
@@ -10,28 +10,29 @@
 	"spurmoor/internal/settings"
 )
 
-// errNoConfig is a command that needs the platform's settings and got none.
+// errNoConfig is the error of a command that needs the platform's settings if --config is
+// missing.
 var errNoConfig = errors.New("--config FILE is needed")
 
-// settingsFiles are the files that the flags name.
+// settingsFiles holds the paths of the settings files, as the flags give them.
 type settingsFiles struct {
-	platform  string
-	operators string // may be empty
+	platformPath  string
+	operatorsPath string // may be empty
 }
 
-// load reads and checks the files.
+// load reads and validates the files. Its error is an exitError with exitInvalidSettings.
 func (f *settingsFiles) load() (*settings.Settings, error) {
-	if f.platform == "" {
-		return nil, exitError{exitSettings, errNoConfig}
+	if f.platformPath == "" {
+		return nil, exitError{exitInvalidSettings, errNoConfig}
 	}
-	loaded, err := settings.Load(f.platform, f.operators)
+	loaded, err := settings.Load(f.platformPath, f.operatorsPath)
 	if err != nil {
-		return nil, exitError{exitSettings, err}
+		return nil, exitError{exitInvalidSettings, err}
 	}
 	return loaded, nil
 }
 
-// rootCommand gives the command that runs a controller, with all others below it.
+// rootCommand returns the command that runs a controller, with all subcommands.
 func rootCommand() *cobra.Command {
 	files := &settingsFiles{}
 	var ordersPath string
@@ -50,7 +51,7 @@
 			}
 			log, err := newLogger()
 			if err != nil {
-				return exitError{exitSettings, err}
+				return exitError{exitInvalidSettings, err}
 			}
 			return runController(cmd.Context(), loaded, log, ordersPath)
 		},
@@ -58,8 +59,8 @@
 	cmd.SetContext(context.Background())
 	cmd.Flags().StringVar(&ordersPath, "orders", "",
 		"keep a history of all orders in `FILE`, to be read with the command history")
-	cmd.PersistentFlags().StringVar(&files.platform, "config", "", "the platform's settings `FILE` (JSON)")
-	cmd.PersistentFlags().StringVar(&files.operators, "operators", os.Getenv("SPURMOOR_OPERATORS"),
+	cmd.PersistentFlags().StringVar(&files.platformPath, "config", "", "the platform's settings `FILE` (JSON)")
+	cmd.PersistentFlags().StringVar(&files.operatorsPath, "operators", os.Getenv("SPURMOOR_OPERATORS"),
 		"the operators' settings `FILE` (TOML); also SPURMOOR_OPERATORS")
 	cmd.AddCommand(checkCommand(files), versionCommand(), historyCommand())
 	cmd.AddCommand(clientCommands()...)
--- a/cmd/spurmoor/status.go
+++ b/cmd/spurmoor/status.go
@@ -5,7 +5,7 @@
 	"github.com/valyala/fasthttp"
 )
 
-// statusCommand gives the command that shows a job's state, or why it waits.
+// statusCommand returns the command that shows a job's state, or why it waits.
 func statusCommand(service *client) *cobra.Command {
 	var why bool
 	cmd := &cobra.Command{
--- a/cmd/spurmoor/submit.go
+++ b/cmd/spurmoor/submit.go
@@ -9,10 +9,11 @@
 	"github.com/valyala/fasthttp"
 )
 
-// maxJobFile is how much is read of a job's description on standard input, in bytes.
-const maxJobFile = 1 << 20
+// maxStdinJobBytes is how much of a job's description is read from standard input. The
+// rest is dropped.
+const maxStdinJobBytes = 1 << 20
 
-// submitCommand gives the command that submits a job.
+// submitCommand returns the command that submits a job.
 func submitCommand(service *client) *cobra.Command {
 	return &cobra.Command{
 		Use:   "submit FILE",
@@ -28,12 +29,12 @@
 	}
 }
 
-// readJob reads a job's description from a file, or from standard input where that is "-".
+// readJob reads a job's description from a file, or from standard input if path is "-".
 func readJob(stdin io.Reader, path string) ([]byte, error) {
 	if path == "-" {
-		job, err := io.ReadAll(io.LimitReader(stdin, maxJobFile))
-		return job, failed(err)
+		job, err := io.ReadAll(io.LimitReader(stdin, maxStdinJobBytes))
+		return job, asFailure(err)
 	}
 	job, err := os.ReadFile(path)
-	return job, failed(err)
+	return job, asFailure(err)
 }
--- a/cmd/spurmoor/version.go
+++ b/cmd/spurmoor/version.go
@@ -9,10 +9,10 @@
 	"spurmoor/internal/records"
 )
 
-// shortCommit is how many digits of a commit are shown.
-const shortCommit = 12
+// shortCommitDigits is how many digits of a commit's hash are shown.
+const shortCommitDigits = 12
 
-// versionCommand gives the command that prints the program's version.
+// versionCommand returns the command that prints the program's version.
 func versionCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "version",
@@ -20,24 +20,24 @@
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			_, err := fmt.Fprintln(cmd.OutOrStdout(), "spurmoor", versionText())
-			return failed(err)
+			return asFailure(err)
 		},
 	}
 }
 
-// versionText is the program's version, with the commit where the build knows it.
-func versionText() string { return records.Version + buildCommit() }
+// versionText returns the program's version, with the commit if the build knows it.
+func versionText() string { return records.Version + commitSuffix() }
 
-// buildCommit names the commit that this was built from, after a space; it is empty
-// where the build does not know it.
-func buildCommit() string {
+// commitSuffix returns a space and the commit that the program was built from, or an empty
+// text if the build does not know it.
+func commitSuffix() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		return ""
 	}
 	for _, setting := range info.Settings {
 		if setting.Key == "vcs.revision" {
-			return " " + setting.Value[:min(shortCommit, len(setting.Value))]
+			return " " + setting.Value[:min(shortCommitDigits, len(setting.Value))]
 		}
 	}
 	return ""
--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -1,5 +1,5 @@
-// Package history records the orders that a controller sent, or was kept from sending, and
-// sums them up. A history is a file of JSON lines, compressed with zstd.
+// Package history records the orders that a controller sent or refused to send, and
+// summarizes them. A history is a file of JSON lines, compressed with zstd.
 package history
 
 import (
@@ -14,39 +14,39 @@
 	"spurmoor/internal/micros"
 )
 
-// Order is one order as it came to the gate.
+// Order is one order, recorded when its grant was checked right before sending it.
 type Order struct {
 	At        micros.Micros `json:"at"`
 	GrantedAt micros.Micros `json:"made,omitzero"`
 	Role      string        `json:"duty"`
 	Term      uint64        `json:"term,omitzero"`
 	Action    string        `json:"action"`
-	// ExpiresAt is when its grant ends; 0: it does not.
+	// ExpiresAt is when the grant ends; 0 means that it does not.
 	ExpiresAt micros.Micros `json:"until,omitzero"`
-	// Refused says why it did not leave; empty: it did.
-	Refused string `json:"refused,omitzero"`
+	// RefusalReason says why the order was not sent; it is empty if it was sent.
+	RefusalReason string `json:"refused,omitzero"`
 }
 
-// maxLine bounds a line of a history, in bytes.
-const maxLine = 1 << 16
+// maxLineBytes is the maximum length of a line. Read fails on a longer one.
+const maxLineBytes = 1 << 16
 
-// Read reads a history and hands each order to take. The last lines of a process that
-// was killed may be missing: cut tells that the file ends in the middle. Anything else that
-// can't be read is an error.
-func Read(from io.Reader, take func(Order)) (cut bool, err error) {
-	decompressor, err := zstd.NewReader(from, zstd.WithDecoderConcurrency(1))
+// Read reads a history and calls handle for each order. truncated reports whether the
+// history ends in the middle, as it does if its process was killed or still runs: the last
+// orders may then be missing. Anything else that can't be read is an error.
+func Read(source io.Reader, handle func(Order)) (truncated bool, err error) {
+	decompressor, err := zstd.NewReader(source, zstd.WithDecoderConcurrency(1))
 	if err != nil {
 		return false, fmt.Errorf("history: %w", err)
 	}
 	defer decompressor.Close()
 	lines := bufio.NewScanner(decompressor)
-	lines.Buffer(nil, maxLine)
+	lines.Buffer(nil, maxLineBytes)
 	for number := 1; lines.Scan(); number++ {
 		var order Order
 		if err := json.Unmarshal(lines.Bytes(), &order); err != nil {
 			return false, fmt.Errorf("history: line %d: %w", number, err)
 		}
-		take(order)
+		handle(order)
 	}
 	switch err := lines.Err(); {
 	case errors.Is(err, io.ErrUnexpectedEOF):
--- a/internal/history/writer.go
+++ b/internal/history/writer.go
@@ -11,21 +11,22 @@
 	"spurmoor/internal/micros"
 )
 
-// Writer writes a history. It may be used by several goroutines at once. A nil Writer
+// Writer writes a history. It may be used by several goroutines at once. A nil *Writer
 // records nothing.
 type Writer struct {
 	mu sync.Mutex
-	// compressor is nil once it failed or was closed.
+	// compressor is nil after a failure or Close.
 	compressor *zstd.Encoder
 	onFailure  func(error)
 	flushedAt  micros.Micros
 }
 
-// flushInterval is how much of a history a process that is killed may lose.
+// flushInterval is the time between flushes. A process that is killed loses up to that
+// much of its history.
 const flushInterval = micros.Second
 
-// NewWriter makes a writer to a file that is new or empty. onFailure is called the first
-// time that something can't be written; nothing more is recorded then.
+// NewWriter returns a Writer to a new or empty file. When an order can't be written, the
+// Writer calls onFailure once, while it holds its lock, and records nothing from then on.
 func NewWriter(to io.Writer, onFailure func(error)) (*Writer, error) {
 	compressor, err := zstd.NewWriter(to, zstd.WithEncoderConcurrency(1), zstd.WithLowerEncoderMem(true))
 	if err != nil {
@@ -34,7 +35,7 @@
 	return &Writer{compressor: compressor, onFailure: onFailure}, nil
 }
 
-// Record appends an order.
+// Record appends an order. It does nothing after a failure or Close.
 func (w *Writer) Record(order Order) {
 	if w == nil {
 		return
@@ -50,7 +51,8 @@
 	}
 }
 
-// write appends a line, and flushes what was written where the last flush is long ago.
+// write appends a line. It flushes if the last flush was flushInterval ago or more, by the
+// orders' times.
 func (w *Writer) write(order Order) error {
 	line, err := json.Marshal(order)
 	if err != nil {
@@ -69,7 +71,7 @@
 	return nil
 }
 
-// Close writes what is left; it does not close the file.
+// Close writes what is still buffered. It does not close the file.
 func (w *Writer) Close() error {
 	if w == nil {
 		return nil
--- a/internal/server/grant_checker.go
+++ b/internal/server/grant_checker.go
@@ -39,13 +39,13 @@
 func (c *grantChecker) checkAt(now micros.Micros, grant leadership.Grant, action leadership.Action) error {
 	reason := grant.Check(action, now)
 	c.orderHistory.Record(history.Order{
-		At:        now,
-		GrantedAt: grant.GrantedAt(),
-		Role:      grant.RoleName(),
-		Term:      uint64(grant.Term()),
-		Action:    action.String(),
-		ExpiresAt: grant.ExpiresAt(),
-		Refused:   string(reason),
+		At:            now,
+		GrantedAt:     grant.GrantedAt(),
+		Role:          grant.RoleName(),
+		Term:          uint64(grant.Term()),
+		Action:        action.String(),
+		ExpiresAt:     grant.ExpiresAt(),
+		RefusalReason: string(reason),
 	})
 	if reason == "" {
 		return nil
--- a/internal/server/peer_client.go
+++ b/internal/server/peer_client.go
@@ -45,7 +45,7 @@
 			log: log,
 			http: &fasthttp.HostClient{
 				Addr:                      other.Addr,
-				MaxConns:                  set.Sockets.Peers,
+				MaxConns:                  set.Sockets.PerPeer,
 				ReadTimeout:               peerReadTimeout,
 				WriteTimeout:              peerWriteTimeout,
 				MaxIdleConnDuration:       peerIdleTimeout,
--- a/internal/settings/operators.go
+++ b/internal/settings/operators.go
@@ -12,31 +12,31 @@
 	"spurmoor/internal/leadership"
 )
 
-// Operators holds what operators may tune; docs/operations.md lists it. Times are in
-// seconds. The names of the fields are part of the errors that operators read: those of
-// values of a wrong type.
+// Operators holds the operators' settings; docs/operations.md lists them. Times are in
+// seconds. If a value has the wrong type, the error that operators read contains the
+// name of the Go field.
 type Operators struct {
-	Parts          int     `toml:"parts"`            // 0: one per controller, at least two
-	CycleS         float64 `toml:"cycle_s"`          // a scheduling cycle at least this often
-	ReferenceWaitS float64 `toml:"reference_wait_s"` // a wait that counts log 2 in a job's score
+	Parts          int     `toml:"parts"`            // number of partitions; 0: one per controller, at least two
+	CycleS         float64 `toml:"cycle_s"`          // maximum time between two scheduling cycles
+	ReferenceWaitS float64 `toml:"reference_wait_s"` // wait at which the wait term of a job's score is ln 2
 	IdleReturnS    float64 `toml:"idle_return_s"`    // idle time after which a machine is returned
-	SilentS        float64 `toml:"silent_s"`         // time without heartbeats after which a machine is lost
-	HoldTTLS       float64 `toml:"hold_ttl_s"`       // of a controller's lease in the key-value store
-	RefusalS       float64 `toml:"refusal_memory_s"` // how long what the cloud refused is not requested again
-	QueueJobs      int     `toml:"queue_jobs"`       // 0: as many as memory holds
-	LatePenalty    float64 `toml:"late_penalty"`     // off the score of a job whose objectives are all out of reach
-	LargePenalty   float64 `toml:"large_penalty"`    // off the score of an array that asks for much, in a backlog
-	PriceCeiling   float64 `toml:"price_ceiling"`    // times the cheapest machine type that a job may use
+	SilentS        float64 `toml:"silent_s"`         // time without heartbeats after which a machine counts as failed
+	HoldTTLS       float64 `toml:"hold_ttl_s"`       // time to live of a controller's lease in the key-value store
+	RefusalS       float64 `toml:"refusal_memory_s"` // time for which an instance kind that the cloud refused is not requested again
+	QueueJobs      int     `toml:"queue_jobs"`       // maximum number of unfinished jobs; 0: as many as memory holds
+	LatePenalty    float64 `toml:"late_penalty"`     // subtracted from the score of a job that can meet none of its objectives
+	LargePenalty   float64 `toml:"large_penalty"`    // subtracted from the score of a large array while there is a backlog
+	PriceCeiling   float64 `toml:"price_ceiling"`    // highest price paid, as a multiple of that of the cheapest instance kind
 	// IdlePriceCeiling is PriceCeiling for idle-time work.
 	IdlePriceCeiling float64 `toml:"idle_price_ceiling"`
-	CeilingGrowthS   float64 `toml:"ceiling_growth_s"` // wait after which the ceilings have doubled
-	BeginWithinS     float64 `toml:"begin_within_s"`   // every job should have begun by then
+	CeilingGrowthS   float64 `toml:"ceiling_growth_s"` // wait after which both price ceilings have doubled
+	BeginWithinS     float64 `toml:"begin_within_s"`   // time within which every job should have begun
 	Weights          Weights `toml:"weights"`
 	Duties           Duties  `toml:"duties"`
 }
 
-// Weights weigh the terms of a job's score, each from 0 to 1; docs/design.md has the
-// terms.
+// Weights holds the weights of the terms of a job's score, each from 0 to 1.
+// docs/design.md describes the terms.
 type Weights struct {
 	Priority  float64 `toml:"priority"`
 	Wait      float64 `toml:"wait"`
@@ -46,19 +46,20 @@
 	Backlog   float64 `toml:"backlog"`
 }
 
-// Duties holds which of the fleet's roles have one leader at a time, and whether
-// requests for machines are recorded before they are sent.
+// Duties holds the names of the fleet roles that only one controller leads at a time, and
+// whether requests for machines are recorded before they are sent.
 type Duties struct {
 	Exclusive     []string `toml:"exclusive"`
 	RecordRentals bool     `toml:"record_rentals"`
 }
 
-// IsExclusive tells whether a role has one leader at a time.
-func (r *Duties) IsExclusive(role leadership.Role) bool {
-	return slices.Contains(r.Exclusive, role.String())
+// IsExclusive reports whether the operators want a fleet role to have one leader at a
+// time.
+func (d *Duties) IsExclusive(role leadership.Role) bool {
+	return slices.Contains(d.Exclusive, role.String())
 }
 
-// Values where the operators set nothing; docs/operations.md lists them.
+// Values of settings that the operators leave out; docs/operations.md lists them.
 const (
 	defaultCycleIntervalS   = 5
 	defaultReferenceWaitS   = 60
@@ -81,7 +82,7 @@
 	defaultBacklogWeight   = 0.05
 )
 
-// Defaults returns the operators' settings where nothing is set.
+// Defaults returns the settings that hold if the operators set nothing.
 func Defaults() Operators {
 	return Operators{
 		CycleS:           defaultCycleIntervalS,
@@ -107,22 +108,23 @@
 	}
 }
 
-// ParseOperators reads the operators' TOML over the defaults. Unlike in the
-// platform's settings, a key that is not known is an error: it is misspelt, and what was
-// meant by it would not hold. Errors are *FieldError, but for those of the syntax.
+// ParseOperators parses the operators' TOML; keys that are left out keep their defaults.
+// Unlike in the platform's settings, an unknown key is an error: it is probably misspelt,
+// and the setting that was meant would silently have no effect. Except for syntax errors,
+// errors are *FieldError.
 func ParseOperators(text []byte) (Operators, error) {
 	operators := Defaults()
 	decoder := toml.NewDecoder(bytes.NewReader(text))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&operators); err != nil {
-		return operators, decodeError(err)
+		return operators, wrapDecodeError(err)
 	}
 	return operators, operators.validate()
 }
 
-// decodeError names the key at fault in an error of the TOML package, which leaves it
-// out. An error of the syntax has none.
-func decodeError(err error) error {
+// wrapDecodeError adds the key to an error of the TOML package, whose text leaves it out.
+// Syntax errors have no key and are returned unchanged.
+func wrapDecodeError(err error) error {
 	var unknown *toml.StrictMissingError
 	if errors.As(err, &unknown) && len(unknown.Errors) > 0 {
 		key := strings.Join(unknown.Errors[0].Key(), ".")
--- a/internal/settings/operators_validation.go
+++ b/internal/settings/operators_validation.go
@@ -7,13 +7,13 @@
 	"spurmoor/internal/leadership"
 )
 
-// Bounds of queue_jobs, where it is set.
+// Bounds of queue_jobs if it is not 0.
 const (
 	minQueuedJobs = 10
 	maxQueuedJobs = 1_000_000
 )
 
-// validate tells which key is not valid: the first one, as a *FieldError.
+// validate returns a *FieldError for the first key that is not valid.
 func (o *Operators) validate() error {
 	return firstError(
 		o.validateRanges(),
@@ -23,7 +23,7 @@
 	)
 }
 
-// validateRanges checks what has a least and a greatest value.
+// validateRanges checks the numbers that have a minimum and a maximum.
 func (o *Operators) validateRanges() error {
 	for _, setting := range []struct {
 		key       string
@@ -57,33 +57,35 @@
 	return nil
 }
 
-// validateQueuedJobs checks the number of unfinished jobs, where one is set.
+// validateQueuedJobs checks the limit on unfinished jobs; 0 means that none is set.
 func (o *Operators) validateQueuedJobs() error {
 	jobs := o.QueueJobs
 	if jobs == 0 || jobs >= minQueuedJobs && jobs <= maxQueuedJobs {
 		return nil
 	}
 	allowed := fmt.Sprintf("%d to %d, or 0 for as many as memory holds", minQueuedJobs, maxQueuedJobs)
-	return invalid("queue_jobs", jobs, allowed, "queue_jobs = %v is out of range %s", jobs, allowed)
+	return newFieldError("queue_jobs", jobs, allowed, "queue_jobs = %v is out of range %s", jobs, allowed)
 }
 
-// validatePartitions checks what the range of parts lets pass.
+// validatePartitions rejects a single partition, which the range of parts does not
+// exclude because 0 is allowed.
 func (o *Operators) validatePartitions() error {
 	if o.Parts == 0 || o.Parts >= minPartitions {
 		return nil
 	}
 	const allowed = "at least two, or 0 for one per controller"
-	return invalid("parts", o.Parts, allowed, "parts = %d is out of range: %s", o.Parts, allowed)
+	return newFieldError("parts", o.Parts, allowed, "parts = %d is out of range: %s", o.Parts, allowed)
 }
 
-// exclusiveKey is where the operators name the roles that have one leader.
+// exclusiveKey is the key of Duties.Exclusive.
 const exclusiveKey = "duties.exclusive"
 
-// validate checks that each role named is one, that it is named once, and that roles
-// which need each other are named together.
-func (r *Duties) validate() error {
+// validate checks that each name is that of a fleet role and appears once, and that the
+// instance sweeper is exclusive only together with the orphan adopter. With one sweeper
+// but several adopters, every controller would adopt the instances that the sweeper finds.
+func (d *Duties) validate() error {
 	seen := map[string]bool{}
-	for _, name := range r.Exclusive {
+	for _, name := range d.Exclusive {
 		if err := validateRoleName(name, seen); err != nil {
 			return err
 		}
@@ -94,11 +96,11 @@
 		return nil
 	}
 	allowed := fmt.Sprintf("%q beside it or neither", adopter)
-	return invalid(exclusiveKey, r.Exclusive, allowed,
+	return newFieldError(exclusiveKey, d.Exclusive, allowed,
 		"duties.exclusive = %q without %q: every controller would adopt what the one finds; allowed is %s", sweeper, adopter, allowed)
 }
 
-// validateRoleName checks that a name is that of a role, and not among those seen.
+// validateRoleName checks that a name is that of a fleet role and not in seen.
 func validateRoleName(name string, seen map[string]bool) error {
 	names := strings.Join(leadership.FleetRoleNames(), ", ")
 	if _, err := leadership.ParseFleetRole(name); err != nil {
@@ -111,5 +113,5 @@
 		return nil
 	}
 	allowed := fmt.Sprintf("each of %s once", names)
-	return invalid(exclusiveKey, name, allowed, "duties.exclusive = %q is given twice; allowed is %s", name, allowed)
+	return newFieldError(exclusiveKey, name, allowed, "duties.exclusive = %q is given twice; allowed is %s", name, allowed)
 }
--- a/internal/settings/platform.go
+++ b/internal/settings/platform.go
@@ -1,6 +1,6 @@
 package settings
 
-// Platform is the settings file handed over by the platform.
+// Platform holds the settings that the platform provides, as read from their JSON.
 type Platform struct {
 	Node         string `json:"node_name"`
 	Zone         string `json:"site"`
@@ -9,36 +9,37 @@
 	Peers        []Peer `json:"known"`
 	Endpoints    struct {
 		Cloud string `json:"cloud"`
-		State string `json:"state"` // the key-value store's
+		State string `json:"state"` // of the key-value store
 	} `json:"endpoints"`
 	Deployment Facts `json:"facts"`
 }
 
-// Peer is another controller.
+// Peer identifies another controller.
 type Peer struct {
 	Name string `json:"node_name"`
 	Zone string `json:"site"`
 	Addr string `json:"addr"` // its internal address
 }
 
-// Facts describes the deployment that a controller is a part of: teams and their
-// objectives, the workers' times in seconds, and the limits of the services around it.
+// Facts describes the deployment that a controller belongs to: teams and their
+// objectives, the workers' timing, and the limits of the state service, the cloud and the
+// controller's own process. Times are in seconds if the name does not say otherwise.
 type Facts struct {
 	Nodes      int         `json:"nodes"`
 	Zones      []string    `json:"zones"`
 	Teams      []Team      `json:"teams"`
 	Objectives []Objective `json:"objectives"`
 	Workers    struct {
-		ReportS   float64 `json:"report_s"`    // between two heartbeats
-		LeaseS    float64 `json:"lease_s"`     // after the last answer a worker ends its tasks
-		GangWaitS float64 `json:"gang_wait_s"` // a gang's task waits for the rest of it
-		GangPeerS float64 `json:"gang_peer_s"` // the rest of a gang runs on after the end of a task
-		CancelS   float64 `json:"cancel_s"`    // a cancelled job's tasks must have ended
+		ReportS   float64 `json:"report_s"`    // interval between heartbeats
+		LeaseS    float64 `json:"lease_s"`     // a worker ends its tasks this long after the last answer
+		GangWaitS float64 `json:"gang_wait_s"` // how long a gang's task waits for the others to start
+		GangPeerS float64 `json:"gang_peer_s"` // how long a gang's other tasks run on after one has ended
+		CancelS   float64 `json:"cancel_s"`    // time within which a cancelled job's tasks must have ended
 	} `json:"workers"`
 	Store State `json:"state"`
 	Cloud struct {
-		RPS      float64 `json:"rps"`        // requests a second
-		ListLagS float64 `json:"list_lag_s"` // how old the list of instances may be
+		RPS      float64 `json:"rps"`        // requests per second
+		ListLagS float64 `json:"list_lag_s"` // maximum age of the list of instances
 	} `json:"cloud"`
 	Process struct {
 		Cores          float64 `json:"cores"`
@@ -57,34 +58,34 @@
 	MaxGPUs        float64 `json:"gpus_max"`
 }
 
-// Kinds of objectives, with the platform's words.
+// Kinds of objectives, as the platform names them.
 const (
-	ObjectiveWait     = "wait"     // begun within so many seconds of the submission
-	ObjectiveFinished = "finished" // done within so many seconds of the submission
-	ObjectiveDeadline = "deadline" // done within so many times the deadline asked for
+	ObjectiveWait     = "wait"     // begun within WithinS of the submission
+	ObjectiveFinished = "finished" // done within WithinS of the submission
+	ObjectiveDeadline = "deadline" // done within DeadlineFactor times the deadline
 )
 
 // Objective is a service-level objective for a class of jobs.
 type Objective struct {
-	Kind           string  `json:"kind"` // kinds that are not known are passed over
+	Kind           string  `json:"kind"` // unknown kinds are ignored
 	Class          string  `json:"class"`
 	WithinS        float64 `json:"within_s"`
-	Share          float64 `json:"share"` // of the class's jobs that must meet it
-	DeadlineFactor float64 `json:"times"` // of a deadline: times what the job asks for
+	Share          float64 `json:"share"` // the share of the class's jobs that must meet it
+	DeadlineFactor float64 `json:"times"` // multiple of the job's own deadline, for ObjectiveDeadline
 }
 
-// State is what the key-value store admits.
+// State holds the limits of the key-value store.
 type State struct {
-	RPS               float64 `json:"rps"`       // requests a second
-	WriteRPS          float64 `json:"write_rps"` // changes a second
-	ValueKB           float64 `json:"value_kb"`  // the largest value
-	MaxTransactionOps int     `json:"txn_ops"`   // changes in a transaction
-	// Next is what the store will admit from some moment on, which is not announced.
-	// Nil, or a nil in it: no change is announced.
+	RPS               float64 `json:"rps"`       // requests per second
+	WriteRPS          float64 `json:"write_rps"` // changes per second
+	ValueKB           float64 `json:"value_kb"`  // size of the largest value
+	MaxTransactionOps int     `json:"txn_ops"`   // maximum number of changes in a transaction
+	// Next holds limits that will replace these at a time that is not announced. If
+	// Next or a limit in it is nil, no change is announced.
 	Next *NextState `json:"next,omitempty"`
 }
 
-// NextState is what changes of the StoreLimits.
+// NextState holds the limits in State that will change.
 type NextState struct {
 	RPS               *float64 `json:"rps,omitempty"`
 	WriteRPS          *float64 `json:"write_rps,omitempty"`
@@ -92,42 +93,44 @@
 	MaxTransactionOps *int     `json:"txn_ops,omitempty"`
 }
 
-// lowerToNext lowers each limit to the one announced, where that is lower.
-func (l *State) lowerToNext() {
-	if l.Next == nil {
+// lowerToNext lowers each limit to the announced one if that is lower.
+func (s *State) lowerToNext() {
+	if s.Next == nil {
 		return
 	}
-	lower(&l.RPS, l.Next.RPS)
-	lower(&l.WriteRPS, l.Next.WriteRPS)
-	lower(&l.ValueKB, l.Next.ValueKB)
-	lower(&l.MaxTransactionOps, l.Next.MaxTransactionOps)
+	lower(&s.RPS, s.Next.RPS)
+	lower(&s.WriteRPS, s.Next.WriteRPS)
+	lower(&s.ValueKB, s.Next.ValueKB)
+	lower(&s.MaxTransactionOps, s.Next.MaxTransactionOps)
 }
 
-// lower lowers a limit to the next one, where one is announced.
+// lower lowers a limit to the next one. A nil next changes nothing.
 func lower[T int | float64](limit, next *T) {
 	if next != nil {
 		*limit = min(*limit, *next)
 	}
 }
 
-// What the answer window leaves of the time that a cancellation has.
+// Parts of cancel_s that the answer window leaves free.
 const (
-	// workerClockFactor is how much longer a worker's lease may last by our clock, because
-	// the worker's runs slow.
+	// workerClockFactor is how much longer a worker's lease may last by our clock than by
+	// the worker's, which may run slow.
 	workerClockFactor = 1.002
-	// maxAnswerMarginS is kept free before cancel_s where there is time enough, and
-	// otherwise one part in answerMarginParts of the time.
-	maxAnswerMarginS  = 3
-	answerMarginParts = 4
+	// The margin is the smaller of maxAnswerMarginS and 1/answerMarginDivisor of the time
+	// that cancel_s leaves beyond a worker's lease.
+	maxAnswerMarginS    = 3
+	answerMarginDivisor = 4
 )
 
-// WorkerLeaseS is how many seconds a worker's lease lasts, by a clock that runs slow.
-func (d *Facts) WorkerLeaseS() float64 { return d.Workers.LeaseS * workerClockFactor }
+// WorkerLeaseS returns the longest time in seconds that a worker's lease can last by our
+// clock.
+func (f *Facts) WorkerLeaseS() float64 { return f.Workers.LeaseS * workerClockFactor }
 
-// AnswerWindowS is how many seconds a controller that lost the key-value store may go on
-// answering heartbeats: together with a lease by a slow clock and a margin that stays
-// below cancel_s, so that a task whose job was cancelled elsewhere ends in time.
-func (d *Facts) AnswerWindowS() float64 {
-	left := d.Workers.CancelS - d.WorkerLeaseS()
-	return left - min(maxAnswerMarginS, left/answerMarginParts)
+// AnswerWindowS returns for how many seconds a controller that has lost the key-value
+// store may go on answering heartbeats. The window, a worker's lease on a slow clock and a
+// margin add up to cancel_s. So a task that the last answer keeps alive ends in time even
+// if its job was cancelled through another controller.
+func (f *Facts) AnswerWindowS() float64 {
+	leftS := f.Workers.CancelS - f.WorkerLeaseS()
+	return leftS - min(maxAnswerMarginS, leftS/answerMarginDivisor)
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads and checks what a controller runs by: the file that the
-// platform hands it (JSON) and what its operators may set on top of that (TOML).
+// Package settings reads and validates a controller's settings: a JSON file from the
+// platform, and a TOML file in which operators may change the defaults.
 package settings
 
 import (
@@ -10,32 +10,33 @@
 	"github.com/go-json-experiment/json"
 )
 
-// minPartitions is the least number of partitions, on a single controller too.
+// minPartitions is the minimum number of partitions, even with a single controller.
 const minPartitions = 2
 
-// Unfinished jobs for which a process has room where the operators name no number: one
-// takes some 2 KB, and a fifth of the memory is for them.
+// The limit on unfinished jobs if the operators set none: a fifth of the process's memory
+// is for them, and each takes about 2 KB.
 const (
 	minUnfinishedJobs   = 4000
 	unfinishedJobsPerMB = 100
 )
 
-// Settings is everything a controller runs by.
+// Settings holds all settings of a controller and the values derived from them.
 type Settings struct {
 	Platform
 
-	// Operators holds the operators' settings, with Partitions never 0.
+	// Operators holds the operators' settings. Parse replaces a Parts of 0 by the actual
+	// number of partitions.
 	Operators Operators
-	// TeamPartition is the partition of each team, by name.
+	// TeamPartition is each team's partition, by the team's name.
 	TeamPartition map[string]int
-	// Nodes lists every controller by name, in order.
+	// Nodes holds the names of all controllers, this one included, sorted.
 	Nodes []string
-	// Sockets is what each use may open.
+	// Sockets is how many sockets each use may open.
 	Sockets Sockets
 }
 
-// Load reads the platform's file and, where operatorsPath is not empty, the
-// operators' file. Errors name the file; a setting that is not valid is a *FieldError.
+// Load reads the platform's file and, unless operatorsPath is empty, the operators' file.
+// Errors name the file. A setting that is not valid is reported as a *FieldError.
 func Load(platformPath, operatorsPath string) (*Settings, error) {
 	platform, err := os.ReadFile(platformPath)
 	if err != nil {
@@ -52,7 +53,7 @@
 	return settings, nil
 }
 
-// loadOperators reads the operators' file; with no path it gives the defaults.
+// loadOperators reads the operators' file. With an empty path it returns the defaults.
 func loadOperators(path string) (Operators, error) {
 	if path == "" {
 		return Defaults(), nil
@@ -68,8 +69,8 @@
 	return operators, nil
 }
 
-// Parse checks the platform's settings, given as JSON, and derives what follows from
-// them. Fields that it does not know are passed over: the platform may add some.
+// Parse parses and validates the platform's settings, which are JSON, and derives the
+// other fields of Settings. Unknown fields are ignored, because the platform may add some.
 func Parse(platform []byte, operators Operators) (*Settings, error) {
 	settings := &Settings{Operators: operators}
 	if err := json.Unmarshal(platform, &settings.Platform); err != nil {
@@ -82,14 +83,15 @@
 	if settings.Operators.Parts == 0 {
 		settings.Operators.Parts = max(minPartitions, len(settings.Nodes))
 	}
-	// When the limits change is not announced, so both sets are kept from the start.
+	// The time at which the limits change is not announced, so the lower of both holds
+	// from the start.
 	settings.Deployment.Store.lowerToNext()
 	settings.TeamPartition = assignTeams(settings.Deployment.Teams, settings.Operators.Parts)
 	settings.Sockets = allocateSockets(settings.Deployment.Process.MaxConnections, len(settings.Peers))
 	return settings, nil
 }
 
-// nodeNames gives the names of all controllers, this one's among them, in order.
+// nodeNames returns the names of all controllers, this one included, sorted.
 func (p *Platform) nodeNames() []string {
 	names := []string{p.Node}
 	for _, peer := range p.Peers {
@@ -99,7 +101,7 @@
 	return names
 }
 
-// MaxUnfinishedJobs is how many unfinished jobs there may be.
+// MaxUnfinishedJobs returns the limit on unfinished jobs.
 func (s *Settings) MaxUnfinishedJobs() int {
 	if s.Operators.QueueJobs > 0 {
 		return s.Operators.QueueJobs
--- a/internal/settings/warnings.go
+++ b/internal/settings/warnings.go
@@ -2,29 +2,30 @@
 
 import "fmt"
 
-// Below these a controller hardly works.
+// Values below which Warnings says that a controller will hardly work.
 const (
-	fewConnections = 200
-	fewMemMB       = 48
-	// fewWindowRestS beside the time to live of a controller's lease: a failover needs both.
-	fewWindowRestS = 2
+	warnBelowConnections = 200
+	warnBelowMemMB       = 48
+	// The answer window should cover a failover, which takes the time to live of a
+	// controller's lease and warnBelowWindowMarginS more.
+	warnBelowWindowMarginS = 2
 )
 
-// Warnings names what will hardly work though it is no error: the controller
-// starts all the same and serves as far as it can.
+// Warnings returns a text for each setting that is allowed but so low that the controller
+// will hardly work. The controller starts all the same.
 func (s *Settings) Warnings() []string {
 	var warnings []string
-	if s.Deployment.Process.MaxConnections < fewConnections {
+	if s.Deployment.Process.MaxConnections < warnBelowConnections {
 		warnings = append(warnings, fmt.Sprintf("facts.machine_limits.max_connections is below %d: "+
-			"workers and users will be turned away", fewConnections))
+			"workers and users will be turned away", warnBelowConnections))
 	}
-	if s.Deployment.Process.MemMB < fewMemMB {
+	if s.Deployment.Process.MemMB < warnBelowMemMB {
 		warnings = append(warnings, fmt.Sprintf("facts.machine_limits.mem_mb is below %d: "+
-			"the process may be ended for its memory", fewMemMB))
+			"the process may be ended for its memory", warnBelowMemMB))
 	}
-	if window := s.Deployment.AnswerWindowS(); window < s.Operators.HoldTTLS+fewWindowRestS {
+	if windowS := s.Deployment.AnswerWindowS(); windowS < s.Operators.HoldTTLS+warnBelowWindowMarginS {
 		warnings = append(warnings, fmt.Sprintf("facts.workers.cancel_s leaves %.1f s beside a lease: "+
-			"when the state service is away for longer, or a controller ends, workers' tasks end", window))
+			"when the state service is away for longer, or a controller ends, workers' tasks end", windowS))
 	}
 	return warnings
 }
