--- a/cmd/spurmoor/cancel.go
+++ b/cmd/spurmoor/cancel.go
@@ -6,13 +6,13 @@
 )
 
 // cancelCommand returns the command that cancels a job.
-func cancelCommand(service *client) *cobra.Command {
+func cancelCommand(apiClient *client) *cobra.Command {
 	return &cobra.Command{
 		Use:   "cancel ID",
 		Short: "Cancel a job",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return service.printResponse(cmd, fasthttp.MethodPost, "/work/"+args[0]+"/cancel", nil)
+			return apiClient.requestAndPrint(cmd, fasthttp.MethodPost, "/work/"+args[0]+"/cancel", nil)
 		},
 	}
 }
--- a/cmd/spurmoor/client.go
+++ b/cmd/spurmoor/client.go
@@ -17,19 +17,19 @@
 
 // clientCommands returns the commands that call a running controller.
 func clientCommands() []*cobra.Command {
-	service := &client{}
+	apiClient := &client{}
 	commands := []*cobra.Command{
-		submitCommand(service), statusCommand(service), cancelCommand(service), rolesCommand(service),
+		submitCommand(apiClient), statusCommand(apiClient), cancelCommand(apiClient), rolesCommand(apiClient),
 	}
 	for _, cmd := range commands {
-		cmd.Flags().StringVar(&service.addr, "addr", "127.0.0.1:8080", "a controller's public `ADDRESS`")
+		cmd.Flags().StringVar(&apiClient.addr, "addr", "127.0.0.1:8080", "a controller's public `ADDRESS`")
 	}
 	return commands
 }
 
-// printResponse sends a request and prints the response's body. It returns an error if the
+// requestAndPrint sends a request and prints the response's body. It returns an error if the
 // controller refuses the request.
-func (c *client) printResponse(cmd *cobra.Command, method, path string, body []byte) error {
+func (c *client) requestAndPrint(cmd *cobra.Command, method, path string, body []byte) error {
 	text, err := c.request(method, path, body)
 	if err != nil {
 		return err
--- a/cmd/spurmoor/main.go
+++ b/cmd/spurmoor/main.go
@@ -14,7 +14,7 @@
 const (
 	exitFailure         = 1 // the command failed
 	exitInvalidSettings = 2 // settings or flags are not valid
-	exitRefused         = 3 // the service refused the request
+	exitRefused         = 3 // the controller refused the request
 )
 
 // exitError adds a command's exit code to an error and keeps the error's text.
--- a/cmd/spurmoor/roles.go
+++ b/cmd/spurmoor/roles.go
@@ -15,7 +15,7 @@
 )
 
 // rolesCommand returns the command that shows the roles and their leaders.
-func rolesCommand(service *client) *cobra.Command {
+func rolesCommand(apiClient *client) *cobra.Command {
 	var asJSON bool
 	cmd := &cobra.Command{
 		Use:   "duties",
@@ -23,9 +23,9 @@
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if asJSON {
-				return service.printResponse(cmd, fasthttp.MethodGet, "/duties", nil)
+				return apiClient.requestAndPrint(cmd, fasthttp.MethodGet, "/duties", nil)
 			}
-			roles, err := service.fetchRoles()
+			roles, err := apiClient.fetchRoles()
 			if err != nil {
 				return err
 			}
--- a/cmd/spurmoor/run.go
+++ b/cmd/spurmoor/run.go
@@ -19,7 +19,7 @@
 const orderHistoryMode = 0o644
 
 // runController runs a controller until it is killed or until SIGTERM or SIGINT. On these
-// signals the controller resigns from its roles before it stops. Unless ordersPath is
+// signals the controller resigns its roles before it stops. Unless ordersPath is
 // empty, a history of all orders is written to that file.
 func runController(ctx context.Context, loaded *settings.Settings, log *slog.Logger, ordersPath string) error {
 	ctx, cancel := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
@@ -40,7 +40,7 @@
 	return serve(ctx, loaded, log, orders)
 }
 
-// serve runs a controller that writes its orders to a history; nil means none.
+// serve runs a controller that records its orders in a history. A nil history records nothing.
 func serve(ctx context.Context, loaded *settings.Settings, log *slog.Logger, orders *history.Writer) error {
 	controller, err := server.New(loaded, log, orders)
 	if err != nil {
--- a/cmd/spurmoor/status.go
+++ b/cmd/spurmoor/status.go
@@ -6,7 +6,7 @@
 )
 
 // statusCommand returns the command that shows a job's state, or why it waits.
-func statusCommand(service *client) *cobra.Command {
+func statusCommand(apiClient *client) *cobra.Command {
 	var why bool
 	cmd := &cobra.Command{
 		Use:   "status ID",
@@ -17,7 +17,7 @@
 			if why {
 				path = "/why/"
 			}
-			return service.printResponse(cmd, fasthttp.MethodGet, path+args[0], nil)
+			return apiClient.requestAndPrint(cmd, fasthttp.MethodGet, path+args[0], nil)
 		},
 	}
 	cmd.Flags().BoolVar(&why, "why", false, "say why it waits and when it should be done")
--- a/cmd/spurmoor/submit.go
+++ b/cmd/spurmoor/submit.go
@@ -14,7 +14,7 @@
 const maxStdinJobBytes = 1 << 20
 
 // submitCommand returns the command that submits a job.
-func submitCommand(service *client) *cobra.Command {
+func submitCommand(apiClient *client) *cobra.Command {
 	return &cobra.Command{
 		Use:   "submit FILE",
 		Short: "Submit the job described in FILE (JSON; - for standard input)",
@@ -24,7 +24,7 @@
 			if err != nil {
 				return fmt.Errorf("read the job: %w", err)
 			}
-			return service.printResponse(cmd, fasthttp.MethodPost, "/work", job)
+			return apiClient.requestAndPrint(cmd, fasthttp.MethodPost, "/work", job)
 		},
 	}
 }
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -51,12 +51,12 @@
 // Client sends the state machine's calls to the cloud. It is safe for concurrent use.
 type Client struct {
 	http       *jsonhttp.Client
-	checkGrant leadership.Gate
+	checkGrant leadership.GrantCheck
 }
 
 // New returns a client. checkGrant is called right before each launch and delete is sent, and
 // onMalformed for each reply that can't be decoded.
-func New(set *settings.Settings, checkGrant leadership.Gate, onMalformed func(service string, err error)) *Client {
+func New(set *settings.Settings, checkGrant leadership.GrantCheck, onMalformed func(service string, err error)) *Client {
 	requestsPerSecond := set.Deployment.Cloud.RPS / assumedBusyControllers
 	burst := max(minBurst, int(burstSeconds*requestsPerSecond))
 	return &Client{
@@ -102,11 +102,11 @@
 	case message.OpLaunch:
 		request.URI = "/machines"
 		request.Body = call.Launch.Body()
-		request.BeforeSend = func() error { return c.checkGrant(call.Launch.Grant(), leadership.Launch) }
+		request.BeforeSend = func() error { return c.checkGrant(call.Launch.Grant(), leadership.ActionLaunch) }
 	case message.OpDelete:
 		request.URI = "/machines/delete"
 		request.Body = api.InstanceNames{Machines: call.Delete.Body()}
-		request.BeforeSend = func() error { return c.checkGrant(call.Delete.Grant(), leadership.Delete) }
+		request.BeforeSend = func() error { return c.checkGrant(call.Delete.Grant(), leadership.ActionDelete) }
 	case message.OpListInstances:
 		query := url.Values{"Most": {strconv.Itoa(pageSize)}}
 		if call.After != "" {
--- a/internal/cluster/commit.go
+++ b/internal/cluster/commit.go
@@ -105,7 +105,7 @@
 // newCommit returns an empty commit of a partition.
 func (l *PartitionLog) newCommit(partition *Partition) *LogCommit {
 	return &LogCommit{Transaction: &coordination.Transaction{
-		Grant:       func() leadership.Grant { return l.storeLease.Grant(partition.RoleState, leadership.Write) },
+		Grant:       func() leadership.Grant { return l.storeLease.Grant(partition.RoleState, leadership.ActionWrite) },
 		OnCommitted: func(revision api.Revision) { l.HandleCommitted(partition, revision) },
 		OnRefused:   func() { l.handleRefused(partition) },
 	}}
--- a/internal/coordination/answer_window.go
+++ b/internal/coordination/answer_window.go
@@ -32,7 +32,7 @@
 
 // CommandGrant returns a grant to command workers, which expires at the answer deadline.
 func (l *StoreLease) CommandGrant(role *leadership.RoleState) leadership.Grant {
-	return role.Grant(leadership.Command, l.Now, l.AnswerDeadline())
+	return role.Grant(leadership.ActionCommand, l.Now, l.AnswerDeadline())
 }
 
 // MayStartTasks reports whether tasks may be started. A leader that cannot reach the
@@ -73,8 +73,8 @@
 
 // AnswerableSince returns the later of a given time and the time since which we can answer
 // heartbeats. Timeouts of machines count from it, because a machine must not time out while
-// we can't answer it. Without this, an outage of 70 s without answers had 77 of about 390
-// machines deleted as failed before their heartbeats resumed.
+// we can't answer it. Without this, after an outage of 70 s without answers, 77 of about
+// 390 machines are deleted as failed before their heartbeats resume.
 func (l *StoreLease) AnswerableSince(since micros.Micros) micros.Micros {
 	return max(since, l.answeringSince)
 }
--- a/internal/coordination/election.go
+++ b/internal/coordination/election.go
@@ -7,8 +7,8 @@
 	"spurmoor/internal/records"
 )
 
-// reacquireCredit is the part of our failover delay that counts as already waited when an
-// attempt to acquire a role has ended and the role is still vacant.
+// reacquireCredit is how much of our failover delay counts as over when the delay starts
+// again after an attempt to acquire a role.
 const reacquireCredit = micros.Second
 
 // Reconcile acquires the vacant roles that we should lead and resigns the roles that we
@@ -78,5 +78,5 @@
 // electionGrant returns a shared grant to acquire or resign a role. It is safe without
 // leadership because the write compares the version of the role's key.
 func electionGrant() leadership.Grant {
-	return leadership.SharedGrant(leadership.ForElection, leadership.Write)
+	return leadership.SharedGrant(leadership.ForElection, leadership.ActionWrite)
 }
--- a/internal/coordination/fleet_roles.go
+++ b/internal/coordination/fleet_roles.go
@@ -28,10 +28,11 @@
 
 // MayActAs reports whether this controller may act under a fleet role now.
 func (m *RoleManager) MayActAs(kind leadership.RoleKind) bool {
-	return m.FleetGrant(kind, leadership.Write).Check(leadership.Write, m.Now) == ""
+	return m.FleetGrant(kind, leadership.ActionWrite).Check(leadership.ActionWrite, m.Now) == ""
 }
 
-// UpdateExclusive updates whether the fleet roles have one leader each, and logs a change.
+// UpdateExclusive updates whether the fleet roles that the settings name have one leader
+// each, and logs a change.
 func (m *RoleManager) UpdateExclusive() {
 	wanted := m.Settings.Operators.Duties.Exclusive
 	exclusive := len(wanted) > 0 && m.schema.AllRead(records.SchemaRoles)
@@ -81,7 +82,7 @@
 func (m *RoleManager) ClearFleetRoles() {
 	for _, state := range m.fleetRoles {
 		if state.Leads() {
-			m.StopLeading(state, "everything is listed again")
+			m.StopLeading(state, "all keys are listed again")
 		}
 		state.ClearClaim(m.Now)
 	}
--- a/internal/coordination/listing.go
+++ b/internal/coordination/listing.go
@@ -69,7 +69,7 @@
 	w.Revision = list.revision
 	w.ApplyWatchReply(reply, sentAt)
 	w.Synced = true
-	w.Sink.Synchronized(w.Revision, len(list.pairs))
+	w.Sink.Synced(w.Revision, len(list.pairs))
 }
 
 // abortListing discards the pages listed so far. All keys are listed again later.
--- a/internal/coordination/outcome.go
+++ b/internal/coordination/outcome.go
@@ -2,13 +2,13 @@
 
 import "spurmoor/internal/message"
 
-// Outcome is the result of one attempt to carry out a transaction, as told by its reply.
+// Outcome is the result of one attempt to commit a transaction, as far as its reply shows it.
 type Outcome int
 
 // Outcomes of a transaction.
 const (
 	// OutcomeUnknown means that the transaction may have been committed, or may still be.
-	// There was no reply, or one that does not tell.
+	// There was no reply, or one that does not show it.
 	OutcomeUnknown Outcome = iota
 	// OutcomeCommitted means that the transaction was committed.
 	OutcomeCommitted
@@ -20,7 +20,7 @@
 	OutcomeMalformed
 )
 
-// OutcomeOf returns the outcome that the reply to a transaction tells.
+// OutcomeOf returns the outcome that a reply to a transaction shows.
 func OutcomeOf(reply *message.StoreReply) Outcome {
 	switch reply.Status {
 	case message.StatusOK:
--- a/internal/coordination/parameters.go
+++ b/internal/coordination/parameters.go
@@ -59,8 +59,8 @@
 	return min(micros.FromSeconds(p.Deployment.AnswerWindowS()), maxAnswerWindow)
 }
 
-// FormerLeaderLeaseBound returns how long after a failover a worker may keep its tasks on
-// the answers of the former leader.
+// FormerLeaderLeaseBound returns how long after a failover a worker may still run its tasks
+// under a lease that the former leader renewed.
 func (p parameters) FormerLeaderLeaseBound() micros.Micros {
 	return max(0, p.AnswerWindow()-p.LeaseTTL()) + p.WorkerLease() + micros.Second
 }
@@ -77,7 +77,8 @@
 	return micros.FromSeconds(max(p.Operators.SilentS, maxHeartbeatIntervalFactor*p.Deployment.Workers.ReportS+heartbeatRetryS))
 }
 
-// MaxHeartbeatInterval returns the longest time between two heartbeats of a healthy worker.
+// MaxHeartbeatInterval returns the longest time between two heartbeats of a healthy worker,
+// with a margin of a second.
 func (p parameters) MaxHeartbeatInterval() micros.Micros {
 	return micros.FromSeconds(maxHeartbeatIntervalFactor*p.Deployment.Workers.ReportS) + micros.Second
 }
--- a/internal/coordination/peer_tracker.go
+++ b/internal/coordination/peer_tracker.go
@@ -80,9 +80,9 @@
 }
 
 // mayKnowOfOutage reports whether another controller's last heartbeat is recent enough to
-// reflect an outage of the store that we noticed. Earlier heartbeats must not count: each
-// controller would take the others for healthy, and at the start of each outage all of them
-// would leave the load balancer for users.
+// reflect an outage of the store that we noticed. Earlier heartbeats must not count: at the
+// start of each outage, each controller would assume that the others are healthy, and all of
+// them would withdraw from the load balancer for users.
 func (p *PeerTracker) mayKnowOfOutage(status *peerStatus) bool {
 	outageSince := p.storeHealth.UnavailableSince
 	return outageSince == 0 || status.LastHeartbeatAt > outageSince+outageNoticeDelay
--- a/internal/coordination/process_pause.go
+++ b/internal/coordination/process_pause.go
@@ -16,8 +16,9 @@
 )
 
 // DetectPause checks whether the process was paused since the previous input while its
-// clock went on, as when a virtual machine is suspended. previous is the time of that
-// input, or 0 if there was none.
+// clock went on, as when a virtual machine is suspended. After a pause, the time since which
+// we can answer heartbeats starts again. previous is the time of the previous input, or 0 if
+// there was none.
 func (l *StoreLease) DetectPause(previous micros.Micros) {
 	if previous == 0 || l.Now-previous < pauseThreshold {
 		return
--- a/internal/coordination/refusal_counter.go
+++ b/internal/coordination/refusal_counter.go
@@ -74,8 +74,8 @@
 	c.LogWarn("orders refused", args...)
 }
 
-// countByLabel returns how many orders were refused in all under the roles for which
-// include returns true, by action and reason.
+// countByLabel returns how many orders were refused under the roles for which include
+// returns true, by action and reason.
 func (c *RefusalCounter) countByLabel(include func(role string) bool) map[string]int {
 	counts := map[string]int{}
 	for key, count := range c.total {
--- a/internal/coordination/resignation.go
+++ b/internal/coordination/resignation.go
@@ -20,7 +20,7 @@
 	resignedRoleDelay = 3 * micros.Second
 )
 
-// Resign resigns a role that we lead and logs the reason. We stop acting under the role
+// Resign resigns a role that we lead. The reason is logged. We stop acting under the role
 // before its key is deleted.
 func (m *RoleManager) Resign(state *leadership.RoleState, reason string) {
 	term := state.Term
--- a/internal/coordination/role_status.go
+++ b/internal/coordination/role_status.go
@@ -13,7 +13,7 @@
 	list := api.Roles{
 		Node:                   m.Settings.Node,
 		Exclusive:              m.Exclusive,
-		RecordsMachineRequests: m.schema.RecordsRequests(),
+		RecordsMachineRequests: m.schema.RecordsMachineRequests(),
 		RefusedOrders:          m.refusedOrdersWithoutRole(),
 	}
 	for _, state := range m.Roles {
--- a/internal/coordination/roles.go
+++ b/internal/coordination/roles.go
@@ -27,7 +27,7 @@
 
 	Roles      []*leadership.RoleState // first those of the partitions' leaders, by index
 	fleetRoles []*leadership.RoleState // the elements of Roles that exist once for the whole fleet
-	Exclusive  bool                    // the fleet roles have one leader each; see UpdateExclusive
+	Exclusive  bool                    // the fleet roles that the settings name have one leader each
 	Stopping   bool                    // this controller is resigning its roles before it exits
 	stopped    bool                    // message.Stopped was emitted
 }
@@ -99,7 +99,8 @@
 	}
 }
 
-// roleAcquired starts acting under a role.
+// roleAcquired tells the observer that we lead a partition now, or logs that we lead a fleet
+// role.
 func (m *RoleManager) roleAcquired(state *leadership.RoleState) {
 	if state.Role.Kind == leadership.PartitionLeader {
 		m.Observer.PartitionAcquired(state.Role.Index)
@@ -108,8 +109,8 @@
 	m.LogInfo("role acquired", logkey.Role, state.Role.String(), logkey.Term, state.Term)
 }
 
-// StopLeading stops acting under a role and logs the reason. It does not delete the role's
-// key.
+// StopLeading ends our leadership of a role. It passes the reason to the observer if the role
+// is that of a partition's leader, and logs it otherwise. It does not delete the role's key.
 func (m *RoleManager) StopLeading(state *leadership.RoleState, reason string) {
 	state.End(m.Now)
 	if state.Role.Kind == leadership.PartitionLeader {
--- a/internal/coordination/schema.go
+++ b/internal/coordination/schema.go
@@ -69,9 +69,9 @@
 	return node == s.Settings.Node || s.versions[node] >= schemaVersion
 }
 
-// RecordsRequests reports whether requests for machines are recorded before they are
+// RecordsMachineRequests reports whether requests for machines are recorded before they are
 // sent. That is so if the settings ask for it and every controller reads the record.
-func (s *SchemaTracker) RecordsRequests() bool {
+func (s *SchemaTracker) RecordsMachineRequests() bool {
 	return s.Settings.Operators.Duties.RecordRentals && s.AllRead(records.SchemaRoles)
 }
 
@@ -88,7 +88,7 @@
 	}
 	s.NextAnnouncementAt = s.Now + schemaRetryInterval
 	s.budget.ChargeUnthrottled(1)
-	grant := leadership.SharedGrant(leadership.ForSchema, leadership.Write)
+	grant := leadership.SharedGrant(leadership.ForSchema, leadership.ActionWrite)
 	order := leadership.NewOrder(grant, s.announcement())
 	s.CallStore(message.StoreCall{Op: message.OpTransaction, Transaction: order}, s.handleAnnouncementReply)
 }
--- a/internal/coordination/store_health.go
+++ b/internal/coordination/store_health.go
@@ -10,7 +10,7 @@
 	*Environment
 
 	UnavailableSince micros.Micros // when the store stopped answering; 0 if it answers
-	Refusing         bool          // since then at least one call got a reply with a server error
+	Refusing         bool          // a call got a server error since UnavailableSince
 }
 
 // NewStoreHealth returns a store health that assumes an available store.
--- a/internal/coordination/transactions.go
+++ b/internal/coordination/transactions.go
@@ -20,9 +20,9 @@
 	resendInterval = micros.Second
 
 	// A transaction with an unknown outcome is sent again after a delay. The delay is
-	// minRetryDelay, doubled with each attempt at most maxRetryDoublings times, and at most
+	// baseRetryDelay, doubled with each attempt at most maxRetryDoublings times, and at most
 	// maxRetryDelay, all before jitter.
-	minRetryDelay     = micros.Second / 8
+	baseRetryDelay    = micros.Second / 8
 	maxRetryDelay     = micros.Second
 	maxRetryDoublings = 4
 
@@ -37,7 +37,7 @@
 // While the outcome is unknown, the transaction may have been committed and may still be
 // committed, because the network may deliver it late or twice. Therefore the same
 // transaction is sent again, never a rebuilt one. With a rebuilt one, the writes of the
-// first could be taken for those of the second, as tests with random faults showed.
+// first can be mistaken for those of the second, which happens in tests with random faults.
 //
 // The compares name the versions of the keys that the transaction writes, so at most one
 // copy is committed and later copies are refused. A refusal therefore says only that no
@@ -118,7 +118,7 @@
 // send sends a transaction if its grant permits that now. Otherwise it schedules a retry.
 func (s *TransactionSender) send(transaction *Transaction) {
 	grant := transaction.Grant()
-	if grant.Check(leadership.Write, s.Now) != "" {
+	if grant.Check(leadership.ActionWrite, s.Now) != "" {
 		transaction.nextSendAt = s.Now + grantRetryInterval
 		return
 	}
@@ -153,7 +153,7 @@
 // retryDelay returns the delay before the next attempt after the given number of attempts,
 // before jitter.
 func retryDelay(attempts int) micros.Micros {
-	return min(maxRetryDelay, minRetryDelay<<min(attempts, maxRetryDoublings))
+	return min(maxRetryDelay, baseRetryDelay<<min(attempts, maxRetryDoublings))
 }
 
 // handleRefusal records that the store refused a transaction and requests the read that
--- a/internal/coordination/vacancy.go
+++ b/internal/coordination/vacancy.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	// failoverStep is how much later than the preceding candidate each further one acquires a
-	// vacant role.
+	// failoverStep is how much later than the preceding candidate each candidate may acquire
+	// a vacant role.
 	failoverStep = 3 * micros.Second / 2
 
-	// stoppingPeerTimeout is how long a controller that reported that it is stopping is no
-	// candidate for vacant roles, counted from its last heartbeat.
+	// stoppingPeerTimeout is how long after its last heartbeat a controller that reported
+	// that it is stopping is no candidate for vacant roles.
 	stoppingPeerTimeout = 10 * micros.Second
 )
 
@@ -27,9 +27,9 @@
 	return m.Now >= state.VacantAt+micros.Micros(rank)*failoverStep
 }
 
-// isEligibleLeader reports whether we are in a state to acquire roles. At least half of the
-// time to live of our lease must be left, and we must not have become isolated from workers
-// within isolationDuration. While we are still isolated after that, we acquire roles only if
+// isEligibleLeader reports whether we are in a state to acquire roles. More than half of the
+// time to live of our lease must be left. For isolationDuration after we became isolated from
+// workers, we acquire no role. If we are still isolated after that, we acquire roles only if
 // no other controller is known to be healthy.
 func (m *RoleManager) isEligibleLeader() bool {
 	lease := m.storeLease.Lease
--- a/internal/coordination/watch_cache.go
+++ b/internal/coordination/watch_cache.go
@@ -50,9 +50,9 @@
 	ApplyPut(key string, value []byte, version api.Revision)
 	// ApplyDelete applies the deletion of a key at a version.
 	ApplyDelete(key string, version api.Revision)
-	// Synchronized is called after ReplaceAll, once the changes since are applied, too.
+	// Synced is called after ReplaceAll, when the changes since the list are applied, too.
 	// keys is the number of keys listed.
-	Synchronized(revision api.Revision, keys int)
+	Synced(revision api.Revision, keys int)
 }
 
 // ReadLatest calls done once a read of the store that is sent after this call has been
@@ -143,7 +143,7 @@
 func (w *WatchCache) retryLater() { w.nextWatchAt = w.Now + w.Jitter(watchRetryInterval) }
 
 // ApplyWatchReply applies the changes in the reply to a watch that was sent at sentAt. It
-// reports whether the reply was valid, so that the cache is at least as new as the reply. If
+// reports whether the reply was valid. The cache is then at least as new as the reply. If
 // the store no longer has the changes since our revision, all keys are listed again.
 func (w *WatchCache) ApplyWatchReply(reply *message.StoreReply, sentAt micros.Micros) bool {
 	switch reply.Status {
--- a/internal/coordination/write_budget.go
+++ b/internal/coordination/write_budget.go
@@ -3,10 +3,10 @@
 import "spurmoor/internal/micros"
 
 const (
-	// CommitBatchWait is how long a commit may wait until the budget allows for all terminal
-	// states that are due and fit into one transaction. Each commit costs a log entry in
-	// addition. Without batching, at four one-task jobs per second and a budget of 18 writes
-	// per second, the log entries used up the writes that the terminal states needed.
+	// CommitBatchWait is how long after the last commit the next may wait until the budget
+	// covers all due terminal states that fit into one transaction. Each commit costs a log
+	// entry in addition. Without batching, at four one-task jobs per second and a budget of
+	// 18 writes per second, the log entries use up the writes that the terminal states need.
 	CommitBatchWait = micros.Second * 8 / 5
 
 	// CancelledTerminalWait is how long the terminal state of a cancelled job may wait while
@@ -30,9 +30,10 @@
 )
 
 // WriteBudget is a token bucket for the writes of a controller to the store. Its rate is the
-// controller's share of the store's write rate, by the partitions that it leads. Writes that
-// accept or cancel users' jobs don't wait for the budget but are charged to it, so that
-// users never wait behind commits.
+// controller's share of the store's write rate. The share grows with the number of partitions
+// that the controller leads, and may include what the others leave unused. Writes that accept
+// or cancel users' jobs don't wait for the budget but are charged to it, so that users never
+// wait behind commits.
 type WriteBudget struct {
 	*Environment
 
--- a/internal/core/job_writer.go
+++ b/internal/core/job_writer.go
@@ -39,7 +39,7 @@
 func (w *jobWriter) putJob(id string, record []byte, compares []api.Compare, done func(writeOutcome)) {
 	key := records.JobPrefix + id
 	request := &api.Transaction{Compares: compares, Writes: []api.Write{{Put: key, Value: record}}}
-	grant := leadership.SharedGrant(leadership.ForUser, leadership.Write)
+	grant := leadership.SharedGrant(leadership.ForUser, leadership.ActionWrite)
 	call := message.StoreCall{Op: message.OpTransaction, Transaction: leadership.NewOrder(grant, request)}
 	w.budget.ChargeUnthrottled(1)
 	w.CallStore(call, func(reply *message.StoreReply) {
--- a/internal/core/record_applier.go
+++ b/internal/core/record_applier.go
@@ -117,8 +117,8 @@
 	a.dependencies.Reset()
 }
 
-// Synchronized logs that the replica is complete and current as of a revision.
-func (a *recordApplier) Synchronized(revision api.Revision, keys int) {
+// Synced logs that the replica is complete and current as of a revision.
+func (a *recordApplier) Synced(revision api.Revision, keys int) {
 	a.LogInfo("watch cache synchronized",
 		logkey.Revision, revision,
 		logkey.Keys, keys,
--- a/internal/history/distribution.go
+++ b/internal/history/distribution.go
@@ -17,7 +17,7 @@
 	significantFigures = 3
 )
 
-// The quantiles that String shows, in percent.
+// The percentiles that String shows.
 const (
 	median         = 50
 	percentile90th = 90
@@ -38,19 +38,18 @@
 // Count returns the number of spans that were added.
 func (d *Distribution) Count() int64 { return d.histogram.TotalCount() }
 
-// String returns the number of spans, quantiles and the maximum, in seconds; "none" for an
-// empty Distribution.
+// String returns the number of spans, and percentiles and the maximum in seconds. It returns
+// "none" for an empty Distribution.
 func (d *Distribution) String() string {
 	if d.Count() == 0 {
 		return "none"
 	}
 	maxS := micros.Micros(d.histogram.Max()).Seconds()
 	return fmt.Sprintf("n=%d p50=%.3fs p90=%.3fs p99=%.3fs max=%.3fs",
-		d.Count(), d.quantileS(median), d.quantileS(percentile90th), d.quantileS(percentile99th), maxS)
+		d.Count(), d.percentileS(median), d.percentileS(percentile90th), d.percentileS(percentile99th), maxS)
 }
 
-// quantileS returns, in seconds, the span that the given percentage of the spans do not
-// exceed.
-func (d *Distribution) quantileS(percent float64) float64 {
+// percentileS returns the given percentile of the spans, in seconds.
+func (d *Distribution) percentileS(percent float64) float64 {
 	return micros.Micros(d.histogram.ValueAtPercentile(percent)).Seconds()
 }
--- a/internal/history/summary.go
+++ b/internal/history/summary.go
@@ -12,13 +12,13 @@
 	"spurmoor/internal/micros"
 )
 
-// leadershipKey identifies one controller's leadership of a role under one term.
+// leadershipKey identifies a controller's leadership of a role in one term.
 type leadershipKey struct {
 	role string
 	term uint64
 }
 
-// activity holds the orders given under one leadership.
+// activity summarizes the orders of one leadership.
 type activity struct {
 	firstAt micros.Micros  // time of the first order, refused or sent
 	lastAt  micros.Micros  // time of the last order that was sent; 0 if none was
@@ -72,7 +72,7 @@
 const columnPadding = 2
 
 // Print writes a table with a line for each role and term, in the order of their first
-// orders, and a line with the times from grants to orders. Its error is that of the writer.
+// orders, and a line with the times from grants to orders. It returns an error if out does.
 func (s *Summary) Print(out io.Writer) error {
 	table := tabwriter.NewWriter(out, 0, 0, columnPadding, ' ', 0)
 	var rows strings.Builder
--- a/internal/leadership/grant.go
+++ b/internal/leadership/grant.go
@@ -11,21 +11,21 @@
 
 // Actions. Operators read their names; see String.
 const (
-	// Write writes records to the key-value store.
-	Write Action = iota + 1
-	// Launch requests machines from the cloud.
-	Launch
-	// Delete requests that the cloud delete machines.
-	Delete
-	// Command sends commands to a worker or answers its heartbeat.
-	Command
+	// ActionWrite writes records to the key-value store.
+	ActionWrite Action = iota + 1
+	// ActionLaunch requests machines from the cloud.
+	ActionLaunch
+	// ActionDelete requests that the cloud delete machines.
+	ActionDelete
+	// ActionCommand sends commands to a worker or answers its heartbeat.
+	ActionCommand
 )
 
 var actionNames = map[Action]string{
-	Write:   "write",
-	Launch:  "rent",
-	Delete:  "delete",
-	Command: "command",
+	ActionWrite:   "write",
+	ActionLaunch:  "rent",
+	ActionDelete:  "delete",
+	ActionCommand: "command",
 }
 
 // String returns the action's name as shown to operators.
@@ -46,7 +46,8 @@
 	RoleEnded Reason = "duty ended"
 )
 
-// Purpose is the purpose of a shared grant.
+// Purpose is a use of shared grants. Its name takes the place of a role's name where orders are
+// counted, logged and recorded.
 type Purpose uint8
 
 // Purposes for which every controller may act without leading a role, each with the reason
@@ -84,9 +85,10 @@
 	ended atomic.Bool
 }
 
-// Grant permits one action until it expires or the role that it was given under ends.
-// RoleState.Grant and SharedGrant return grants. The zero Grant permits nothing. A Grant may
-// be used by several goroutines at the same time.
+// Grant permits one kind of action. A grant that was given to a role's leader is valid until
+// it expires or that leadership ends. A shared grant is always valid. RoleState.Grant and
+// SharedGrant return grants. The zero Grant permits nothing. A Grant may be used by several
+// goroutines at the same time.
 type Grant struct {
 	leaderTerm *leaderTerm // nil for a shared grant and the zero Grant
 	action     Action
--- a/internal/leadership/order.go
+++ b/internal/leadership/order.go
@@ -1,9 +1,9 @@
 package leadership
 
-// Gate checks whether an order may be sent now, and returns an error if not. It is called
+// GrantCheck checks whether an order may be sent now, and returns an error if not. It is called
 // right before the order's bytes are sent, because the process may be paused at any time
 // before that and the grant may expire meanwhile.
-type Gate func(grant Grant, action Action) error
+type GrantCheck func(grant Grant, action Action) error
 
 // Order is a request to another system together with the grant that permits it. Other
 // packages can set the grant only through NewOrder. The zero Order has the zero Grant, which
--- a/internal/leadership/role.go
+++ b/internal/leadership/role.go
@@ -1,4 +1,4 @@
-// Package leadership defines the roles that only one controller at a time may have, the
+// Package leadership defines the roles that only one controller at a time may lead, the
 // state of each role's leadership, and the grants that permit a leader's orders.
 //
 // A role's leader is the controller that wrote the role's key in the key-value store.
--- a/internal/leadership/role_state.go
+++ b/internal/leadership/role_state.go
@@ -25,7 +25,7 @@
 	Claim      Claim         // the leader's; empty if no leader is known
 	Term       Term          // the version of the role's key; 0 if there is no key
 	ObservedAt micros.Micros // when this controller learned of the claim and term
-	VacantAt   micros.Micros // from when the role may be acquired
+	VacantAt   micros.Micros // from when the role counts as vacant; may be in the future
 	AcquiredAt micros.Micros // when this controller last acquired it
 	Acquiring  bool          // an attempt to acquire it is in progress
 
@@ -43,8 +43,8 @@
 	return s.Leads() && (term != s.Term || !s.isOurs(claim, term, own, leased))
 }
 
-// isOurs reports whether a claim makes this controller the leader. This controller must
-// never lead a term again that it resigned. The deletion of the role's key may still be
+// isOurs reports whether a claim makes this controller the leader. A controller that resigned
+// a term must never lead in that term again. The deletion of the role's key may still be
 // committed, and another controller that then acquires the role relies on this one not
 // acting.
 func (s *RoleState) isOurs(claim Claim, term Term, own Claim, leased bool) bool {
@@ -81,7 +81,7 @@
 	s.VacantAt = now
 }
 
-// Resign ends this controller's leadership, so that it never leads the same term again. It
+// Resign ends this controller's leadership, so that it never leads in the same term again. It
 // returns the resigned term.
 func (s *RoleState) Resign(now micros.Micros) (term Term) {
 	s.resignedTerm = s.Term
--- a/internal/message/effects.go
+++ b/internal/message/effects.go
@@ -102,7 +102,7 @@
 // NewProbe returns a request that only checks whether a worker replies. It has no commands and
 // no fencing token, so the worker's state does not change.
 func NewProbe(machine, addr string, incarnation api.Incarnation) SendCommands {
-	grant := leadership.SharedGrant(leadership.ForProbe, leadership.Command)
+	grant := leadership.SharedGrant(leadership.ForProbe, leadership.ActionCommand)
 	body := api.CommandRequest{Incarnation: incarnation, Commands: []api.Command{}}
 	return SendCommands{Machine: machine, Addr: addr, Body: leadership.NewOrder(grant, body)}
 }
--- a/internal/provisioning/catalog.go
+++ b/internal/provisioning/catalog.go
@@ -170,8 +170,8 @@
 	if !c.cache.Synced || c.storedWithoutPrices == encodeWithoutPrices(c.MachineTypes) {
 		return
 	}
-	grant := c.roles.FleetGrant(leadership.CatalogUpdater, leadership.Write)
-	if grant.Check(leadership.Write, c.Now) != "" {
+	grant := c.roles.FleetGrant(leadership.CatalogUpdater, leadership.ActionWrite)
+	if grant.Check(leadership.ActionWrite, c.Now) != "" {
 		return
 	}
 	pages := c.paginate()
--- a/internal/provisioning/instance_deletion.go
+++ b/internal/provisioning/instance_deletion.go
@@ -85,8 +85,8 @@
 
 // sendDelete sends a request to delete machines, if there is a grant for it.
 func (d *InstanceDeleter) sendDelete(partition *cluster.Partition, names []string) {
-	grant := d.storeLease.Grant(partition.RoleState, leadership.Delete)
-	if grant.Check(leadership.Delete, d.Now) != "" {
+	grant := d.storeLease.Grant(partition.RoleState, leadership.ActionDelete)
+	if grant.Check(leadership.ActionDelete, d.Now) != "" {
 		return
 	}
 	for _, name := range names {
--- a/internal/provisioning/provisioner.go
+++ b/internal/provisioning/provisioner.go
@@ -150,7 +150,7 @@
 	}
 	tracker.adjustPendingMachines(kind, request.launch.Count)
 	tracker.open = append(tracker.open, request)
-	if p.schema.RecordsRequests() {
+	if p.schema.RecordsMachineRequests() {
 		tracker.mustRecord = true
 		return // it is sent once its record is committed
 	}
@@ -171,7 +171,7 @@
 // controller leads are written: the old ones date from before recording was last turned
 // off and do not match the open requests.
 func (p *Provisioner) TrackRequestRecording() {
-	recording := p.schema.RecordsRequests()
+	recording := p.schema.RecordsMachineRequests()
 	if recording == p.RecordingRequests {
 		return
 	}
--- a/internal/provisioning/request_records.go
+++ b/internal/provisioning/request_records.go
@@ -64,7 +64,7 @@
 func (p *Provisioner) recordRequests(partition *cluster.Partition) {
 	tracker := p.tracker(partition)
 	outdated := tracker.recordOutdated && p.Now > tracker.recordedAt+recordCleanupInterval
-	if tracker.writeInFlight != nil || !tracker.mustRecord && !outdated || !p.schema.RecordsRequests() {
+	if tracker.writeInFlight != nil || !tracker.mustRecord && !outdated || !p.schema.RecordsMachineRequests() {
 		return
 	}
 	transaction := p.requestsTransaction(partition, tracker)
@@ -90,7 +90,7 @@
 			},
 			Writes: []api.Write{{Put: key, Value: records.MustMarshal(newRequestsRecord(open))}},
 		},
-		Grant: func() leadership.Grant { return p.storeLease.Grant(partition.RoleState, leadership.Write) },
+		Grant: func() leadership.Grant { return p.storeLease.Grant(partition.RoleState, leadership.ActionWrite) },
 		OnCommitted: func(revision api.Revision) {
 			tracker.writeInFlight = nil
 			tracker.recordVersion = max(tracker.recordVersion, revision)
@@ -162,7 +162,7 @@
 // AdoptOpenRequests opens, after a failover, the requests that the former leader recorded.
 // They are sent again, except for deferred ones, which stay deferred.
 func (p *Provisioner) AdoptOpenRequests(partition *cluster.Partition) {
-	if !p.schema.RecordsRequests() {
+	if !p.schema.RecordsMachineRequests() {
 		return
 	}
 	tracker := p.tracker(partition)
--- a/internal/provisioning/request_sending.go
+++ b/internal/provisioning/request_sending.go
@@ -52,8 +52,8 @@
 // sendRequest sends a request. Without a grant for it, it is due again after
 // requestRetryInterval.
 func (p *Provisioner) sendRequest(partition *cluster.Partition, request *provisioningRequest) {
-	grant := p.storeLease.Grant(partition.RoleState, leadership.Launch)
-	if grant.Check(leadership.Launch, p.Now) != "" {
+	grant := p.storeLease.Grant(partition.RoleState, leadership.ActionLaunch)
+	if grant.Check(leadership.ActionLaunch, p.Now) != "" {
 		request.nextSendAt = p.Now + requestRetryInterval
 		return
 	}
@@ -99,7 +99,7 @@
 	tracker := p.tracker(partition)
 	tracker.adjustPendingMachines(request.kind, -request.launch.Count)
 	p.trigger.RequestWithin(refusalPlanDelay)
-	if p.schema.RecordsRequests() {
+	if p.schema.RecordsMachineRequests() {
 		tracker.deferRequest(request)
 	} else {
 		tracker.remove(request)
--- a/internal/server/public_handler.go
+++ b/internal/server/public_handler.go
@@ -159,7 +159,7 @@
 	// There are hundreds of such answers a second, so the check uses Now, which may miss
 	// a suspension of the host until the next tick. That is safe here: a worker drops an
 	// answer that comes late.
-	if err := h.grants.checkAt(h.clock.Now(), order.Grant(), leadership.Command); err != nil {
+	if err := h.grants.checkAt(h.clock.Now(), order.Grant(), leadership.ActionCommand); err != nil {
 		return unavailableAnswer(err)
 	}
 	answer.Body = order.Body()
--- a/internal/server/worker_client.go
+++ b/internal/server/worker_client.go
@@ -114,5 +114,5 @@
 	if isStale(decidedAt, c.clock.Now()) {
 		return errStaleDecision
 	}
-	return c.grants.check(command.Body.Grant(), leadership.Command)
+	return c.grants.check(command.Body.Grant(), leadership.ActionCommand)
 }
--- a/internal/settings/operators.go
+++ b/internal/settings/operators.go
@@ -82,8 +82,8 @@
 	defaultBacklogWeight   = 0.05
 )
 
-// Defaults returns the settings that hold if the operators set nothing.
-func Defaults() Operators {
+// DefaultOperators returns the settings that hold if the operators set nothing.
+func DefaultOperators() Operators {
 	return Operators{
 		CycleS:           defaultCycleIntervalS,
 		ReferenceWaitS:   defaultReferenceWaitS,
@@ -113,7 +113,7 @@
 // and the setting that was meant would silently have no effect. Except for syntax errors,
 // errors are *FieldError.
 func ParseOperators(text []byte) (Operators, error) {
-	operators := Defaults()
+	operators := DefaultOperators()
 	decoder := toml.NewDecoder(bytes.NewReader(text))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&operators); err != nil {
--- a/internal/settings/operators_validation.go
+++ b/internal/settings/operators_validation.go
@@ -9,15 +9,15 @@
 
 // Bounds of queue_jobs if it is not 0.
 const (
-	minQueuedJobs = 10
-	maxQueuedJobs = 1_000_000
+	minQueueJobs = 10
+	maxQueueJobs = 1_000_000
 )
 
 // validate returns a *FieldError for the first key that is not valid.
 func (o *Operators) validate() error {
 	return firstError(
 		o.validateRanges(),
-		o.validateQueuedJobs(),
+		o.validateQueueJobs(),
 		o.Duties.validate(),
 		o.validatePartitions(),
 	)
@@ -57,13 +57,13 @@
 	return nil
 }
 
-// validateQueuedJobs checks the limit on unfinished jobs; 0 means that none is set.
-func (o *Operators) validateQueuedJobs() error {
+// validateQueueJobs checks the limit on unfinished jobs; 0 means that none is set.
+func (o *Operators) validateQueueJobs() error {
 	jobs := o.QueueJobs
-	if jobs == 0 || jobs >= minQueuedJobs && jobs <= maxQueuedJobs {
+	if jobs == 0 || jobs >= minQueueJobs && jobs <= maxQueueJobs {
 		return nil
 	}
-	allowed := fmt.Sprintf("%d to %d, or 0 for as many as memory holds", minQueuedJobs, maxQueuedJobs)
+	allowed := fmt.Sprintf("%d to %d, or 0 for as many as memory holds", minQueueJobs, maxQueueJobs)
 	return newFieldError("queue_jobs", jobs, allowed, "queue_jobs = %v is out of range %s", jobs, allowed)
 }
 
--- a/internal/settings/platform.go
+++ b/internal/settings/platform.go
@@ -126,7 +126,7 @@
 // clock.
 func (f *Facts) WorkerLeaseS() float64 { return f.Workers.LeaseS * workerClockFactor }
 
-// AnswerWindowS returns for how many seconds a controller that has lost the key-value
+// AnswerWindowS returns for how many seconds a controller that can't reach the key-value
 // store may go on answering heartbeats. The window, a worker's lease on a slow clock and a
 // margin add up to cancel_s. So a task that the last answer keeps alive ends in time even
 // if its job was cancelled through another controller.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -13,8 +13,8 @@
 // minPartitions is the minimum number of partitions, even with a single controller.
 const minPartitions = 2
 
-// The limit on unfinished jobs if the operators set none: a fifth of the process's memory
-// is for them, and each takes about 2 KB.
+// The limit on unfinished jobs if the operators set none. A fifth of the process's memory is
+// for unfinished jobs, and each takes about 2 KB.
 const (
 	minUnfinishedJobs   = 4000
 	unfinishedJobsPerMB = 100
@@ -27,11 +27,11 @@
 	// Operators holds the operators' settings. Parse replaces a Parts of 0 by the actual
 	// number of partitions.
 	Operators Operators
-	// TeamPartition is each team's partition, by the team's name.
+	// TeamPartition maps each team's name to the index of its partition.
 	TeamPartition map[string]int
 	// Nodes holds the names of all controllers, this one included, sorted.
 	Nodes []string
-	// Sockets is how many sockets each use may open.
+	// Sockets holds how many sockets the process may open for each use.
 	Sockets Sockets
 }
 
@@ -56,7 +56,7 @@
 // loadOperators reads the operators' file. With an empty path it returns the defaults.
 func loadOperators(path string) (Operators, error) {
 	if path == "" {
-		return Defaults(), nil
+		return DefaultOperators(), nil
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/settings/sockets.go
+++ b/internal/settings/sockets.go
@@ -5,7 +5,7 @@
 // is answered however many workers there are.
 type Sockets struct {
 	Public         int // connections from users, health checks and workers' heartbeats
-	KeepAliveLimit int // open public connections above which a worker's is closed after its answer
+	KeepAliveLimit int // with more public connections open than that, a worker's is closed after its answer
 	Internal       int // connections from the other controllers
 	DirectCommands int // direct commands to workers, each closed after its answer
 	PerPeer        int // connections to each other controller
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -105,7 +105,7 @@
 func (c *cloud) trackLaunch(sender *node, launch leadership.Order[*api.LaunchRequest], tookEffect bool) {
 	grant := launch.Grant()
 	c.sim.trackOrder(receivedOrder{
-		sender: sender.name, role: grant.RoleName(), term: grant.Term(), action: leadership.Launch,
+		sender: sender.name, role: grant.RoleName(), term: grant.Term(), action: leadership.ActionLaunch,
 		request: launch.Body().Name, tookEffect: tookEffect,
 	})
 }
--- a/internal/simulation/effects.go
+++ b/internal/simulation/effects.go
@@ -90,7 +90,7 @@
 	}
 	send := func() { s.sendToStore(node, call, reply) }
 	refuse := func() { reply(&message.StoreReply{CallID: call.CallID, Unsent: true}) }
-	s.sendOrder(node, call.Transaction.Grant(), leadership.Write, send, refuse)
+	s.sendOrder(node, call.Transaction.Grant(), leadership.ActionWrite, send, refuse)
 }
 
 // sendToStore delivers a request to the key-value store, and the reply to the node. Either
@@ -132,9 +132,9 @@
 	send := func() { s.sendToCloud(node, call, reply) }
 	switch call.Op {
 	case message.OpLaunch:
-		s.sendOrder(node, call.Launch.Grant(), leadership.Launch, send, refuse)
+		s.sendOrder(node, call.Launch.Grant(), leadership.ActionLaunch, send, refuse)
 	case message.OpDelete:
-		s.sendOrder(node, call.Delete.Grant(), leadership.Delete, send, refuse)
+		s.sendOrder(node, call.Delete.Grant(), leadership.ActionDelete, send, refuse)
 	default:
 		send()
 	}
@@ -166,7 +166,7 @@
 	unsent := unanswered
 	unsent.Unsent = true
 	send := func() { s.deliverCommands(node, commands, unanswered, reply) }
-	s.sendOrder(node, commands.Body.Grant(), leadership.Command, send, func() { reply(unsent) })
+	s.sendOrder(node, commands.Body.Grant(), leadership.ActionCommand, send, func() { reply(unsent) })
 }
 
 // deliverCommands delivers direct commands to a worker, and its answer to the node. It
--- a/internal/simulation/scenario_settings.go
+++ b/internal/simulation/scenario_settings.go
@@ -99,7 +99,7 @@
 // operators returns the default operators' settings, with the fleet's roles exclusive and
 // launches recorded if the scenario demands it.
 func (s *Scenario) operators() settings.Operators {
-	operators := settings.Defaults()
+	operators := settings.DefaultOperators()
 	if s.ExclusiveRoles {
 		operators.Duties = settings.Duties{Exclusive: leadership.FleetRoleNames(), RecordRentals: true}
 	}
--- a/internal/store/request.go
+++ b/internal/store/request.go
@@ -37,7 +37,7 @@
 		request.URI = "/txn"
 		request.Body = transaction
 		request.Costs = []jsonhttp.Cost{{Budget: c.writeLimit, Tokens: len(transaction.Writes)}}
-		request.BeforeSend = func() error { return c.checkGrant(call.Transaction.Grant(), leadership.Write) }
+		request.BeforeSend = func() error { return c.checkGrant(call.Transaction.Grant(), leadership.ActionWrite) }
 	case message.OpGrantLease:
 		request.URI = "/holds"
 		request.Body = api.LeaseRequest{TTLMs: call.TTLMs}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -46,14 +46,14 @@
 // use.
 type Client struct {
 	http       *jsonhttp.Client
-	checkGrant leadership.Gate
+	checkGrant leadership.GrantCheck
 	// writeLimit is the budget for transactions. Each write costs one token.
 	writeLimit *rate.Limiter
 }
 
 // New returns a client. checkGrant is called right before each transaction is sent, and
 // onMalformed for each reply that can't be decoded.
-func New(set *settings.Settings, checkGrant leadership.Gate, onMalformed func(service string, err error)) *Client {
+func New(set *settings.Settings, checkGrant leadership.GrantCheck, onMalformed func(service string, err error)) *Client {
 	limits := set.Deployment.Store
 	requestsPerSecond, writesPerSecond := limits.RPS*requestShare, limits.WriteRPS*writeShare
 	return &Client{
